--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -58,6 +58,16 @@
     assert "XPASS(strict)" in said
 
 
+def test_intermittent_failure_may_pass_or_fail_and_is_printed(tmp_path: Path) -> None:
+    lines = "tests/test_it.py::test_green | seen once | issue 7 | intermittent\n"
+    lines += "tests/test_it.py::test_red | seen twice | issue 8 | intermittent\n"
+    status, said = played(tmp_path, lines)
+    assert status == 1  # test_half[2] is not listed
+    assert "1 failed, 1 passed, 1 xfailed, 1 xpassed" in said
+    assert "known red: tests/test_it.py::test_green: seen once (issue 7, intermittent)" in said
+    assert "known red: tests/test_it.py::test_red: seen twice (issue 8, intermittent)" in said
+
+
 @pytest.mark.parametrize(
     ("known", "why"),
     [
@@ -66,6 +76,8 @@
         ("tests/test_it.py::test_half | x | y\n", "no test has this name"),
         ("tests/test_it.py::test_red | the cause\n", "must be `test id | cause | issue`"),
         ("tests/test_it.py::test_red | | issue 7\n", "must be `test id | cause | issue`"),
+        ("tests/test_it.py::test_red | x | y | seldom\n", "must be `test id | cause | issue`"),
+        ("tests/test_it.py::test_red | x | y | intermittent | z\n", "must be `test id | cause | issue`"),
         (RED + "\n", "must be `test id | cause | issue`"),
         (RED + RED, "stands there twice"),
         ("".join(f"tests/test_it.py::test_{n} | x | y\n" for n in range(4)), "4 lines; at most 3"),
