--- a/eiderhub/interface.py
+++ b/eiderhub/interface.py
@@ -1,8 +1,8 @@
-"""The module's interface: settings, enums, the events it takes and the actions it asks for.
+"""The interface of the balancer: settings, enumerations, events (input) and actions (output).
 
-A host (a sidecar, or the wire adapter) makes one `Balancer` for each sidecar instance, calls its event
-methods in order of arrival, and carries out the actions that the instance calls on it meanwhile. Times are
-integer microseconds on any clock that only moves forward.
+A host (a sidecar, or the simulator's adapter) creates one `Balancer` per sidecar instance, calls its event
+methods in order of arrival, and carries out the actions that the balancer calls on it meanwhile. Times are
+integer microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request of this class would do."""
+    """The effect of executing a request of the class more than once."""
 
     IDEMPOTENT = "idempotent"
     DEDUPLICATED = "deduplicated"
@@ -22,7 +22,7 @@
 
 
 class Group(Enum):
-    """Which endpoints drop the repeats of a deduplicated request."""
+    """The endpoints among which repeats of a deduplicated request are recognized and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,7 +30,7 @@
 
 
 class Outcome(IntEnum):
-    """How an attempt or a probe ended."""
+    """The result of an attempt or a probe."""
 
     OK = 10
     ERROR = 20
@@ -43,11 +43,11 @@
 
 
 class Ring(IntEnum):
-    """How far a zone is."""
+    """The distance of a zone."""
 
-    ZONE = 0  # our own
-    REGION = 1  # another one of our region
-    WORLD = 2  # of another region
+    ZONE = 0  # the own zone
+    REGION = 1  # another zone of the own region
+    WORLD = 2  # a zone of another region
 
 
 class Readiness(Enum):
@@ -57,7 +57,7 @@
 
 
 class ListForm(Enum):
-    """What a discovery event carries."""
+    """The kind of list that a discovery event carries."""
 
     DELTA = "D"
     FULL = "F"
@@ -71,7 +71,7 @@
 
 
 class Endpoint(NamedTuple):
-    """One entry of a discovery list."""
+    """An entry of a discovery list."""
 
     id: str
     zone: str
@@ -98,9 +98,9 @@
     credit: float = 1.0
     late_share: float = 0.0
     streaming: bool = False
-    stays_in: frozenset[str] | None = None  # the only zones that it may go to; None: any
-    served_on: frozenset[str] | None = None  # the only kinds of machine
-    reach: Ring = Ring.WORLD  # the farthest ring that it may go to
+    stays_in: frozenset[str] | None = None  # zones it may be sent to; None: any
+    served_on: frozenset[str] | None = None  # kinds of machine it may be sent to; None: any
+    reach: Ring = Ring.WORLD  # the farthest ring it may be sent to
 
     def __post_init__(self) -> None:
         _require(bool(self.name), "name", "must not be empty")
@@ -125,15 +125,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits."""
+    """What the site permits, and its connection time-outs."""
 
     max_attempts: int = 3
     max_retry_after_us: int = 1_000_000
     second_copies: bool = False
     may_cancel: bool = False
     retry_after: bool = False
-    conn_idle_us: int = 0  # idle connections are closed after this; 0: not told
-    connect_timeout_us: int = 250_000  # a connection not up by then has failed
+    conn_idle_us: int = 0  # idle connections are closed after this; 0: unknown
+    connect_timeout_us: int = 250_000  # a connection that takes longer has failed
 
     def __post_init__(self) -> None:
         _require(self.conn_idle_us >= 0, "conn_idle_us", "must not be negative")
@@ -144,10 +144,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Prices:
-    """Points taken off the result for what a decision costs, as fractions of a first try's worth."""
+    """Cost of sending a call elsewhere, as a fraction of the worth of a call served at the first try."""
 
     cross_zone: float = 0.0
-    cross_region: float = 0.0  # for a call to another region, in place of that
+    cross_region: float = 0.0  # for calls to another region, instead of cross_zone
 
     def __post_init__(self) -> None:
         _require(self.cross_region >= 0, "cross_region", "must not be negative")
@@ -155,10 +155,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """Weights of the result's parts: what is counted class by class makes a cheap class matter too."""
+    """Weights of the parts of the goal; counting by class makes classes of low worth matter as well."""
 
-    by_worth: float = 1.0  # over all requests, each with its class's worth
-    by_class: float = 0.0  # the weakest class, and parts that each class has alike
+    by_worth: float = 1.0  # all requests, each with the worth of its class
+    by_class: float = 0.0  # the worst class, and parts in which all classes count alike
 
     def __post_init__(self) -> None:
         _require(self.by_worth >= 0, "by_worth", "must not be negative")
@@ -167,12 +167,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """Figures of the cold rule, and of when lists count as told; drains are kept at once."""
+    """The site's limits for cold endpoints, and when a list counts as known; drains apply at once."""
 
-    cold_us: int = 10_000_000
-    cold_from: float = 0.1
-    overload_factor: float = 2.0
-    ask_every_us: int = 0  # who has not asked discovery for so long counts as told; 0: not stated
+    cold_us: int = 10_000_000  # an endpoint is cold for this long after its start
+    cold_from: float = 0.1  # share of its capacity at its start
+    overload_factor: float = 2.0  # load a cold endpoint tolerates, as a multiple of its capacity
+    ask_every_us: int = 0  # changes count as known this long after the last request; 0: not stated
 
     def __post_init__(self) -> None:
         _require(self.ask_every_us >= 0, "ask_every_us", "must not be negative")
@@ -183,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that an instance is told at its start."""
+    """The settings of one balancer instance."""
 
     classes: Sequence[RequestClass]
     rank: int = 0
@@ -191,9 +191,9 @@
     layer: int = 0
     tiers: int = 1
     zone: str = ""
-    regions: Mapping[str, str] = field(default_factory=dict)  # by zone; zones without one are one region
-    remote_part: float = 0.25  # of the capacity of other zones, granted beside their own callers
-    zone_verdicts: bool = True  # whether a zone is left for what its calls come to
+    regions: Mapping[str, str] = field(default_factory=dict)  # by zone; zones without one form one region
+    remote_part: float = 0.25  # share of other zones' capacity used beside their own callers
+    zone_verdicts: bool = True  # whether failures reduce the share of a zone
     tenants: Sequence[Tenant] = ()
     over_share_worth: float = 1.0
     discovery: Discovery = Discovery.PUSH
@@ -217,75 +217,75 @@
 
 
 class PoolMemory(NamedTuple):
-    """What was learned of one pool of endpoints."""
+    """Learned state of one pool of endpoints."""
 
-    part: float  # of the endpoints' capacity that the cap holds for
+    part: float  # number of endpoints, possibly fractional, that the cap is for
     cap: float
     base: float
     median: float
 
 
 class EndpointMemory(NamedTuple):
-    """What was learned of one endpoint that is not as it should be."""
+    """Learned state of one endpoint that is slow, failing or ejected."""
 
     id: str
     launched_us: int
     failing: float
     slow: float
-    ejected_us: int  # for so long still; below 0: it is on trial
+    ejected_us: int  # remaining time of its ejection; below 0: on trial; 0: not ejected
 
 
 class Memory(NamedTuple):
-    """What a process that takes over from another may start with."""
+    """State handed over to a successor process."""
 
     pools: list[PoolMemory]
     endpoints: list[EndpointMemory]
 
 
 class Actions(Protocol):
-    """What an instance may ask of its host, each taking effect at once."""
+    """What a balancer asks of its host; each action takes effect at once."""
 
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        """Send an attempt; max_wait_us 0 waits till the client quits."""
+        """Send an attempt; with max_wait_us 0 it waits until the client gives up."""
 
     def cancel(self, call: str, attempt: int) -> None:
-        """Quit waiting for one attempt."""
+        """Stop waiting for one attempt."""
 
     def shed(self, call: str, wait_us: int) -> None:
-        """Final answer: refused, a retry does no harm."""
+        """Final answer: refused; the client may safely retry after wait_us."""
 
     def surrender(self, call: str) -> None:
-        """Final answer: failed, nothing promised."""
+        """Final answer: failed; the request may have been executed."""
 
     def timer(self, delay_us: int, mark: str) -> None:
-        """Ask for `wake` with this mark."""
+        """Request a `wake` event with this mark after the delay."""
 
     def watch(self, on: bool) -> None:
-        """Subscribe to discovery, or end that."""
+        """Subscribe to discovery, or unsubscribe."""
 
     def close_idle(self, endpoint: str) -> None:
         """Close this instance's idle connections to the endpoint."""
 
     def write_log(self, text: str, **fields: str | int | float) -> None:
-        """A line for those on call: what it is about, and the figures and names that belong to it."""
+        """Write a log line with its fields."""
 
 
 class Events(Protocol):
-    """What a host tells an instance, in order of arrival."""
+    """What a host reports to a balancer, in order of arrival."""
 
     def start(self, now_us: int) -> None:
-        """Comes first, once."""
+        """Called once, before all other events."""
 
     def discovery(self, now_us: int, form: ListForm, entries: Sequence[Endpoint]) -> None:
-        """News of the endpoints."""
+        """A new endpoint list, or changes of it."""
 
     def order(
         self, now_us: int, call: str, grade: str, tenant: str | None, expires_in_us: int, hint_us: int | None
     ) -> None:
-        """A request came in; exactly one final answer is owed for it."""
+        """A request arrived; it gets exactly one final answer."""
 
     def streaming(self, now_us: int, call: str, attempt: int, spent_us: int) -> None:
-        """An answer has begun to reach the client, which owns this attempt now; `reply` tells its end."""
+        """The response of this attempt is being streamed to the client; `reply` reports its end."""
 
     def reply(
         self,
@@ -297,13 +297,13 @@
         closed: bool,
         outcome: Outcome,
     ) -> None:
-        """An attempt ended; `closed` says that the request is finished."""
+        """An attempt ended; `closed`: so did the request."""
 
     def expired(self, now_us: int, call: str) -> None:
-        """The client quit."""
+        """The client gave up."""
 
     def wake(self, now_us: int, mark: str) -> None:
-        """A timer came due."""
+        """A timer fired."""
 
     def steer(self, now_us: int, shares: Mapping[str, float], regions: Mapping[str, str]) -> None:
-        """The share that operators let each named zone have, and the regions as the list has them."""
+        """The operators' upper bounds on zone shares, and the region of each zone by the discovery list."""
--- a/eiderhub/wirehost.py
+++ b/eiderhub/wirehost.py
@@ -1,6 +1,6 @@
-"""The wire adapter: turns the lines of the simulator's wire into events and actions into lines.
+"""The simulator's adapter: parses its line protocol into events and writes actions as lines.
 
-It parses, dispatches and flushes once a batch; it takes no decisions.
+It reads batches from standard input and flushes the actions once per batch.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from eiderhub.settings import settings_from
 
 PAGES = 16  # manifests are numbered 0..15
-HINT_VALID = 1  # bit of an order's Options: the cost hint counts
+HINT_VALID = 1  # bit of the Options of an `order`: the cost hint is valid
 OUTCOMES = {str(int(o)): o for o in Outcome}
 FORMS = {f.value: f for f in ListForm}
 STATES = {r.value: r for r in Readiness}
@@ -27,11 +27,11 @@
 
 
 class WireError(Exception):
-    """Malformed input."""
+    """The input is malformed."""
 
 
 class Lines:
-    """The actions of one instance, written as lines into the reply of the batch."""
+    """Writes the actions of one instance as lines of the batch's reply."""
 
     __slots__ = ("name", "out")
 
@@ -61,20 +61,20 @@
         self.out.append(f"disconnect {self.name} {endpoint}")
 
     def write_log(self, text: str, **fields: str | int | float) -> None:
-        told = "".join(f" {name}={value}" for name, value in fields.items())
-        self.out.append(f"write_log {self.name} {text}{told}")
+        suffix = "".join(f" {name}={value}" for name, value in fields.items())
+        self.out.append(f"write_log {self.name} {text}{suffix}")
 
 
-def _int(text: str, what: str) -> int:
+def _int(text: str, field: str) -> int:
     if not INTEGER.match(text):
-        raise WireError(f"{what} is no integer")
+        raise WireError(f"{field} is not an integer")
     return int(text)
 
 
-def _code(table: dict[str, Any], text: str, what: str) -> Any:
+def _code(table: dict[str, Any], text: str, field: str) -> Any:
     value = table.get(text)
     if value is None:
-        raise WireError(f"{what} is unknown")
+        raise WireError(f"{field} is unknown")
     return value
 
 
@@ -109,7 +109,7 @@
         return line
 
     def run(self) -> None:
-        """Answer batches until the input ends."""
+        """Process batches until the input ends."""
         while True:
             line = self._read()
             if not line:
@@ -144,33 +144,33 @@
             if handler is None:
                 raise WireError(f"unknown message {name[:40]!r}")
             if len(parts) != handler[0]:
-                raise WireError(f"{name} takes {handler[0] - 1} values, {len(parts) - 1} came")
+                raise WireError(f"{name} takes {handler[0] - 1} values, got {len(parts) - 1}")
             try:
                 handler[1](parts)
             except WireError:
                 raise
-            except Exception as error:  # the module's own fault: told, never silent
+            except Exception as error:  # a fault of the balancer: reported to the simulator
                 self._broken(parts[1], error)
 
-    def _broken(self, instance: str, error: Exception) -> None:
+    def _broken(self, name: str, error: Exception) -> None:
         text = " ".join(f"{type(error).__name__}: {error}".split())
-        self.out.append(f"broken {instance} {text}")
+        self.out.append(f"broken {name} {text}")
 
     def _instance(self, name: str) -> Balancer:
-        found = self.instances.get(name)
-        if found is None:
+        balancer = self.instances.get(name)
+        if balancer is None:
             raise WireError(f"{name[:40]!r} has not been started")
-        return found
+        return balancer
 
     def _power_on(self, line: str) -> None:
         parts = line.split(" ", 3)
         if len(parts) != 4:
-            raise WireError(f"power_on takes 3 values, {len(parts) - 1} came")
+            raise WireError(f"power_on takes 3 values, got {len(parts) - 1}")
         name, seed = parts[1], _int(parts[2], "Entropy")
         try:
             setup = json.loads(parts[3])
         except ValueError:
-            raise WireError("Setup is no JSON object") from None
+            raise WireError("Setup is not valid JSON") from None
         try:
             settings = settings_from(setup)
         except ValueError as error:
@@ -178,7 +178,7 @@
         try:
             balancer = Balancer(settings, seed, Lines(name, self.out))
             balancer.start(self.now)
-        except Exception as error:  # as above
+        except Exception as error:  # reported as well
             self._broken(name, error)
             return
         self.instances[name] = balancer
@@ -188,14 +188,16 @@
             raise WireError(f"{parts[1][:40]!r} has not been started")
 
     def _order(self, parts: list[str]) -> None:
-        _, name, call, grade, team, _key, left, hint, options = parts
-        valid = options != "-" and _int(options, "Options") & HINT_VALID
+        _, name, call, grade, tenant_field, _key, expires_in, hint, options = parts
+        hint_valid = options != "-" and _int(options, "Options") & HINT_VALID
         hint_us = _int(hint, "HintUs") if hint != "-" else None
-        tenant = None if team in ("-", "0") else team
+        tenant = None if tenant_field in ("-", "0") else tenant_field
         instance = self._instance(name)
         if grade not in instance.classes:
-            raise WireError("Grade is no class of this instance")
-        instance.order(self.now, call, grade, tenant, _int(left, "ExpiresInUs"), hint_us if valid else None)
+            raise WireError("Grade is not a class of this instance")
+        instance.order(
+            self.now, call, grade, tenant, _int(expires_in, "ExpiresInUs"), hint_us if hint_valid else None
+        )
 
     def _reply(self, parts: list[str]) -> None:
         _, name, call, hop, endpoint, spent, closed, result, _stats = parts
@@ -220,20 +222,20 @@
         self._instance(parts[1]).streaming(self.now, parts[2], _int(parts[4], "Hop"), spent)
 
     def _sampled(self, parts: list[str]) -> None:
-        """Probe results: this module sends no probes, so they are only checked."""
+        """A probe result: the balancer sends no probes, so it is only validated."""
         self._instance(parts[1])
         _code(OUTCOMES, parts[3], "Result")
         _int(parts[4], "SpentUs")
 
     def _mail(self, parts: list[str]) -> None:
-        """Messages of peers: this module sends none, so they are only checked."""
+        """A message from a peer: the balancer sends none, so it is only validated."""
         self._instance(parts[1])
         _int(parts[2], "Neighbour")
         if parts[3] != "-":
             try:
                 base64.b64decode(parts[3], validate=True)
             except (binascii.Error, ValueError):
-                raise WireError("Octets is no base64") from None
+                raise WireError("Octets is not valid base64") from None
 
     def _discovery(self, parts: list[str]) -> None:
         _, name, form_code, index, page = parts
@@ -242,16 +244,16 @@
             _int(index, "Index")
         entries: Sequence[Endpoint] = ()
         if form is not ListForm.FAILED:
-            found = self.pages.get(_int(page, "Page"))
-            if found is None:
-                raise WireError(f"no manifest has number {page[:40]}")
-            entries = found
+            listed = self.pages.get(_int(page, "Page"))
+            if listed is None:
+                raise WireError(f"manifest {page[:40]} does not exist")
+            entries = listed
         self._instance(name).discovery(self.now, form, entries)
 
     def _manifest(self, parts: list[str]) -> None:
         page, count = _int(parts[1], "Page"), _int(parts[2], "Lines")
         if not 0 <= page < PAGES:
-            raise WireError("Page must lie in 0..15")
+            raise WireError("Page must be within 0..15")
         if count < 0:
             raise WireError("Lines must not be negative")
         self.pages[page] = [self._row() for _ in range(count)]
@@ -262,19 +264,19 @@
             raise WireError("the input ends inside a manifest")
         parts = line[:-1].split(" ")
         if parts[0] != "row" or len(parts) != 8:
-            raise WireError("a manifest takes rows of 7 values")
+            raise WireError("a manifest consists of rows of 7 values")
         _, endpoint, zone, kind, cell, state, weight, launched = parts
         try:
-            size = float(weight) if weight != "-" else 1.0
+            capacity = float(weight) if weight != "-" else 1.0
         except ValueError:
-            raise WireError("Nominal is no number") from None
+            raise WireError("Nominal is not a number") from None
         return Endpoint(
             endpoint,
             zone,
             kind,
             _int(cell, "Cohort") if cell != "-" else -1,
             _code(STATES, state, "Readiness"),
-            size if size > 0 else 1.0,
+            capacity if capacity > 0 else 1.0,
             _int(launched, "LaunchedUs") if launched != "-" else 0,
         )
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -7,10 +7,10 @@
 import pytest
 
 from eiderhub.balancer import (
-    COLD_USE,
-    EJECT_FAILING,
+    COLD_SHARE,
+    EJECT_SHARE,
+    INITIAL_CALLS,
     SOJOURN_INTERVAL_US,
-    START_CALLS,
     ConcurrencyLimit,
     TokenBuckets,
 )
@@ -78,25 +78,25 @@
     """Found on simulated days: slow endpoints drew the cap down to its floor while the others sat idle."""
     for slow_in_ten, falls in ((2, False), (10, True)):
         limit = ConcurrencyLimit(0)
-        limit.size(2.0)
+        limit.resize(2.0)
         start = limit.cap
         for i in range(400):
             late = i > 100 and i % 10 < slow_in_ten
-            limit.learn(i * 50 * MS, i * 50 * MS - 1, 0.9 if late else 0.1, S)
+            limit.observe(i * 50 * MS, i * 50 * MS - 1, 0.9 if late else 0.1, S)
         assert (limit.cap < start) is falls
-        assert limit.cap >= limit.floor
+        assert limit.cap >= limit.min_cap
 
 
 def test_cap_judges_only_calls_sent_since_its_last_change() -> None:
     """Found on simulated days: late outcomes of calls sent before a cut brought the cap down to one call."""
     limit = ConcurrencyLimit(0)
-    limit.size(4.0)
+    limit.resize(4.0)
     for _ in range(100):
-        limit.learn(10 * S, 9 * S, 0.9, S)
+        limit.observe(10 * S, 9 * S, 0.9, S)
     once = limit.cap
-    assert limit.floor < once < 6.0 * 4.0
+    assert limit.min_cap < once < 6.0 * 4.0
     for _ in range(100):
-        limit.learn(11 * S, 9 * S, 0.9, S)
+        limit.observe(11 * S, 9 * S, 0.9, S)
     assert limit.cap == once
 
 
@@ -105,12 +105,12 @@
     latencies = [100 * MS + i * 37 % 400 * MS for i in range(300)]
     ends = sorted((i * 10 * MS + latency, i * 10 * MS, latency) for i, latency in enumerate(latencies))
     limit = ConcurrencyLimit(0)
-    limit.size(1.0)
+    limit.resize(1.0)
     for since in (10 * S, 20 * S):
         for ended, sent, latency in ends:
-            limit.learn(since + ended, since + sent, latency / S, S)
-        assert 0.25 < limit.base < 0.35
-        limit.changed = 20 * S  # as by a cut
+            limit.observe(since + ended, since + sent, latency / S, S)
+        assert 0.25 < limit.baseline < 0.35
+        limit.changed_at = 20 * S  # as by a cut
 
 
 def test_slow_answers_do_not_shrink_a_stated_quota() -> None:
@@ -122,11 +122,11 @@
         now += 25 * MS
         if now >= buckets.next_refill:
             buckets.refill(now)
-        small.heard = now
+        small.last_request_at = now
         if i > 500 and small.tokens < 1.0:
             refused += 1
         small.tokens -= 1.0
-        buckets.bill(small, 1.0, 1.0, 2 * S, True)
+        buckets.charge_latency(small, 1.0, 1.0, 2 * S, True)
     assert refused == 0
 
 
@@ -136,11 +136,11 @@
     for paid in (1.0, 0.0):
         for _ in range(2000):
             now += 5 * MS
-            big.heard = now
-            buckets.bill(big, 1.0, paid, 0, True)
+            big.last_request_at = now
+            buckets.charge_latency(big, 1.0, paid, 0, True)
             if now >= buckets.next_refill:
                 buckets.refill(now)
-        assert (big.refill > 150) is (paid > 0)
+        assert (big.refill_per_s > 150) is (paid > 0)
 
 
 def drive_with_down(host: Host, down: set[str], calls: int, step_us: int) -> None:
@@ -250,10 +250,10 @@
         (1, 0.9, 0.0, 0.0),
     ):
         limit = ConcurrencyLimit(layer)
-        limit.size(0.2)
+        limit.resize(0.2)
         for i in range(60):
-            limit.learn(i * 50 * MS, i * 50 * MS - 1, 0.05 if i < 30 else share, S)
-        assert more <= limit.room(scarcity) - limit.cap < more + 1.2
+            limit.observe(i * 50 * MS, i * 50 * MS - 1, 0.05 if i < 30 else share, S)
+        assert more <= limit.burst_cap(scarcity) - limit.cap < more + 1.2
 
 
 def test_over_share_calls_are_refused_while_calls_within_their_share_find_no_room() -> None:
@@ -399,10 +399,10 @@
 def test_cap_does_not_follow_the_crowd_that_it_lets_in() -> None:
     """Found on case562: a cap rose from 16 to over 100 within minutes, and the latency doubled."""
     limit = ConcurrencyLimit(0)
-    limit.size(2.0)
+    limit.resize(2.0)
     for i in range(40_000):
         limit.in_flight = int(limit.cap)  # there is always more to send
-        limit.learn(i * S, i * S, 0.2 * max(1.0, limit.cap / 15.0), S)  # past 15 calls, all is queueing
+        limit.observe(i * S, i * S, 0.2 * max(1.0, limit.cap / 15.0), S)  # past 15 calls, all is queueing
     assert 15.0 < limit.cap < 30.0
 
 
@@ -411,28 +411,28 @@
 
     def grown(layer: int) -> float:
         limit = ConcurrencyLimit(layer)
-        limit.size(1.0)
+        limit.resize(1.0)
         at = 0
-        while not limit.base:  # the first round: the cap binds, nothing is crowded
+        while not limit.baseline:  # the first round: the cap binds, nothing is crowded
             at += 50 * MS
             limit.in_flight = int(limit.cap)
-            limit.learn(at, at - 1, 0.1, S)
+            limit.observe(at, at - 1, 0.1, S)
         before = limit.cap
         while limit.cap == before:
             at += 50 * MS
             limit.in_flight = int(limit.cap)
-            limit.learn(at, at - 1, 0.1, S)
+            limit.observe(at, at - 1, 0.1, S)
         return limit.cap / before
 
     assert grown(0) == pytest.approx(1.5)
     assert grown(1) == pytest.approx(1.1)
 
     limit = ConcurrencyLimit(0)
-    limit.size(1.0)
+    limit.resize(1.0)
     for i in range(200):  # latencies rise by half: no cut yet, but no opening either
         limit.in_flight = int(limit.cap)
-        limit.learn(i * 50 * MS, i * 50 * MS - 1, 0.1 if i < 60 else 0.17, S)
-        if not limit.opening:
+        limit.observe(i * 50 * MS, i * 50 * MS - 1, 0.1 if i < 60 else 0.17, S)
+        if not limit.fast_growth:
             break
     assert 60 < i < 200
 
@@ -507,7 +507,7 @@
         host.advance(50 * MS)
         host.reply(call, Outcome.OK, spent=50 * MS)
     host.reply(first, Outcome.TIMEOUT, spent=2 * S)
-    assert 0.0 < host.balancer.endpoints[host.sent[first][0]].failing < EJECT_FAILING
+    assert 0.0 < host.balancer.endpoints[host.sent[first][0]].failing < EJECT_SHARE
 
 
 def test_attempt_waits_no_longer_than_its_answer_has_worth() -> None:
@@ -530,8 +530,8 @@
         host.order(tenant="")
     host.advance(100 * MS)
     near = [d for d in host.sends() if d[2] == listed[0].id]
-    assert START_CALLS <= len(near) <= START_CALLS + 2
-    assert START_CALLS <= len(host.sends()) - len(near) <= START_CALLS + 2
+    assert INITIAL_CALLS <= len(near) <= INITIAL_CALLS + 2
+    assert INITIAL_CALLS <= len(host.sends()) - len(near) <= INITIAL_CALLS + 2
 
 
 def test_cold_endpoint_gets_what_the_rule_lets_it_have() -> None:
@@ -547,7 +547,7 @@
         if len(out) > 2:  # few calls out, as a copy of a large fleet has
             host.reply(out.pop(0), Outcome.OK, spent=100 * MS)
     share = sum(d[2] == cold[0].id for d in host.sends()) / len(host.sends())
-    budget = COLD_USE * rules.cold_from  # of an even part
+    budget = COLD_SHARE * rules.cold_from  # of an even part
     assert 0.6 * budget / 3 < share < 1.05 * budget / 3
 
 
@@ -619,7 +619,7 @@
     """Found on the operators' days: at each upgrade a dozen calls went to an endpoint that hangs."""
     first = Host(settings(balancers=1), endpoints(4))
     limit = first.balancer.placements[0].pools[0].limit
-    limit.cap, limit.base, limit.median = 40.0, 0.1, 0.15
+    limit.cap, limit.baseline, limit.median = 40.0, 0.1, 0.15
     silent = endpoints(1)[0].id
     for _ in range(30):
         call = first.order("look")
@@ -636,7 +636,7 @@
     second.balancer.recall(second.now, told)
     own = second.balancer.placements[0].pools[0].limit
     assert own.cap == pytest.approx(20.0)
-    assert (own.base, own.opening) == (limit.base, False)
+    assert (own.baseline, own.fast_growth) == (limit.baseline, False)
     assert second.balancer.hosts_down(second.now) == [silent]
     calls = [second.order("look") for _ in range(5)]
     assert all(silent not in second.sent[call] for call in calls)
@@ -651,7 +651,7 @@
     """Found on another customer's calm day: under light stress two calls in five were refused so."""
     for tenants in ((), (Tenant("small", 1.0, 0.0),)):
         host = Host(settings(balancers=1, tenants=tenants), endpoints(20))
-        host.balancer.ratio.value, host.balancer.ratio.next_read = 0.5, host.now + 60 * S  # under stress
+        host.balancer.ratio.value, host.balancer.ratio.next_update = 0.5, host.now + 60 * S  # under stress
         calls = []
         for _ in range(60):  # far more than was served in the windows before
             calls.append(host.order("hold", tenant="small" if tenants else ""))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eiderhub.balancer import NEVER_RAN, Ran, may_refuse, may_resend
+from eiderhub.balancer import NEVER_RAN, FirstRun, may_refuse, may_resend
 from eiderhub.interface import (
     Effect,
     Endpoint,
@@ -154,7 +154,7 @@
     effect: Effect, group: Group, after: int, to: tuple[str, int], legal: bool
 ) -> None:
     grade = replace(SAFE, effect=effect, group=group, dedup_window_us=2 * S)
-    assert may_resend(grade, Ran(0, "east", 1), after, *to) is legal
+    assert may_resend(grade, FirstRun(0, "east", 1), after, *to) is legal
     assert may_resend(grade, None, after, *to) is True
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from eiderhub.interface import Effect, Group, ListForm, Outcome, Prices, Readiness, Ring, Tenant
-from eiderhub.zones import FIRST, LOOK_US, STEP_US, WAIT_MAX_US, Zones
+from eiderhub.zones import FIRST_SHARE, GROWTH_US, MAX_BACKOFF_US, REVIEW_INTERVAL_US, Zones
 from tests.support import MS, SAFE, UNSAFE, Host, S, endpoints, settings
 
 STEP = 10 * MS
@@ -88,20 +88,20 @@
     assert play.share(EAST, 3) > 0.95  # calls stay near
     play.silent = {EAST}
     play.play(2)
-    told = play.said("a zone is left")[-1]
+    told = play.said("zone share reduced")[-1]
     assert told["zone"] == EAST and told["ill"] == told["of"] and told["share"] == 0.0
     assert play.share(EAST, 0.5) < 0.05
     # What is out there holds no place under the cap of those that remain.
     served = [play.balancer.placements[0].pools[ring].limit.in_flight for ring in (Ring.ZONE, Ring.REGION)]
     out = sum(len(call.outstanding) for call in play.balancer.calls.values())
-    assert sum(served) + play.balancer.limbo.limit.in_flight == out
+    assert sum(served) + play.balancer.evacuated_pool.limit.in_flight == out
     play.play(6)
     play.silent = set()
     play.play(25)
-    back = [told["share"] for told in play.said("a zone is given back")]
-    assert back == [FIRST * 2**i for i in range(4)]
+    back = [told["share"] for told in play.said("zone share raised")]
+    assert back == [FIRST_SHARE * 2**i for i in range(4)]
     assert play.share(EAST, 2) > 0.9
-    assert play.balancer.limbo.limit.in_flight == 0
+    assert play.balancer.evacuated_pool.limit.in_flight == 0
 
 
 def test_it_is_left_at_once_by_who_starts_during_the_loss_and_however_ready_the_list_calls_it() -> None:
@@ -121,7 +121,7 @@
     play.play(3, rate=20)
     play.silent = {EAST}
     play.play(5, rate=20)
-    assert play.said("ejected") and not play.said("a zone is left")
+    assert play.said("ejected") and not play.said("zone share reduced")
     assert play.share(EAST, 3) < 0.1
     play.silent = set()
     play.play(20, rate=20)
@@ -137,7 +137,7 @@
     else:
         play.slow = {EAST: 5.0}
     play.play(12, rate=200)
-    shares = [told["share"] for told in play.said("a zone is left")]
+    shares = [told["share"] for told in play.said("zone share reduced")]
     assert all(0 < share < 1 for share in shares)
     assert bool(shares) is (kind == "failing")  # who is slow crowds its cap, and calls cross by that
     assert 0.0 < play.share(EAST, 5) < 0.6
@@ -148,7 +148,7 @@
     play.play(3)
     play.ill = {e.id for e in listed(EAST)[:2]}
     play.play(10)
-    assert play.said("a zone is left") == []
+    assert play.said("zone share reduced") == []
     assert play.share(EAST, 5) > 0.8
 
 
@@ -193,9 +193,9 @@
         play.play(5)
         play.silent = set()
         play.play(5)
-    left = play.said("a zone is left")
+    left = play.said("zone share reduced")
     waits = [told["seconds"] for told in left]
-    assert max(waits) > 8 and max(waits) <= 1.5 * WAIT_MAX_US / S
+    assert max(waits) > 8 and max(waits) <= 1.5 * MAX_BACKOFF_US / S
     assert len(left) < 12
     lost = sum(zone == EAST and (at - began) % (10 * S) < 5 * S for at, zone in play.got if at >= began)
     assert lost < 0.1 * 12 * 5 * 100
@@ -209,10 +209,10 @@
         play.silent = {EAST}
         play.play(4, rate=60)
         play.silent = set()
-        while not play.said("a zone is given back"):
+        while not play.said("zone share raised"):
             play.play(0.25, rate=60)
         moments.append(play.now)
-    most = max(sum(abs(one - other) <= LOOK_US for other in moments) for one in moments)
+    most = max(sum(abs(one - other) <= REVIEW_INTERVAL_US for other in moments) for one in moments)
     assert most <= 0.6 * len(moments)
 
 
@@ -231,7 +231,7 @@
     play.play(3, grade=grade.name)
     play.silent = {EAST}
     play.play(8, grade=grade.name)
-    assert play.said("a zone is left")
+    assert play.said("zone share reduced")
     for call, went in play.sent.items():
         if len(went) > 1 and grade is UNSAFE:
             assert all(play.ends[call, i] is not Outcome.TIMEOUT for i in range(len(went) - 1))
@@ -274,8 +274,8 @@
     play.balancer.steer(play.now, {}, {})
     play.play(10)
     assert play.share(EAST, 2) > 0.9
-    shares = [told["share"] for told in play.said("a zone is given back")]
-    assert shares[0] == FIRST
+    shares = [told["share"] for told in play.said("zone share raised")]
+    assert shares[0] == FIRST_SHARE
     assert all(b <= 2 * a or a == 1.0 for a, b in itertools.pairwise(shares))
 
 
@@ -294,8 +294,8 @@
 def test_none_is_left_where_all_fall_silent_in_the_same_moment() -> None:
     zones = Zones(EAST, {}, random.Random(1), Host())
     for i in range(60):
-        zones.note(S, (EAST, WEST, NORTH)[i % 3], f"{i % 9}", True)
-    _, left = zones.look(3 * S, (EAST, WEST, NORTH), False)
+        zones.record(S, (EAST, WEST, NORTH)[i % 3], f"{i % 9}", True)
+    _, left = zones.review(3 * S, (EAST, WEST, NORTH), False)
     assert left == []
     assert [zones.share(name) for name in (EAST, WEST, NORTH)] == [1.0] * 3
 
@@ -319,21 +319,21 @@
     for wait, zone, endpoint, ill, count in story:
         now += wait * MS
         for _ in range(count):
-            zones.note(now, zone, f"{zone}-{endpoint}", ill)
+            zones.record(now, zone, f"{zone}-{endpoint}", ill)
         before = {z.name: (z.share, z.answers) for z in zones.zones.values()}
-        zones.said = ""
-        changed, left = zones.look(now, (EAST, WEST, NORTH), scarce)
+        zones.last_log = ""
+        changed, left = zones.review(now, (EAST, WEST, NORTH), scarce)
         after = {z.name: z.share for z in zones.zones.values()}
         assert changed == any(after[name] != share for name, (share, _) in before.items())
         assert max(zones.share(name) for name in (EAST, WEST, NORTH)) > 0
         assert all(after[name] == 0 for name in left)
         for name, (share, answers) in before.items():
             if after[name] > share and (share or after[name] < 1.0):  # else all zones were found alike
-                assert after[name] <= max(2 * share, FIRST)
+                assert after[name] <= max(2 * share, FIRST_SHARE)
                 assert answers > 0 or share >= 0.5
-                assert now - raised.get(name, 0) >= STEP_US
+                assert now - raised.get(name, 0) >= GROWTH_US
                 raised[name] = now
-            assert zones.zones[name].until <= now + 1.5 * WAIT_MAX_US
+            assert zones.zones[name].until <= now + 1.5 * MAX_BACKOFF_US
 
 
 def test_readiness_has_no_word_for_zones() -> None:
