--- a/eiderhub/interface.py
+++ b/eiderhub/interface.py
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the site permits, and its connection time-outs."""
+    """What the site permits, and its connection timeouts."""
 
     max_attempts: int = 3
     max_retry_after_us: int = 1_000_000
--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""A host that plays events into one instance, carries out its timers and records its actions."""
+"""A test host: sends events to one balancer, fires its timers and records its actions."""
 
 from __future__ import annotations
 
@@ -50,11 +50,11 @@
 
 
 class Host:
-    """Records actions as tuples; `advance` delivers due timers."""
+    """Records actions as tuples; `advance` fires due timers."""
 
     def __init__(
         self,
-        chosen: Settings | None = None,
+        custom_settings: Settings | None = None,
         entries: Iterable[Endpoint] = (),
         seed: int = 7,
         now: int = 1_000_000_000,
@@ -64,7 +64,7 @@
         self.timers: list[tuple[int, str]] = []
         self.sent: dict[str, list[str]] = {}
         self.serial = 0
-        self.balancer = Balancer(chosen or settings(), seed, self)
+        self.balancer = Balancer(custom_settings or settings(), seed, self)
         self.balancer.start(now)
         self.balancer.discovery(now, ListForm.CACHED, list(entries))
 
@@ -94,11 +94,11 @@
     def write_log(self, text: str, **fields: str | int | float) -> None:
         self.did.append(("write_log", text, fields))
 
-    # driving
-    def order(self, grade: str = "look", tenant: str = "small", left: int = 3 * S) -> str:
+    # events
+    def order(self, grade: str = "look", tenant: str = "small", expires_in: int = 3 * S) -> str:
         self.serial += 1
         call = f"{self.serial:016x}"
-        self.balancer.order(self.now, call, grade, tenant, left, None)
+        self.balancer.order(self.now, call, grade, tenant, expires_in, None)
         return call
 
     def reply(
@@ -110,16 +110,16 @@
         closed: bool | None = None,
     ) -> None:
         number = attempt if attempt >= 0 else len(self.sent[call]) - 1
-        done = outcome is Outcome.OK if closed is None else closed
-        self.balancer.reply(self.now, call, number, self.sent[call][number], spent, done, outcome)
+        finished = outcome is Outcome.OK if closed is None else closed
+        self.balancer.reply(self.now, call, number, self.sent[call][number], spent, finished, outcome)
 
     def answer_all(self, spent: int = 100 * MS) -> None:
-        """Serve the calls that are out."""
+        """Answer all calls in flight."""
         for call in [c for c in self.sent if c in self.balancer.calls]:
             self.reply(call, Outcome.OK, spent=spent)
 
-    def advance(self, by: int) -> None:
-        end = self.now + by
+    def advance(self, duration: int) -> None:
+        end = self.now + duration
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
             self.timers.remove(due)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""The ordinary path and the departures around it."""
+"""The balancer: admission, concurrency limit, endpoint selection, hedges, ejection and slow start."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.support import MS, SAFE, UNSAFE, Host, S, endpoints, settings
 
 
-def held_calls(host: Host, count: int) -> list[str]:
-    """Send calls of the small tenant until so many are held."""
+def fill_until_held(host: Host, count: int) -> list[str]:
+    """Send calls of the small tenant until `count` of them are held."""
     held: list[str] = []
     for _ in range(500):
         call = host.order()
@@ -30,10 +30,10 @@
     raise AssertionError("nothing is held")
 
 
-def test_long_sojourn_refuses_arrivals_and_an_empty_queue_none() -> None:
-    """Found on a simulated day: refusing went on for good once the queue had emptied."""
+def test_long_sojourn_refuses_arrivals_but_an_empty_queue_does_not() -> None:
+    """Refusal must end with the queue: an empty one used to refuse for good, as no call could end it."""
     host = Host(entries=endpoints(4))
-    held_calls(host, 2)
+    fill_until_held(host, 2)
     host.advance(120 * MS + SOJOURN_INTERVAL_US + 25 * MS)
     refused = host.order()
     assert host.answers(refused) == ["shed"]
@@ -45,37 +45,37 @@
     assert host.sends(host.order())
 
 
-def test_dear_crossing_waits_before_it_spills_and_cheap_worth_never_does() -> None:
-    """Found on simulated days: crossings took a third of the worth while the own zone had room soon after."""
+def test_costly_spill_waits_first_and_never_happens_below_its_price() -> None:
+    """Crossings used to cost a third of the worth although the own zone had room soon after."""
     both = endpoints(4) + endpoints(4, zone="west", start=4)
     host = Host(settings(prices=Prices(cross_zone=0.2)), both)
-    call = held_calls(host, 1)[0]
+    call = fill_until_held(host, 1)[0]
     west = {e.id for e in both[4:]}
     assert not west & {d[2] for d in host.sends()}
     host.advance(200 * MS)
     assert host.sends(call)[0][2] in west
     dear = Host(settings(prices=Prices(cross_zone=0.6)), both)
-    call = held_calls(dear, 1)[0]
+    call = fill_until_held(dear, 1)[0]
     dear.advance(S)
     assert dear.answers(call) == ["shed"]
     assert not west & {d[2] for d in dear.sends()}
 
 
-def test_cheap_class_spills_where_the_goal_counts_each_class_alike() -> None:
-    """Found on simulated days: a zone with half the clients refused its cheap class while others sat idle."""
+def test_cheap_class_spills_if_the_goal_weights_classes_alike() -> None:
+    """A zone with half the clients used to refuse its cheap class while other zones were idle."""
     both = endpoints(4) + endpoints(4, zone="west", start=4)
     cheap = replace(SAFE, credit=0.1)
     dear = replace(UNSAFE, name="dear")
     for by_class, spills in ((0.0, False), (0.7, True)):
         goal = Goal(by_worth=1.0 - by_class, by_class=by_class)
         host = Host(settings(classes=(cheap, dear), prices=Prices(cross_zone=0.06), goal=goal), both)
-        call = held_calls(host, 1)[0]
+        call = fill_until_held(host, 1)[0]
         host.advance(300 * MS)
         assert bool(host.sends(call)) is spills
 
 
 def test_cap_ignores_a_few_slow_calls_but_falls_when_most_are_slow() -> None:
-    """Found on simulated days: slow endpoints drew the cap down to its floor while the others sat idle."""
+    """A few slow endpoints used to pull the cap down to its minimum while the others were idle."""
     for slow_in_ten, falls in ((2, False), (10, True)):
         limit = ConcurrencyLimit(0)
         limit.resize(2.0)
@@ -87,8 +87,8 @@
         assert limit.cap >= limit.min_cap
 
 
-def test_cap_judges_only_calls_sent_since_its_last_change() -> None:
-    """Found on simulated days: late outcomes of calls sent before a cut brought the cap down to one call."""
+def test_cap_uses_only_calls_sent_since_its_last_change() -> None:
+    """Late outcomes of calls sent before a cut used to bring the cap down to one call."""
     limit = ConcurrencyLimit(0)
     limit.resize(4.0)
     for _ in range(100):
@@ -100,8 +100,8 @@
     assert limit.cap == once
 
 
-def test_base_is_not_taken_from_the_calls_that_end_first() -> None:
-    """Found on a day of the large fleet: one copy learned half the others' base, and refused all day."""
+def test_baseline_is_not_taken_from_the_fastest_calls() -> None:
+    """A median of the fastest calls alone gave one instance half the baseline of the others, and refusals."""
     latencies = [100 * MS + i * 37 % 400 * MS for i in range(300)]
     ends = sorted((i * 10 * MS + latency, i * 10 * MS, latency) for i, latency in enumerate(latencies))
     limit = ConcurrencyLimit(0)
@@ -110,15 +110,15 @@
         for ended, sent, latency in ends:
             limit.observe(since + ended, since + sent, latency / S, S)
         assert 0.25 < limit.baseline < 0.35
-        limit.changed_at = 20 * S  # as by a cut
+        limit.changed_at = 20 * S  # as after a cut
 
 
 def test_slow_answers_do_not_shrink_a_stated_quota() -> None:
-    """Found on simulated days: latency was billed but not granted, so slow days cut tenants short."""
+    """Latency was charged but not granted, so that slow answers refused tenants within their quota."""
     buckets = TokenBuckets(settings(balancers=1), 0, 0)
     small = buckets.find("small")
     now, refused = 0, 0
-    for i in range(3000):  # at its quota of 40 a second, each call taking 2 s
+    for i in range(3000):  # at its quota of 40 per second, each call taking 2 s
         now += 25 * MS
         if now >= buckets.next_refill:
             buckets.refill(now)
@@ -143,8 +143,8 @@
         assert (big.refill_per_s > 150) is (paid > 0)
 
 
-def drive_with_down(host: Host, down: set[str], calls: int, step_us: int) -> None:
-    """Play calls at this pace: endpoints that are down refuse connections, the others answer."""
+def run_with_down_endpoints(host: Host, down: set[str], calls: int, step_us: int) -> None:
+    """Send a call each `step_us`: endpoints that are down refuse connections, the others answer."""
     for _ in range(calls):
         call = host.order()
         host.advance(step_us)
@@ -156,15 +156,15 @@
 
 
 def test_endpoints_that_are_down_are_ejected_even_when_they_are_many() -> None:
-    """Found in an incident: a third of the endpoints refused connections and drew most of the sends."""
+    """A third of the endpoints refused connections and, looking idle, attracted most of the calls."""
     host = Host(settings(balancers=1), endpoints(12))
     down = {e.id for e in endpoints(4)}
-    drive_with_down(host, down, 600, 10 * MS)
+    run_with_down_endpoints(host, down, 600, 10 * MS)
     late = [d[2] for d in host.sends()[-200:]]
     assert sum(e in down for e in late) < 20
 
 
-def test_trouble_that_all_share_leaves_most_endpoints_in_use() -> None:
+def test_failure_of_all_endpoints_leaves_most_in_use() -> None:
     host = Host(settings(balancers=1), endpoints(12))
     for _ in range(600):
         call = host.order("pay")
@@ -175,17 +175,17 @@
     assert len(out) <= 6
 
 
-def test_zone_that_is_wholly_down_is_left_at_once() -> None:
+def test_zone_with_all_endpoints_down_is_evacuated_at_once() -> None:
     both = endpoints(2) + endpoints(6, zone="west", start=2)
     host = Host(settings(prices=Prices(cross_zone=0.2)), both)
     east = {e.id for e in both[:2]}
-    drive_with_down(host, east, 100, 20 * MS)
+    run_with_down_endpoints(host, east, 100, 20 * MS)
     late = [d[2] for d in host.sends()[-30:]]
     assert sum(e in east for e in late) < 10
 
 
 def test_calls_that_fail_together_count_as_one_failure() -> None:
-    """Found on simulated days: an endpoint that pauses fails all its calls at once and was ejected."""
+    """An endpoint that pauses briefly fails all its calls at once, and used to be ejected for it."""
     host = Host(settings(balancers=1), endpoints(2))
     calls = [host.order("pay") for _ in range(8)]
     host.advance(S)
@@ -194,7 +194,7 @@
     assert all(e.ejected_until == 0 for e in host.balancer.endpoints.values())
 
 
-def warmed(grade: str, layer: int = 0) -> Host:
+def host_with_latencies(grade: str, layer: int = 0) -> Host:
     host = Host(settings(balancers=1, tiers=2, layer=layer), endpoints(8))
     for _ in range(200):
         call = host.order(grade)
@@ -203,9 +203,9 @@
     return host
 
 
-def test_call_safe_to_repeat_gets_a_second_copy_when_its_endpoint_pauses() -> None:
-    """Found on simulated days: endpoints that stand still for longer than the aim."""
-    host = warmed("look")
+def test_idempotent_call_is_hedged_when_its_endpoint_pauses() -> None:
+    """Endpoints may pause for longer than the aim."""
+    host = host_with_latencies("look")
     call = host.order("look")
     host.advance(150 * MS)
     assert len(set(host.sent[call])) == 2
@@ -216,34 +216,34 @@
     assert host.answers(call) == []
 
 
-def test_no_second_copy_of_what_must_not_run_twice_nor_inside_nor_under_stress() -> None:
+def test_no_hedge_of_unrepeatable_calls_nor_on_inner_layers_nor_under_stress() -> None:
     for grade in ("pay", "hold"):
-        host = warmed(grade)
+        host = host_with_latencies(grade)
         call = host.order(grade)
         host.advance(S)
         assert len(host.sent[call]) == 1
     for layer, ratio in ((0, 0.3), (1, 1.0)):
-        host = warmed("look", layer)
+        host = host_with_latencies("look", layer)
         call = host.order("look")
         host.balancer.ratio.value = ratio
         host.advance(S)
         assert len(host.sent[call]) == 1
 
 
-def test_only_retries_of_what_may_have_run_draw_on_the_budget() -> None:
-    """Found in an incident: refused connections spent the budget; calls that others could take were shed."""
-    for outcome, all_again in ((Outcome.CONNECT_FAILED, True), (Outcome.ERROR, False)):
+def test_only_retries_of_possibly_executed_attempts_use_the_budget() -> None:
+    """Refused connections used up the retry budget, so that calls others could serve were refused."""
+    for outcome, all_retried in ((Outcome.CONNECT_FAILED, True), (Outcome.ERROR, False)):
         host = Host(settings(balancers=1), endpoints(40))
-        again = 0
+        retried = 0
         for call in [host.order("look") for _ in range(30)]:
             host.reply(call, outcome)
-            again += len(host.sent[call]) == 2
-        assert again == 30 if all_again else again < 10
+            retried += len(host.sent[call]) == 2
+        assert retried == 30 if all_retried else retried < 10
 
 
-def test_copy_rides_out_chance_above_its_cap_while_uncrowded() -> None:
-    """Found on simulated days: caps of one call at quiet copies held and refused while all sat idle."""
-    for layer, share, scarcity, more in (
+def test_uncongested_instance_may_exceed_its_cap_in_bursts() -> None:
+    """Caps of one call at little used instances held and refused calls while all endpoints were idle."""
+    for layer, latency, scarcity, excess in (
         (1, 0.05, 0.0, 1.5),
         (0, 0.05, 0.0, 0.4),
         (0, 0.05, 1.0, 0.0),
@@ -252,15 +252,15 @@
         limit = ConcurrencyLimit(layer)
         limit.resize(0.2)
         for i in range(60):
-            limit.observe(i * 50 * MS, i * 50 * MS - 1, 0.05 if i < 30 else share, S)
-        assert more <= limit.burst_cap(scarcity) - limit.cap < more + 1.2
+            limit.observe(i * 50 * MS, i * 50 * MS - 1, 0.05 if i < 30 else latency, S)
+        assert excess <= limit.burst_cap(scarcity) - limit.cap < excess + 1.2
 
 
 def test_over_share_calls_are_refused_while_calls_within_their_share_find_no_room() -> None:
-    """Found on simulated days: a tenant whose clients repeat at once took the room of the others for good."""
+    """A tenant whose clients retry at once used to take the capacity of the others for good."""
     host = Host(entries=endpoints(4))
     assert host.sends(host.order(tenant="big"))
-    held_calls(host, 8)  # all of them of the small tenant, within its share
+    fill_until_held(host, 8)  # all from the small tenant, within its share
     for _ in range(60):
         host.order(tenant="big")  # far over its share by now
     while host.balancer.queue.count:
@@ -270,8 +270,8 @@
     assert host.sends(host.order(tenant="small"))
 
 
-def test_attempts_of_a_client_that_left_are_called_off_where_the_site_permits() -> None:
-    """Found on simulated days: clients that leave early left work behind that filled the endpoints."""
+def test_attempts_of_a_client_that_gave_up_are_cancelled_if_permitted() -> None:
+    """Attempts of clients that gave up early used to fill the endpoints."""
     for may in (True, False):
         host = Host(settings(limits=Limits(may_cancel=may)), endpoints(4))
         call = host.order()
@@ -281,74 +281,74 @@
         assert host.balancer.calls == {}
 
 
-def test_repeat_whose_aim_has_passed_is_refused_unless_a_late_answer_pays() -> None:
-    """Found on simulated days: repeats that could earn nothing took a third of the endpoints' time."""
+def test_retry_past_its_aim_is_refused_unless_late_answers_have_worth() -> None:
+    """Worthless retries took a third of the endpoints' time."""
     for late_share, sent in ((0.0, False), (0.5, True)):
         host = Host(settings(classes=(replace(SAFE, late_share=late_share),)), endpoints(4))
         for _ in range(20):
-            host.reply(host.order(left=2 * S), Outcome.OK)
-        assert host.sends(host.order(left=2500 * MS))  # a repeat 0.5 s after the first try
-        late = host.order(left=1800 * MS)  # and one after 1.2 s, the aim being 1 s
+            host.reply(host.order(expires_in=2 * S), Outcome.OK)
+        assert host.sends(host.order(expires_in=2500 * MS))  # a retry 0.5 s after the first try
+        late = host.order(expires_in=1800 * MS)  # and one after 1.2 s, the aim being 1 s
         assert bool(host.sends(late)) is sent
         assert bool(host.answers(late)) is not sent
 
 
-def play_idle(host: Host, calls: int, dead_after_us: int) -> int:
-    """Calls spaced so that connections idle; those idle for too long stay silent. Returns how many did."""
+def run_with_idle_times(host: Host, calls: int, stale_after_us: int) -> int:
+    """Send calls with pauses; connections idle for too long do not answer. Returns how many did not."""
     used: dict[str, int] = {}
     silent = 0
     for i in range(calls):
         host.advance(100 * MS if i % 3 else 900 * MS)
-        mark = len(host.did)
-        call = host.order("pay", left=5 * S)
+        actions_before = len(host.did)
+        call = host.order("pay", expires_in=5 * S)
         if not host.sends(call):
             continue
-        where = host.sent[call][0]
-        fresh = ("close_idle", where) in host.did[mark:] or where not in used
-        if not fresh and host.now - used[where] > dead_after_us:
+        endpoint = host.sent[call][0]
+        fresh = ("close_idle", endpoint) in host.did[actions_before:] or endpoint not in used
+        if not fresh and host.now - used[endpoint] > stale_after_us:
             silent += 1
             host.advance(S)
             host.reply(call, Outcome.TIMEOUT, spent=S)
         else:
             host.advance(20 * MS)
             host.reply(call, Outcome.OK, spent=20 * MS)
-        used[where] = host.now
+        used[endpoint] = host.now
     return silent
 
 
-def test_idle_connections_that_stay_silent_are_closed_before_use() -> None:
-    """Found in an incident: a third of the calls into the last tier got no answer, whatever the endpoint."""
+def test_stale_idle_connections_are_closed_before_use() -> None:
+    """Silently dropped idle connections left a third of the calls to the last tier without an answer."""
     host = Host(settings(balancers=1), endpoints(4))
-    first, later = play_idle(host, 60, 700 * MS), play_idle(host, 300, 700 * MS)
+    first, later = run_with_idle_times(host, 60, 700 * MS), run_with_idle_times(host, 300, 700 * MS)
     assert first > 5
     assert later < first * 5 * 0.4
 
 
-def test_connections_that_answer_are_left_open() -> None:
+def test_answering_connections_stay_open() -> None:
     host = Host(settings(balancers=1), endpoints(4))
-    assert play_idle(host, 300, 99 * S) == 0
+    assert run_with_idle_times(host, 300, 99 * S) == 0
     assert not any(d[0] == "close_idle" for d in host.did)
 
 
-def test_free_classes_leave_the_endpoints_of_a_bound_class_to_it() -> None:
-    """Found on simulated days: a third of the endpoints, all that one class may use, were the slowest."""
+def test_other_classes_spare_the_endpoints_of_a_constrained_class() -> None:
+    """The endpoints that one class is restricted to were the slowest, as all other classes used them too."""
     listed = [e._replace(kind="fast" if i < 4 else "std") for i, e in enumerate(endpoints(12))]
-    bound = replace(SAFE, name="bound", served_on=frozenset(("fast",)))
-    host = Host(settings(classes=(SAFE, bound), balancers=1), listed)
-    free = []
+    constrained = replace(SAFE, name="bound", served_on=frozenset(("fast",)))
+    host = Host(settings(classes=(SAFE, constrained), balancers=1), listed)
+    free_sends = []
     for i in range(1200):
         call = host.order("bound" if i % 2 else "look")
         host.advance(10 * MS)
         if host.sends(call):
             host.reply(call, Outcome.OK, spent=10 * MS)
             if i % 2 == 0:
-                free.append(host.sent[call][0])
-    few = {e.id for e in listed[:4]}
-    assert sum(e in few for e in free[300:]) < 0.15 * len(free[300:])
+                free_sends.append(host.sent[call][0])
+    reserved = {e.id for e in listed[:4]}
+    assert sum(e in reserved for e in free_sends[300:]) < 0.15 * len(free_sends[300:])
 
 
-def test_call_whose_client_is_about_to_leave_is_refused_at_once() -> None:
-    """Danger: impatient clients repeat at once, and a try that cannot be answered in time is waste."""
+def test_call_with_too_little_time_left_is_refused_at_once() -> None:
+    """Work for a try that cannot be answered in time is wasted, and impatient clients retry at once."""
     host = Host(settings(balancers=1), endpoints(4))
     for _ in range(60):
         call = host.order()
@@ -356,17 +356,17 @@
         host.reply(call, Outcome.OK, spent=400 * MS)
     late = Host(settings(classes=(replace(SAFE, late_share=0.5),)), endpoints(4))
     for left in (-5, 0):
-        assert host.answers(host.order(left=left)) == ["shed"]
-        assert late.answers(late.order(left=left)) == ["shed"]
+        assert host.answers(host.order(expires_in=left)) == ["shed"]
+        assert late.answers(late.order(expires_in=left)) == ["shed"]
     for left in (100 * MS, 500 * MS):
-        for _ in range(120):  # until this is the time that most tries last, so that it tells no age
-            call = host.order(left=left)
+        for _ in range(120):  # until this is the usual timeout, and no sign of a retry
+            call = host.order(expires_in=left)
             host.answer_all(spent=400 * MS)
         assert bool(host.sends(call)) is (left == 500 * MS)
 
 
-def test_part_of_a_call_is_granted_part_of_the_time_while_crowded() -> None:
-    """Found in an incident: a whole call at each of 285 copies kept the first tier crowded for good."""
+def test_fractional_cap_is_rounded_at_random_under_congestion() -> None:
+    """Caps rounded up to one call at each of 285 instances kept the first tier congested for good."""
     for slack, most in ((0.0, 60), (1.0, 100)):
         host = Host(settings(balancers=40), endpoints(4))
         at_once = 0
@@ -381,7 +381,7 @@
         assert most - 40 <= at_once <= most
 
 
-def test_never_two_attempts_out_where_second_copies_are_forbidden() -> None:
+def test_never_two_attempts_in_flight_where_hedges_are_forbidden() -> None:
     limits = Limits(max_attempts=4, second_copies=False, may_cancel=True)
     host = Host(settings(balancers=1, limits=limits), endpoints(8))
     for _ in range(100):
@@ -396,24 +396,24 @@
     assert len(host.sends(call)) <= 2
 
 
-def test_cap_does_not_follow_the_crowd_that_it_lets_in() -> None:
-    """Found on case562: a cap rose from 16 to over 100 within minutes, and the latency doubled."""
+def test_cap_does_not_follow_the_queueing_that_it_causes() -> None:
+    """A baseline that followed queueing let a cap rise from 16 to over 100 within minutes."""
     limit = ConcurrencyLimit(0)
     limit.resize(2.0)
     for i in range(40_000):
-        limit.in_flight = int(limit.cap)  # there is always more to send
-        limit.observe(i * S, i * S, 0.2 * max(1.0, limit.cap / 15.0), S)  # past 15 calls, all is queueing
+        limit.in_flight = int(limit.cap)  # more calls are waiting
+        limit.observe(i * S, i * S, 0.2 * max(1.0, limit.cap / 15.0), S)  # above 15 calls: queueing
     assert 15.0 < limit.cap < 30.0
 
 
-def test_outermost_cap_opens_fast_and_only_until_the_first_sign_of_crowding() -> None:
-    """Found on the operators' days: a quarter of the calls were refused in the first ten seconds."""
+def test_outermost_cap_grows_fast_until_the_first_congestion() -> None:
+    """Slow growth after a start had a quarter of the calls refused in the first ten seconds."""
 
-    def grown(layer: int) -> float:
+    def growth(layer: int) -> float:
         limit = ConcurrencyLimit(layer)
         limit.resize(1.0)
         at = 0
-        while not limit.baseline:  # the first round: the cap binds, nothing is crowded
+        while not limit.baseline:  # the first round: the cap binds without congestion
             at += 50 * MS
             limit.in_flight = int(limit.cap)
             limit.observe(at, at - 1, 0.1, S)
@@ -424,12 +424,12 @@
             limit.observe(at, at - 1, 0.1, S)
         return limit.cap / before
 
-    assert grown(0) == pytest.approx(1.5)
-    assert grown(1) == pytest.approx(1.1)
+    assert growth(0) == pytest.approx(1.5)
+    assert growth(1) == pytest.approx(1.1)
 
     limit = ConcurrencyLimit(0)
     limit.resize(1.0)
-    for i in range(200):  # latencies rise by half: no cut yet, but no opening either
+    for i in range(200):  # latencies rise by half: no cut yet, but no fast growth
         limit.in_flight = int(limit.cap)
         limit.observe(i * 50 * MS, i * 50 * MS - 1, 0.1 if i < 60 else 0.17, S)
         if not limit.fast_growth:
@@ -437,47 +437,47 @@
     assert 60 < i < 200
 
 
-def test_silent_endpoint_is_ejected_although_its_calls_overlap() -> None:
-    """Found on case1319: a copy sent a hung endpoint eleven calls in five seconds and never ejected it."""
+def test_hung_endpoint_is_ejected_although_its_calls_overlap() -> None:
+    """Overlapping timeouts counted as one failure, so that a hung endpoint was never ejected."""
     host = Host(settings(balancers=1), endpoints(4))
-    silent = endpoints(1)[0].id
+    hung_endpoint = endpoints(1)[0].id
     out: list[tuple[int, str]] = []
     for _ in range(100):
         host.advance(50 * MS)
-        out.append((host.now, host.order("pay", left=5 * S)))
+        out.append((host.now, host.order("pay", expires_in=5 * S)))
         while host.now - out[0][0] >= 600 * MS:
             call = out.pop(0)[1]
             if call in host.sent:
-                ill = host.sent[call] == [silent]
-                host.reply(call, Outcome.TIMEOUT if ill else Outcome.OK, spent=600 * MS)
-    assert any(d[:2] == ("write_log", "ejected") and d[2]["endpoint"] == silent for d in host.did)
+                hung = host.sent[call] == [hung_endpoint]
+                host.reply(call, Outcome.TIMEOUT if hung else Outcome.OK, spent=600 * MS)
+    assert any(d[:2] == ("write_log", "ejected") and d[2]["endpoint"] == hung_endpoint for d in host.did)
 
 
-def test_mute_endpoint_is_avoided_and_leaves_at_its_first_time_out() -> None:
-    """Found on case562: each copy lost two calls and more to every hung endpoint before it ejected it."""
-    host = warmed("pay")
+def test_hung_endpoint_is_avoided_and_ejected_at_its_first_timeout() -> None:
+    """Each instance lost two or more calls to every hung endpoint before it ejected it."""
+    host = host_with_latencies("pay")
     first = host.order("pay")
-    mute = host.sent[first][0]
+    hung = host.sent[first][0]
     host.advance(500 * MS)
     busy = [host.order("pay") for _ in range(24)]
-    assert not any(host.sent[call] == [mute] for call in busy if call in host.sent)
+    assert not any(host.sent[call] == [hung] for call in busy if call in host.sent)
     for call in busy:
         if call in host.sent:
             host.reply(call, Outcome.OK, spent=20 * MS)
     host.advance(1500 * MS)
     host.reply(first, Outcome.TIMEOUT, spent=2 * S)
-    assert host.balancer.endpoints[mute].ejected_until > host.now
+    assert host.balancer.endpoints[hung].ejected_until > host.now
 
 
-def test_endpoint_that_turns_all_away_is_left_alone_and_does_not_close_the_cap() -> None:
-    """Found on a day of the large fleet: copies that did not hear of a drain sent it two calls in three."""
+def test_endpoint_that_rejects_calls_is_backed_off_and_does_not_lower_the_cap() -> None:
+    """Instances with a stale list sent two calls in three to a draining endpoint, which looked idle."""
     for outcome in (Outcome.FULL, Outcome.CONNECT_FAILED):
         host = Host(settings(balancers=1, tenants=()), endpoints(3))
-        closed = endpoints(1)[0].id
+        rejecting = endpoints(1)[0].id
         cap = host.balancer.placements[0].pools[0].limit.cap
         for _ in range(300):
-            call = host.order("pay", tenant="", left=5 * S)
-            while call in host.sent and host.sent[call][-1] == closed:
+            call = host.order("pay", tenant="", expires_in=5 * S)
+            while call in host.sent and host.sent[call][-1] == rejecting:
                 number = len(host.sent[call])
                 host.reply(call, outcome, spent=2 * MS)
                 if len(host.sent[call]) == number:
@@ -485,17 +485,17 @@
             host.advance(20 * MS)
             if call in host.balancer.calls:
                 host.reply(call, Outcome.OK, spent=20 * MS)
-        assert sum(d[2] == closed for d in host.sends()) < 15
+        assert sum(d[2] == rejecting for d in host.sends()) < 15
         assert host.balancer.placements[0].pools[0].limit.cap >= cap
         host.balancer.discovery(host.now, ListForm.FULL, endpoints(3, launched=host.now - 20 * S))
         sent = len(host.sends())
         for _ in range(30):
-            call = host.order("pay", tenant="", left=5 * S)
+            call = host.order("pay", tenant="", expires_in=5 * S)
             host.reply(call, Outcome.OK, spent=20 * MS)
-        assert any(d[2] == closed for d in host.sends()[sent:])  # a new process is taken at once
+        assert any(d[2] == rejecting for d in host.sends()[sent:])  # a new process gets calls at once
 
 
-def test_time_out_at_an_endpoint_that_answers_others_is_one_failure_among_them() -> None:
+def test_timeout_at_an_answering_endpoint_is_one_failure() -> None:
     host = Host(settings(balancers=1), endpoints(1))
     for _ in range(100):
         call = host.order("pay")
@@ -510,20 +510,20 @@
     assert 0.0 < host.balancer.endpoints[host.sent[first][0]].failing < EJECT_SHARE
 
 
-def test_attempt_waits_no_longer_than_its_answer_has_worth() -> None:
-    """Found on case1319: calls long past their aim filled the cap, at silent endpoints behind sound ones."""
+def test_attempt_waits_only_while_its_answer_has_worth() -> None:
+    """Calls past their aim used to fill the cap, waiting for hung endpoints behind healthy ones."""
     late = replace(UNSAFE, name="late", late_share=0.5)
     host = Host(settings(classes=(SAFE, UNSAFE, late)), endpoints(4))
-    call = host.order("pay", left=5 * S)
+    call = host.order("pay", expires_in=5 * S)
     assert [d[3] for d in host.sends(call)] == [UNSAFE.aim_us]
     host.advance(UNSAFE.aim_us)
     host.reply(call, Outcome.TIMEOUT, spent=UNSAFE.aim_us)
     assert host.answers(call) == ["surrender"]
-    assert [d[3] for d in host.sends(host.order("late", left=5 * S))] == [5 * S]
+    assert [d[3] for d in host.sends(host.order("late", expires_in=5 * S))] == [5 * S]
 
 
-def test_copy_with_few_near_endpoints_counts_on_the_far_for_the_rest_of_its_part() -> None:
-    """Found on case9367: one near endpoint was crowded while three in zones without callers sat idle."""
+def test_instance_with_few_near_endpoints_uses_far_ones_for_the_rest() -> None:
+    """One near endpoint was congested while three in zones without callers were idle."""
     listed = endpoints(1) + endpoints(3, zone="west", start=4)
     host = Host(settings(balancers=2, tenants=()), listed)
     for _ in range(60):
@@ -534,8 +534,8 @@
     assert INITIAL_CALLS <= len(host.sends()) - len(near) <= INITIAL_CALLS + 2
 
 
-def test_cold_endpoint_gets_what_the_rule_lets_it_have() -> None:
-    """Found on days of the large fleet: cold endpoints had hardly a call while warm ones tipped over."""
+def test_cold_endpoint_gets_its_permitted_share() -> None:
+    """Cold endpoints got hardly any calls while warm ones were overloaded."""
     rules = Rules(cold_us=1000 * S, cold_from=0.4, overload_factor=1.0)
     host = Host(settings(balancers=1, tenants=(), rules=rules), endpoints(2))
     cold = endpoints(1, start=2, launched=host.now)
@@ -543,45 +543,46 @@
     out: list[str] = []
     for _ in range(2000):
         host.advance(20 * MS)
-        out.append(host.order(tenant="", left=3 * S))
-        if len(out) > 2:  # few calls out, as a copy of a large fleet has
+        out.append(host.order(tenant="", expires_in=3 * S))
+        if len(out) > 2:  # few calls in flight, as at an instance of a large fleet
             host.reply(out.pop(0), Outcome.OK, spent=100 * MS)
     share = sum(d[2] == cold[0].id for d in host.sends()) / len(host.sends())
-    budget = COLD_SHARE * rules.cold_from  # of an even part
+    budget = COLD_SHARE * rules.cold_from  # of an even share
     assert 0.6 * budget / 3 < share < 1.05 * budget / 3
 
 
-def test_endpoint_that_tipped_over_is_avoided_and_comes_back_by_trial() -> None:
-    """Found on a day of the large fleet: endpoints that had tipped over got 30 calls a second for good."""
+def test_overloaded_endpoint_is_avoided_and_returns_after_a_trial() -> None:
+    """Overloaded endpoints that no longer recover by themselves used to get 30 calls per second for good."""
     host = Host(settings(balancers=1, tenants=()), endpoints(3))
-    tipped = endpoints(1)[0].id
+    overloaded = endpoints(1)[0].id
     out: list[tuple[int, str]] = []
 
     def second(down: bool) -> list[str]:
-        """One second of 50 calls of 0.4 of the aim each; returns where they went."""
+        """One second of 50 calls that take 0.4 of the aim; returns their endpoints."""
         before = len(host.sends())
         for _ in range(50):
             host.advance(20 * MS)
-            out.append((host.now, host.order("pay", tenant="", left=5 * S)))
+            out.append((host.now, host.order("pay", tenant="", expires_in=5 * S)))
             for at, call in list(out):
-                ill = down and host.sent.get(call, [""])[-1] == tipped
-                if host.now - at >= (2000 if ill else 800) * MS:
+                hung = down and host.sent.get(call, [""])[-1] == overloaded
+                if host.now - at >= (2000 if hung else 800) * MS:
                     out.remove((at, call))
                     if call in host.balancer.calls and call in host.sent:
-                        host.reply(call, Outcome.TIMEOUT if ill else Outcome.OK, spent=host.now - at)
+                        host.reply(call, Outcome.TIMEOUT if hung else Outcome.OK, spent=host.now - at)
         return [d[2] for d in host.sends()[before:]]
 
     for _ in range(5):
-        assert tipped in second(down=False)
+        assert overloaded in second(down=False)
     for _ in range(5):
         second(down=True)
-    assert 5 <= sum(second(down=True).count(tipped) for _ in range(30)) <= 8  # single trials, evenly spaced
-    assert sum(second(down=False).count(tipped) for _ in range(30)) > 30  # back once it serves
+    # Single trials, evenly spaced.
+    assert 5 <= sum(second(down=True).count(overloaded) for _ in range(30)) <= 8
+    assert sum(second(down=False).count(overloaded) for _ in range(30)) > 30  # in use again once it answers
 
 
-def test_caps_follow_the_capacity_that_is_left_near_and_far() -> None:
-    """Found on days of the large fleet: copies pushed over the one endpoint left near, or refused beside idle
-    far ones when their zone came back cold."""
+def test_caps_follow_the_remaining_capacity_near_and_far() -> None:
+    """Instances overloaded the one near endpoint that was left, or refused calls although far ones were idle
+    when their own zone returned cold."""
     far = endpoints(6, zone="west", start=6)
     host = Host(settings(balancers=6, tenants=()), endpoints(6) + far)
     near_limit, far_limit = (pool.limit for pool in host.balancer.placements[0].pools[:2])
@@ -591,7 +592,7 @@
     assert near_limit.cap == pytest.approx(10.0)
     assert far_limit.cap > 6.0
     host.balancer.discovery(host.now, ListForm.DELTA, endpoints(4, launched=host.now))
-    assert 10.0 < near_limit.cap < 16.0  # a fifth of four: the least that cold ones can do
+    assert 10.0 < near_limit.cap < 16.0  # four cold endpoints count as a fifth of a warm one each
     for _ in range(25):
         host.advance(500 * MS)
         host.answer_all()
@@ -600,10 +601,10 @@
     assert far_limit.cap == pytest.approx(6.0)
 
 
-def test_state_line_tells_why_calls_were_given_up() -> None:
-    """Nothing in the logs of the recorded days told a refusal by the queue from one by an endpoint."""
+def test_state_log_line_counts_unserved_calls_by_reason() -> None:
+    """Logs must tell a refusal by the queue from one by an endpoint."""
     host = Host(entries=endpoints(4))
-    held_calls(host, 2)
+    fill_until_held(host, 2)
     host.advance(120 * MS + SOJOURN_INTERVAL_US + 25 * MS)
     host.order()
     host.advance(6 * S)
@@ -615,45 +616,45 @@
     assert "near 4 endpoints, cap 6.0" in lines[0]["pools"]
 
 
-def test_successor_starts_with_caps_and_ejections_of_the_process_before_it() -> None:
-    """Found on the operators' days: at each upgrade a dozen calls went to an endpoint that hangs."""
+def test_new_process_takes_over_caps_and_ejections() -> None:
+    """At each upgrade the new process used to send a dozen calls to a hung endpoint."""
     first = Host(settings(balancers=1), endpoints(4))
     limit = first.balancer.placements[0].pools[0].limit
     limit.cap, limit.baseline, limit.median = 40.0, 0.1, 0.15
-    silent = endpoints(1)[0].id
+    hung = endpoints(1)[0].id
     for _ in range(30):
         call = first.order("look")
         first.advance(50 * MS)
-        outcome = Outcome.TIMEOUT if first.sent[call][-1] == silent else Outcome.OK
+        outcome = Outcome.TIMEOUT if first.sent[call][-1] == hung else Outcome.OK
         first.reply(call, outcome, spent=50 * MS)
-        if silent in first.balancer.hosts_down(first.now):
+        if hung in first.balancer.hosts_down(first.now):
             break
-    assert first.balancer.hosts_down(first.now) == [silent]
-    told = first.balancer.learned(first.now)
-    assert first.balancer.learned(first.now) == told  # reading changes nothing
+    assert first.balancer.hosts_down(first.now) == [hung]
+    memory = first.balancer.learned(first.now)
+    assert first.balancer.learned(first.now) == memory  # reading changes nothing
 
-    second = Host(settings(balancers=1), endpoints(2))  # and two of the endpoints have gone meanwhile
-    second.balancer.recall(second.now, told)
+    second = Host(settings(balancers=1), endpoints(2))  # two of the endpoints are gone meanwhile
+    second.balancer.recall(second.now, memory)
     own = second.balancer.placements[0].pools[0].limit
     assert own.cap == pytest.approx(20.0)
     assert (own.baseline, own.fast_growth) == (limit.baseline, False)
-    assert second.balancer.hosts_down(second.now) == [silent]
+    assert second.balancer.hosts_down(second.now) == [hung]
     calls = [second.order("look") for _ in range(5)]
-    assert all(silent not in second.sent[call] for call in calls)
+    assert all(hung not in second.sent[call] for call in calls)
 
     restarted = [entry._replace(launched_us=5_000_000) for entry in endpoints(2)]
     third = Host(settings(balancers=1), restarted)
-    third.balancer.recall(third.now, told)
+    third.balancer.recall(third.now, memory)
     assert third.balancer.hosts_down(third.now) == []
 
 
-def test_site_without_tenants_has_no_shares_that_calls_could_be_over() -> None:
-    """Found on another customer's calm day: under light stress two calls in five were refused so."""
+def test_without_tenants_no_call_is_over_its_share() -> None:
+    """Without tenants, light stress had two calls in five refused as over their share."""
     for tenants in ((), (Tenant("small", 1.0, 0.0),)):
         host = Host(settings(balancers=1, tenants=tenants), endpoints(20))
         host.balancer.ratio.value, host.balancer.ratio.next_update = 0.5, host.now + 60 * S  # under stress
         calls = []
-        for _ in range(60):  # far more than was served in the windows before
+        for _ in range(60):  # far more than were served in the windows before
             calls.append(host.order("hold", tenant="small" if tenants else ""))
             host.advance(5 * MS)
             host.answer_all(spent=20 * MS)
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -1,4 +1,4 @@
-"""Settings of other customers: whatever stands there is served, or refused in one plain line at the start."""
+"""Any sidecar configuration is either served or rejected at the start with a one-line error."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Recorder:
-    """Carries out actions by writing them down."""
+    """Records sends and timers; ignores other actions."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, str]] = []
@@ -32,28 +32,26 @@
 
 
 def key_paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    members = (
-        value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
-    )
-    for key, member in members:
+    items = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
+    for key, member in items:
         yield (*path, key)
         yield from key_paths(member, (*path, key))
 
 
-def changed(document: Any, path: tuple[Any, ...], value: Any) -> Any:
+def with_value(document: Any, path: tuple[Any, ...], value: Any) -> Any:
     document = copy.deepcopy(document)
-    place = document
+    container = document
     for key in path[:-1]:
-        place = place[key]
+        container = container[key]
     if value is MISSING:
-        del place[path[-1]]
+        del container[path[-1]]
     else:
-        place[path[-1]] = value
+        container[path[-1]] = value
     return document
 
 
-def serve_a_while(config: Config) -> None:
-    """Some calls of each class, each answered or failed, and the timers that they set."""
+def serve_calls(config: Config) -> None:
+    """Send calls of each class, answer or reset them, and fire the timers that they set."""
     actions = Recorder()
     balancer = Balancer(config.settings, config.seed, actions)
     now = 1_000_000_000
@@ -79,8 +77,8 @@
 EXTREMES = [MISSING, None, 0, -1, 1, 10**18, 10**30, 1e-9, 1e300, "", "x", [], {}, [None]]
 
 
-def test_settings_of_any_customer_are_served_or_refused_in_one_plain_line(tmp_path: Path) -> None:
-    """Each key of a whole configuration is missing, empty, extreme or of another kind."""
+def test_any_configuration_is_served_or_rejected_in_one_line(tmp_path: Path) -> None:
+    """Each key of a complete configuration is missing, empty, extreme or of another type."""
     rows = [row("s-0", "127.0.0.1:80"), row("s-1", "127.0.0.1:81")]
     known = {"generation": 1, "reset": True, "instances": rows}
     document = {
@@ -102,16 +100,16 @@
         },
     }
     path = tmp_path / "config.json"
-    served = refused = 0
-    for place in key_paths(document):
+    served = rejected = 0
+    for key_path in key_paths(document):
         for value in EXTREMES:
-            path.write_text(json.dumps(changed(document, place, value)), encoding="utf-8")
+            path.write_text(json.dumps(with_value(document, key_path, value)), encoding="utf-8")
             try:
                 config = load({"GW_CONFIG": str(path)})
             except ConfigError as error:
                 assert "\n" not in str(error)
-                refused += 1
+                rejected += 1
             else:
-                serve_a_while(config)
+                serve_calls(config)
                 served += 1
-    assert served > 100 and refused > 100
+    assert served > 100 and rejected > 100
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, each tried without a bench."""
+"""The site's rules: final answers, repeated execution, drains, cold endpoints and placement."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 # --- rule 1: exactly one final answer, in time ---
 
 
-def fill(host: Host, grade: str = "look") -> list[str]:
-    """Send calls until one is held."""
+def fill_until_held(host: Host, grade: str = "look") -> list[str]:
+    """Send calls until one is held; the last one returned is held."""
     calls: list[str] = []
     while not calls or host.sends(calls[-1]):
         calls.append(host.order(grade))
@@ -35,9 +35,9 @@
     return calls
 
 
-def test_held_call_is_answered_before_its_try_ends() -> None:
+def test_held_call_is_answered_before_its_timeout() -> None:
     host = Host(entries=endpoints(4))
-    held = fill(host)[-1]
+    held = fill_until_held(host)[-1]
     host.advance(3 * S - 20 * MS)
     assert host.answers(held) == ["shed"]
     host.advance(5 * S)
@@ -46,15 +46,15 @@
 
 def test_held_call_with_little_time_is_refused_early() -> None:
     host = Host(entries=endpoints(4))
-    fill(host)
-    short = host.order(left=200 * MS)
+    fill_until_held(host)
+    short = host.order(expires_in=200 * MS)
     host.advance(180 * MS)
     assert host.answers(short) == ["shed"]
 
 
-def test_held_call_is_sent_when_room_comes() -> None:
+def test_held_call_is_sent_when_there_is_room() -> None:
     host = Host(entries=endpoints(4))
-    calls = fill(host)
+    calls = fill_until_held(host)
     host.reply(calls[0], Outcome.OK)
     assert host.sends(calls[-1])
     assert host.answers(calls[-1]) == []
@@ -62,14 +62,14 @@
 
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
     host = Host(entries=endpoints(4))
-    call = host.order("pay", left=2 * S)
+    call = host.order("pay", expires_in=2 * S)
     host.advance(2 * S)
     host.reply(call, Outcome.TIMEOUT, spent=2 * S)
     assert host.answers(call) == ["surrender"]
 
 
 @pytest.mark.parametrize("state", ["none", "draining"])
-def test_without_an_endpoint_each_call_is_refused_in_time(state: str) -> None:
+def test_without_endpoints_each_call_is_refused_in_time(state: str) -> None:
     host = Host(entries=endpoints(3) if state == "draining" else [])
     drained = [e._replace(readiness=Readiness.DRAINING) for e in endpoints(3)]
     if state == "draining":
@@ -82,7 +82,7 @@
 
 def test_expired_call_is_dropped_and_late_events_for_it_are_ignored() -> None:
     host = Host(entries=endpoints(4))
-    calls = fill(host)
+    calls = fill_until_held(host)
     for call in (calls[0], calls[-1]):
         host.balancer.expired(host.now, call)
         host.balancer.expired(host.now, call)
@@ -93,7 +93,7 @@
     assert host.balancer.placements[0].pools[0].limit.in_flight == len(calls) - 2
 
 
-def test_second_request_with_a_live_id_is_an_error() -> None:
+def test_second_request_with_an_active_id_is_an_error() -> None:
     host = Host(entries=endpoints(4))
     call = host.order()
     with pytest.raises(RuntimeError):
@@ -103,11 +103,11 @@
 @given(
     st.lists(st.tuples(st.sampled_from(["look", "hold", "pay"]), st.sampled_from(list(Outcome))), max_size=60)
 )
-def test_every_call_gets_one_answer_whatever_the_outcomes(story: list[tuple[str, Outcome]]) -> None:
+def test_every_call_gets_one_answer_whatever_the_outcomes(steps: list[tuple[str, Outcome]]) -> None:
     host = Host(entries=endpoints(6))
     served: set[str] = set()
     calls = []
-    for grade, outcome in story:
+    for grade, outcome in steps:
         call = host.order(grade)
         calls.append(call)
         while host.sends(call) and call not in served and not host.answers(call):
@@ -115,7 +115,7 @@
             host.reply(call, outcome)
             if outcome is Outcome.OK:
                 served.add(call)
-    for _ in range(60):  # what was held while its endpoints rested goes out now
+    for _ in range(60):  # calls held while their endpoints were backed off are sent now
         host.advance(100 * MS)
         late = [c for c in calls if c in host.sent and c in host.balancer.calls]
         host.answer_all()
@@ -125,19 +125,21 @@
     assert host.balancer.calls == {}
 
 
-# --- rule 2: no effect twice ---
+# --- rule 2: no request is executed twice against its class ---
 
 
 @given(st.sampled_from(Effect), st.sampled_from(Group), st.booleans())
-def test_refusing_is_legal_only_where_a_retry_is_harmless(effect: Effect, group: Group, ran: bool) -> None:
-    harmless = not ran or effect is Effect.IDEMPOTENT
+def test_refusal_is_allowed_only_where_a_retry_is_harmless(
+    effect: Effect, group: Group, may_have_run: bool
+) -> None:
+    harmless = not may_have_run or effect is Effect.IDEMPOTENT
     harmless = harmless or (effect is Effect.DEDUPLICATED and group is Group.ALL)
     grade = replace(SAFE, effect=effect, group=group)
-    assert may_refuse(grade, ran) is harmless
+    assert may_refuse(grade, may_have_run) is harmless
 
 
 @pytest.mark.parametrize(
-    ("effect", "group", "after", "to", "legal"),
+    ("effect", "group", "after", "to", "allowed"),
     [
         (Effect.IDEMPOTENT, Group.ALL, 99 * S, ("west", 9), True),
         (Effect.AT_MOST_ONCE, Group.ALL, 0, ("east", 1), False),
@@ -150,17 +152,17 @@
         (Effect.DEDUPLICATED, Group.CELL, 2 * S + 1, ("east", 1), False),
     ],
 )
-def test_resending_keeps_to_group_and_window(
-    effect: Effect, group: Group, after: int, to: tuple[str, int], legal: bool
+def test_resending_respects_group_and_window(
+    effect: Effect, group: Group, after: int, to: tuple[str, int], allowed: bool
 ) -> None:
     grade = replace(SAFE, effect=effect, group=group, dedup_window_us=2 * S)
-    assert may_resend(grade, FirstRun(0, "east", 1), after, *to) is legal
+    assert may_resend(grade, FirstRun(0, "east", 1), after, *to) is allowed
     assert may_resend(grade, None, after, *to) is True
 
 
 @pytest.mark.parametrize("grade", ["look", "hold", "pay"])
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o not in (Outcome.OK, Outcome.NOT_SENT)])
-def test_after_each_outcome_the_next_step_is_legal(grade: str, outcome: Outcome) -> None:
+def test_after_each_outcome_the_next_step_is_allowed(grade: str, outcome: Outcome) -> None:
     host = Host(entries=endpoints(8))
     call = host.order(grade)
     for _ in range(4):
@@ -199,17 +201,17 @@
     assert len(host.sent[call]) == 2
 
 
-# --- rule 3: drains ---
+# --- rule 3: draining endpoints ---
 
 
-@pytest.mark.parametrize("news", ["draining", "gone", "absent"])
-def test_nothing_goes_to_an_endpoint_that_leaves(news: str) -> None:
+@pytest.mark.parametrize("change", ["draining", "gone", "absent"])
+def test_no_call_is_sent_to_a_leaving_endpoint(change: str) -> None:
     host = Host(entries=endpoints(4))
     leaving, staying = endpoints(4)[:3], endpoints(4)[3:]
-    if news == "absent":
+    if change == "absent":
         host.balancer.discovery(host.now, ListForm.FULL, staying)
     else:
-        state = Readiness(news)
+        state = Readiness(change)
         host.balancer.discovery(host.now, ListForm.DELTA, [e._replace(readiness=state) for e in leaving])
     for _ in range(200):
         call = host.order()
@@ -221,8 +223,8 @@
 # --- rule 4: cold endpoints ---
 
 
-def cold_share(host: Host, cold: set[str], calls: int) -> tuple[float, float]:
-    """Sends per cold and per warm endpoint, each call answered before the next comes."""
+def sends_per_endpoint(host: Host, cold: set[str], calls: int) -> tuple[float, float]:
+    """Sends per cold and per warm endpoint; each call is answered before the next one."""
     for _ in range(calls):
         call = host.order()
         if host.sends(call):
@@ -234,8 +236,8 @@
 
 
 @pytest.mark.parametrize("number", [2, 15])
-def test_all_copies_together_send_a_cold_endpoint_its_part(number: int) -> None:
-    """Sixty copies with a few calls each: the bound is on their sum, with few cold and with most cold."""
+def test_all_instances_together_send_a_cold_endpoint_its_share(number: int) -> None:
+    """The bound applies to the sum of sixty instances with a few calls each, with few or most cold."""
     now = 1_000_000_000
     listed = endpoints(20)
     fresh = [e._replace(launched_us=now) if i < number else e for i, e in enumerate(listed)]
@@ -243,14 +245,14 @@
     to_cold = to_warm = 0.0
     for rank in range(60):
         host = Host(settings(rank=rank, balancers=60), fresh, seed=rank, now=now)
-        a, b = cold_share(host, cold, 30)
-        to_cold, to_warm = to_cold + a, to_warm + b
-    # cold_from is 0.2: twice that leaves room for chance and stays far below the factor 2.5 times 0.2
+        cold_sends, warm_sends = sends_per_endpoint(host, cold, 30)
+        to_cold, to_warm = to_cold + cold_sends, to_warm + warm_sends
+    # cold_from is 0.2: twice that allows for chance and is below the bound of 2.5 times 0.2
     assert to_cold < 0.4 * to_warm
 
 
-def test_endpoints_that_all_restart_get_a_part_of_their_usual_calls_from_all_copies() -> None:
-    """Danger: with nothing warm to draw, redraws and held calls would send cold endpoints everything."""
+def test_endpoints_that_all_restart_get_a_share_of_their_usual_calls() -> None:
+    """Without warm endpoints, repeated draws and held calls would send all load to cold ones."""
     warm = cold = 0
     for rank in range(40):
         host = Host(settings(rank=rank, balancers=40), endpoints(10), seed=rank)
@@ -264,7 +266,7 @@
                 host.answer_all()
                 assert host.sends(call) or second >= 20
         cold += len(host.sends())
-    # In the three seconds that follow: half of 2.5 times 0.2 to 0.44 of the usual, and some for chance.
+    # In the next three seconds: half of 2.5 times 0.2 to 0.44 of the usual load, and a margin for chance.
     assert cold - warm < 0.6 * warm * 3 / 20
 
 
@@ -272,7 +274,7 @@
     host = Host(entries=endpoints(20))
     again = endpoints(1, launched=host.now)
     host.balancer.discovery(host.now, ListForm.DELTA, again)
-    to_cold, to_warm = cold_share(host, {again[0].id}, 2000)
+    to_cold, to_warm = sends_per_endpoint(host, {again[0].id}, 2000)
     assert to_cold < 0.4 * to_warm
 
 
@@ -297,21 +299,21 @@
 
 
 @given(ROWS, st.lists(STEPS, max_size=60))
-def test_no_send_leaves_the_endpoints_open_to_its_class(
-    rows: list[tuple[int, str, str, str]], story: list[tuple[str, Any]]
+def test_calls_go_only_to_endpoints_open_to_their_class(
+    rows: list[tuple[int, str, str, str]], steps: list[tuple[str, Any]]
 ) -> None:
-    """First sends, retries and second copies, over lists that change, restarts and every outcome."""
+    """First attempts, retries and hedges, with changing lists, restarts and every outcome."""
     classes = {c.name: c for c in (SAFE, BOUND, FAST, NOWHERE)}
     host = Host(settings(classes=tuple(classes.values()), balancers=1))
     grades: dict[str, str] = {}
     served: set[str] = set()
-    places: dict[str, tuple[str, str]] = {}
+    placements: dict[str, tuple[str, str]] = {}
 
     def listed(form: ListForm, lines: list[tuple[int, str, str, str]]) -> None:
         entries = []
         for number, zone, kind, state in lines:
             name = f"10.0.{number}.1:80"
-            zone, kind = places.setdefault(name, (zone, kind))  # a machine does not move
+            zone, kind = placements.setdefault(name, (zone, kind))  # a machine does not move
             entries.append(Endpoint(name, zone, kind, number % 4, Readiness(state), 1.0, host.now))
         host.balancer.discovery(host.now, form, entries)
 
@@ -324,7 +326,7 @@
                     host.reply(call, outcome, attempt=attempt, closed=closed)
 
     listed(ListForm.FULL, rows)
-    for step, value in story:
+    for step, value in steps:
         if step == "order":
             grades[host.order(value)] = value
         elif step == "reply":
@@ -339,15 +341,15 @@
         host.advance(4 * S)
     for _, call, endpoint, _ in host.sends():
         grade = classes[grades[call]]
-        zone, kind = places[endpoint]
+        zone, kind = placements[endpoint]
         assert grade.stays_in is None or zone in grade.stays_in
         assert grade.served_on is None or kind in grade.served_on
     for call in grades:
         assert len(host.answers(call)) + (call in served) == 1
 
 
-def test_class_bound_to_few_endpoints_reaches_all_of_them_from_all_copies() -> None:
-    """Danger: filtering a subset drawn from all endpoints leaves the same few, or none, to every copy."""
+def test_constrained_class_uses_all_its_endpoints_over_all_instances() -> None:
+    """Filtering a subset of all endpoints would leave the same few, or none, to every instance."""
     listed = [e._replace(kind="fast" if i % 8 == 0 else "std") for i, e in enumerate(endpoints(160))]
     hits: Counter[str] = Counter()
     for rank in range(40):
@@ -360,7 +362,7 @@
     assert max(hits.values()) < 2 * 40
 
 
-def test_bound_class_waits_and_is_refused_in_time_while_its_endpoints_are_gone() -> None:
+def test_constrained_class_is_refused_in_time_without_endpoints() -> None:
     host = Host(settings(classes=(SAFE, BOUND)), endpoints(4))
     call = host.order("bound")
     host.advance(3 * S)
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""The adapter: framing, settings, bad input, determinism."""
+"""The simulator's adapter: framing, settings, malformed input, determinism."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def setup(**changes: Any) -> dict[str, Any]:
-    """A deployment written for these tests."""
+    """A Setup object for these tests."""
     made: dict[str, Any] = {
         "Allowed": {"MaxAttempts": 3, "ConnIdleUs": 9000000, "MayCancel": True, "Novelty": 7},
         "Balancers": 2,
@@ -61,31 +61,31 @@
 ]
 
 
-def play(lines: list[str]) -> list[str]:
+def run_adapter(lines: list[str]) -> list[str]:
     sink = io.StringIO()
     WireHost(io.StringIO("".join(line + "\n" for line in lines)), sink).run()
     return sink.getvalue().splitlines()
 
 
-def test_several_instances_and_a_page_reused_within_a_batch() -> None:
+def test_several_instances_and_a_manifest_number_reused_within_a_batch() -> None:
     batch = [
         "sync 2000",
         "order sidecar_0 00000000000000aa look first - 500000 - 0",
         "order sidecar_1 00000000000000bb book - k-1 500000 900 1",
         "over_to_you",
     ]
-    said = play(START + batch)
-    assert "tail sidecar_1 1" in said
-    assert not any(line.startswith("tail sidecar_0") for line in said)
-    sends = [line.split(" ") for line in said if line.startswith("hand_off")]
+    output = run_adapter(START + batch)
+    assert "tail sidecar_1 1" in output
+    assert not any(line.startswith("tail sidecar_0") for line in output)
+    sends = [line.split(" ") for line in output if line.startswith("hand_off")]
     assert [s[1:3] for s in sends] == [["sidecar_0", "00000000000000aa"], ["sidecar_1", "00000000000000bb"]]
     assert sends[0][3] in ("10.0.0.1:80", "10.0.0.2:80")
     assert sends[1][3] == "10.0.0.9:80"
-    assert said.count("finished") == 2
+    assert output.count("finished") == 2
 
 
-def test_every_event_is_taken_and_stop_then_start_forgets() -> None:
-    said = play(
+def test_every_event_is_accepted_and_a_restart_clears_the_state() -> None:
+    output = run_adapter(
         [
             *START,
             "sync 3000",
@@ -104,15 +104,15 @@
             "over_to_you",
         ]
     )
-    assert sum(line.startswith("hand_off sidecar_0 00000000000000aa") for line in said) == 2
-    assert any(line.startswith("timer sidecar_1") for line in said)
-    assert not any(line.startswith("broken") for line in said)
+    assert sum(line.startswith("hand_off sidecar_0 00000000000000aa") for line in output) == 2
+    assert any(line.startswith("timer sidecar_1") for line in output)
+    assert not any(line.startswith("broken") for line in output)
 
 
-def test_exception_in_the_module_is_told() -> None:
+def test_exception_in_the_balancer_is_reported() -> None:
     twice = ["order sidecar_0 00000000000000aa look - - 500000 - 0"] * 2
-    said = play([*START, "sync 2000", *twice, "over_to_you"])
-    assert any(line.startswith("broken sidecar_0 RuntimeError: request 00000000000000aa") for line in said)
+    output = run_adapter([*START, "sync 2000", *twice, "over_to_you"])
+    assert any(line.startswith("broken sidecar_0 RuntimeError: request 00000000000000aa") for line in output)
 
 
 @pytest.mark.parametrize(
@@ -136,14 +136,14 @@
 )
 def test_malformed_input_names_line_and_reason(line: str, reason: str) -> None:
     text = "".join(part + "\n" for part in [*START, "sync 2000", line, "over_to_you"])
-    ended = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "eiderhub.wirehost"], input=text, capture_output=True, text=True, check=False
     )
-    assert ended.returncode == 1
-    assert len(ended.stderr.splitlines()) == 1
-    assert f"line {len(START) + 2}" in ended.stderr
-    assert reason in ended.stderr
-    assert ended.stdout.splitlines()[-1] == "finished"
+    assert finished.returncode == 1
+    assert len(finished.stderr.splitlines()) == 1
+    assert f"line {len(START) + 2}" in finished.stderr
+    assert reason in finished.stderr
+    assert finished.stdout.splitlines()[-1] == "finished"
 
 
 @pytest.mark.parametrize(
@@ -151,14 +151,14 @@
 )
 def test_truncated_batch_is_an_error(cut: list[str]) -> None:
     with pytest.raises(WireError, match="ends inside"):
-        play(START + cut)
+        run_adapter(START + cut)
 
 
-def test_end_of_input_is_a_good_end() -> None:
-    ended = subprocess.run(
+def test_end_of_input_exits_successfully() -> None:
+    finished = subprocess.run(
         [sys.executable, "-m", "eiderhub.wirehost"], input="", capture_output=True, text=True, check=False
     )
-    assert (ended.returncode, ended.stdout, ended.stderr) == (0, "", "")
+    assert (finished.returncode, finished.stdout, finished.stderr) == (0, "", "")
 
 
 def test_actions_do_not_depend_on_hash_order() -> None:
@@ -184,7 +184,7 @@
     assert len(outputs) == 1
 
 
-def test_settings_are_read_and_unknown_keys_skipped() -> None:
+def test_settings_are_read_and_unknown_keys_ignored() -> None:
     read = settings_from(setup())
     assert read.classes[1].effect is Effect.DEDUPLICATED
     assert read.classes[1].group is Group.ZONE
@@ -220,6 +220,6 @@
         ({"Discovery": "guess"}, "Discovery"),
     ],
 )
-def test_impossible_settings_name_their_key(changes: dict[str, Any], key: str) -> None:
+def test_invalid_settings_name_their_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ValueError, match=key):
         settings_from(setup(**changes))
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones: verdicts, leaving and returning. Endpoints here answer, fail or fall silent as their zone does."""
+"""Zone failover: evidence, evacuation and return. Endpoints answer, fail or hang as their zone does."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
     return [e for i, zone in enumerate(zones) for e in endpoints(PER_ZONE, zone=zone, start=PER_ZONE * i)]
 
 
-class Play(Host):
-    """Calls at a steady rate, and endpoints that make of them what their zone is."""
+class ZoneHost(Host):
+    """A host that sends calls at a steady rate to endpoints that behave as set for their zone."""
 
     def __init__(self, *zones: str, seed: int = 7, **changes: Any) -> None:
         self.rng = random.Random(seed)
-        self.due: list[tuple[int, int, str, int]] = []  # when which attempt ends
-        self.ends: dict[tuple[str, int], Outcome] = {}
-        self.took: dict[tuple[str, int], int] = {}
-        self.silent: set[str] = set()
-        self.full: set[str] = set()  # zones whose endpoints turn calls away unseen
-        self.failing: dict[str, float] = {}  # share of calls, by zone
-        self.slow: dict[str, float] = {}
-        self.ill: set[str] = set()  # endpoints that answer nothing
-        self.got: list[tuple[int, str]] = []  # when which zone got a call
+        self.pending: list[tuple[int, int, str, int]] = []  # end, sequence, call, attempt
+        self.outcomes: dict[tuple[str, int], Outcome] = {}
+        self.durations: dict[tuple[str, int], int] = {}
+        self.silent_zones: set[str] = set()
+        self.full_zones: set[str] = set()  # zones whose endpoints reject calls without executing them
+        self.failure_shares: dict[str, float] = {}  # by zone
+        self.slowdown: dict[str, float] = {}
+        self.silent_endpoints: set[str] = set()  # hung endpoints
+        self.received: list[tuple[int, str]] = []  # time and zone of each attempt
         entries = listed(*zones)
         self.zone_of = {e.id: e.zone for e in entries}
         tenants = (Tenant("small", 1.0, 1000.0),)
@@ -48,170 +48,173 @@
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
         super().hand_off(call, endpoint, max_wait_us)
         zone, attempt = self.zone_of[endpoint], len(self.sent[call]) - 1
-        self.got.append((self.now, zone))
-        took, end = int(20 * MS * self.rng.uniform(0.5, 1.5) * self.slow.get(zone, 1.0)), Outcome.OK
-        if zone in self.full:
-            end = Outcome.FULL
-        elif zone in self.silent or endpoint in self.ill:
-            took, end = max_wait_us, Outcome.TIMEOUT
-        elif self.rng.random() < self.failing.get(zone, 0.0):
-            end = Outcome.ERROR
-        self.ends[call, attempt], self.took[call, attempt] = end, took
-        heapq.heappush(self.due, (self.now + took, self.serial, call, attempt))
-
-    def play(self, seconds: float, rate: float = 100.0, grade: str = "look") -> None:
-        until, owed = self.now + int(seconds * S), 0.0
+        self.received.append((self.now, zone))
+        duration, outcome = (
+            int(20 * MS * self.rng.uniform(0.5, 1.5) * self.slowdown.get(zone, 1.0)),
+            Outcome.OK,
+        )
+        if zone in self.full_zones:
+            outcome = Outcome.FULL
+        elif zone in self.silent_zones or endpoint in self.silent_endpoints:
+            duration, outcome = max_wait_us, Outcome.TIMEOUT
+        elif self.rng.random() < self.failure_shares.get(zone, 0.0):
+            outcome = Outcome.ERROR
+        self.outcomes[call, attempt], self.durations[call, attempt] = outcome, duration
+        heapq.heappush(self.pending, (self.now + duration, self.serial, call, attempt))
+
+    def run(self, seconds: float, rate: float = 100.0, grade: str = "look") -> None:
+        until, owed_calls = self.now + int(seconds * S), 0.0
         while self.now < until:
             self.advance(STEP)
-            while self.due and self.due[0][0] <= self.now:
-                _, _, call, attempt = heapq.heappop(self.due)
+            while self.pending and self.pending[0][0] <= self.now:
+                _, _, call, attempt = heapq.heappop(self.pending)
                 if call in self.balancer.calls:
-                    end, took = self.ends[call, attempt], self.took[call, attempt]
-                    self.reply(call, end, spent=took, attempt=attempt)
-            owed += rate * STEP / S
-            while owed >= 1.0:
-                owed -= 1.0
+                    outcome, duration = self.outcomes[call, attempt], self.durations[call, attempt]
+                    self.reply(call, outcome, spent=duration, attempt=attempt)
+            owed_calls += rate * STEP / S
+            while owed_calls >= 1.0:
+                owed_calls -= 1.0
                 self.order(grade)
 
     def share(self, zone: str, seconds: float) -> float:
-        """Of the calls of the last seconds, the part that went to this zone."""
-        late = [z for at, z in self.got if at > self.now - seconds * S]
+        """The share of the attempts of the last seconds that went to this zone."""
+        late = [z for at, z in self.received if at > self.now - seconds * S]
         return late.count(zone) / max(1, len(late))
 
-    def said(self, text: str) -> list[dict[str, Any]]:
+    def logged(self, text: str) -> list[dict[str, Any]]:
         return [d[2] for d in self.did if d[0] == "write_log" and d[1] == text]
 
 
-def test_a_lost_zone_is_left_whole_within_two_seconds_and_given_back_by_doubling() -> None:
-    play = Play(EAST, WEST, NORTH)
-    play.play(5)
-    assert play.share(EAST, 3) > 0.95  # calls stay near
-    play.silent = {EAST}
-    play.play(2)
-    told = play.said("zone share reduced")[-1]
-    assert told["zone"] == EAST and told["ill"] == told["of"] and told["share"] == 0.0
-    assert play.share(EAST, 0.5) < 0.05
-    # What is out there holds no place under the cap of those that remain.
-    served = [play.balancer.placements[0].pools[ring].limit.in_flight for ring in (Ring.ZONE, Ring.REGION)]
-    out = sum(len(call.outstanding) for call in play.balancer.calls.values())
-    assert sum(served) + play.balancer.evacuated_pool.limit.in_flight == out
-    play.play(6)
-    play.silent = set()
-    play.play(25)
-    back = [told["share"] for told in play.said("zone share raised")]
-    assert back == [FIRST_SHARE * 2**i for i in range(4)]
-    assert play.share(EAST, 2) > 0.9
-    assert play.balancer.evacuated_pool.limit.in_flight == 0
-
-
-def test_it_is_left_at_once_by_who_starts_during_the_loss_and_however_ready_the_list_calls_it() -> None:
-    play = Play(EAST, WEST)
-    play.silent = {EAST}
-    play.play(3)
-    assert play.share(EAST, 1) < 0.05
-    play.balancer.discovery(play.now, ListForm.FULL, listed(EAST, WEST))
-    play.play(10)
-    assert play.share(EAST, 8) < 0.05
-
-
-def test_a_zone_of_one_endpoint_is_left_and_taken_back_as_that_endpoint_is() -> None:
-    play = Play(EAST, WEST)
+def test_lost_zone_is_evacuated_within_two_seconds_and_restored_by_doubling() -> None:
+    host = ZoneHost(EAST, WEST, NORTH)
+    host.run(5)
+    assert host.share(EAST, 3) > 0.95  # calls stay in the own zone
+    host.silent_zones = {EAST}
+    host.run(2)
+    fields = host.logged("zone share reduced")[-1]
+    assert fields["zone"] == EAST and fields["ill"] == fields["of"] and fields["share"] == 0.0
+    assert host.share(EAST, 0.5) < 0.05
+    # Calls in flight to the evacuated zone hold no place under the caps in use.
+    in_flight = [host.balancer.placements[0].pools[ring].limit.in_flight for ring in (Ring.ZONE, Ring.REGION)]
+    outstanding = sum(len(call.outstanding) for call in host.balancer.calls.values())
+    assert sum(in_flight) + host.balancer.evacuated_pool.limit.in_flight == outstanding
+    host.run(6)
+    host.silent_zones = set()
+    host.run(25)
+    raised_shares = [fields["share"] for fields in host.logged("zone share raised")]
+    assert raised_shares == [FIRST_SHARE * 2**i for i in range(4)]
+    assert host.share(EAST, 2) > 0.9
+    assert host.balancer.evacuated_pool.limit.in_flight == 0
+
+
+def test_new_instance_evacuates_a_lost_zone_at_once_although_the_list_calls_it_ready() -> None:
+    host = ZoneHost(EAST, WEST)
+    host.silent_zones = {EAST}
+    host.run(3)
+    assert host.share(EAST, 1) < 0.05
+    host.balancer.discovery(host.now, ListForm.FULL, listed(EAST, WEST))
+    host.run(10)
+    assert host.share(EAST, 8) < 0.05
+
+
+def test_zone_of_one_endpoint_is_handled_by_ejecting_that_endpoint() -> None:
+    host = ZoneHost(EAST, WEST)
     alone = [e for e in listed(EAST, WEST) if e.zone == WEST or e.id == listed(EAST)[0].id]
-    play.balancer.discovery(play.now, ListForm.FULL, alone)
-    play.play(3, rate=20)
-    play.silent = {EAST}
-    play.play(5, rate=20)
-    assert play.said("ejected") and not play.said("zone share reduced")
-    assert play.share(EAST, 3) < 0.1
-    play.silent = set()
-    play.play(20, rate=20)
-    assert play.share(EAST, 3) > 0.5
+    host.balancer.discovery(host.now, ListForm.FULL, alone)
+    host.run(3, rate=20)
+    host.silent_zones = {EAST}
+    host.run(5, rate=20)
+    assert host.logged("ejected") and not host.logged("zone share reduced")
+    assert host.share(EAST, 3) < 0.1
+    host.silent_zones = set()
+    host.run(20, rate=20)
+    assert host.share(EAST, 3) > 0.5
 
 
 @pytest.mark.parametrize("kind", ["failing", "slow"])
-def test_a_grey_zone_is_left_by_parts(kind: str) -> None:
-    play = Play(EAST, WEST, NORTH)
-    play.play(5)
+def test_share_of_a_degraded_zone_is_reduced_in_steps(kind: str) -> None:
+    host = ZoneHost(EAST, WEST, NORTH)
+    host.run(5)
     if kind == "failing":
-        play.failing = {EAST: 0.2}
+        host.failure_shares = {EAST: 0.2}
     else:
-        play.slow = {EAST: 5.0}
-    play.play(12, rate=200)
-    shares = [told["share"] for told in play.said("zone share reduced")]
+        host.slowdown = {EAST: 5.0}
+    host.run(12, rate=200)
+    shares = [fields["share"] for fields in host.logged("zone share reduced")]
     assert all(0 < share < 1 for share in shares)
-    assert bool(shares) is (kind == "failing")  # who is slow crowds its cap, and calls cross by that
-    assert 0.0 < play.share(EAST, 5) < 0.6
-
-
-def test_few_ill_endpoints_of_many_are_no_ill_zone() -> None:
-    play = Play(EAST, WEST)
-    play.play(3)
-    play.ill = {e.id for e in listed(EAST)[:2]}
-    play.play(10)
-    assert play.said("zone share reduced") == []
-    assert play.share(EAST, 5) > 0.8
-
-
-def test_trouble_behind_all_zones_ends_with_none_of_them_left() -> None:
-    play = Play(EAST, WEST, NORTH)
-    play.play(5)
-    play.failing = dict.fromkeys((EAST, WEST, NORTH), 1.0)
-    play.play(8)
-    assert any("cut off" in d[1] for d in play.did if d[0] == "write_log")
-    play.failing = {}
-    play.play(12)
-    assert play.share(EAST, 2) > 0.8
-
-
-def test_who_is_cut_off_from_all_stays_and_says_so() -> None:
-    play = Play(EAST, WEST)
-    play.play(3)
-    play.silent = {EAST, WEST}
-    play.play(6)
-    assert any("cut off" in d[1] for d in play.did if d[0] == "write_log")
-    shares = [play.balancer.zones.share(zone) for zone in (EAST, WEST)]
+    assert bool(shares) is (kind == "failing")  # a slow zone fills its cap, so that its calls spill
+    assert 0.0 < host.share(EAST, 5) < 0.6
+
+
+def test_few_hung_endpoints_do_not_evacuate_their_zone() -> None:
+    host = ZoneHost(EAST, WEST)
+    host.run(3)
+    host.silent_endpoints = {e.id for e in listed(EAST)[:2]}
+    host.run(10)
+    assert host.logged("zone share reduced") == []
+    assert host.share(EAST, 5) > 0.8
+
+
+def test_no_zone_stays_evacuated_after_a_failure_of_all() -> None:
+    host = ZoneHost(EAST, WEST, NORTH)
+    host.run(5)
+    host.failure_shares = dict.fromkeys((EAST, WEST, NORTH), 1.0)
+    host.run(8)
+    assert any("cut off" in d[1] for d in host.did if d[0] == "write_log")
+    host.failure_shares = {}
+    host.run(12)
+    assert host.share(EAST, 2) > 0.8
+
+
+def test_instance_cut_off_from_all_zones_keeps_one_and_logs_it() -> None:
+    host = ZoneHost(EAST, WEST)
+    host.run(3)
+    host.silent_zones = {EAST, WEST}
+    host.run(6)
+    assert any("cut off" in d[1] for d in host.did if d[0] == "write_log")
+    shares = [host.balancer.zones.share(zone) for zone in (EAST, WEST)]
     assert max(shares) > 0
 
 
-def test_a_zone_that_the_list_leaves_out_for_a_moment_is_back_at_once() -> None:
-    play = Play(EAST, WEST)
-    play.play(5)
-    play.balancer.discovery(play.now, ListForm.FULL, [e for e in listed(EAST, WEST) if e.zone == WEST])
-    play.play(1)
-    assert play.share(EAST, 0.9) == 0.0  # the list's word counts
-    play.balancer.discovery(play.now, ListForm.FULL, listed(EAST, WEST))
-    play.play(1)
-    assert play.share(EAST, 0.5) > 0.9
+def test_zone_missing_from_the_list_for_a_moment_is_used_again_at_once() -> None:
+    host = ZoneHost(EAST, WEST)
+    host.run(5)
+    host.balancer.discovery(host.now, ListForm.FULL, [e for e in listed(EAST, WEST) if e.zone == WEST])
+    host.run(1)
+    assert host.share(EAST, 0.9) == 0.0  # the list decides
+    host.balancer.discovery(host.now, ListForm.FULL, listed(EAST, WEST))
+    host.run(1)
+    assert host.share(EAST, 0.5) > 0.9
 
 
-def test_a_zone_that_fails_every_ten_seconds_is_not_returned_to_every_ten_seconds() -> None:
-    play = Play(EAST, WEST)
-    play.play(5)
-    began = play.now
+def test_zone_that_fails_every_ten_seconds_is_not_restored_each_time() -> None:
+    host = ZoneHost(EAST, WEST)
+    host.run(5)
+    began = host.now
     for _ in range(12):
-        play.silent = {EAST}
-        play.play(5)
-        play.silent = set()
-        play.play(5)
-    left = play.said("zone share reduced")
-    waits = [told["seconds"] for told in left]
+        host.silent_zones = {EAST}
+        host.run(5)
+        host.silent_zones = set()
+        host.run(5)
+    reductions = host.logged("zone share reduced")
+    waits = [fields["seconds"] for fields in reductions]
     assert max(waits) > 8 and max(waits) <= 1.5 * MAX_BACKOFF_US / S
-    assert len(left) < 12
-    lost = sum(zone == EAST and (at - began) % (10 * S) < 5 * S for at, zone in play.got if at >= began)
+    assert len(reductions) < 12
+    lost = sum(zone == EAST and (at - began) % (10 * S) < 5 * S for at, zone in host.received if at >= began)
     assert lost < 0.1 * 12 * 5 * 100
 
 
-def test_copies_that_left_together_do_not_return_in_step() -> None:
+def test_instances_that_evacuated_together_do_not_return_in_step() -> None:
     moments = []
     for seed in range(40):
-        play = Play(EAST, WEST, seed=seed)
-        play.play(2, rate=60)
-        play.silent = {EAST}
-        play.play(4, rate=60)
-        play.silent = set()
-        while not play.said("zone share raised"):
-            play.play(0.25, rate=60)
-        moments.append(play.now)
+        host = ZoneHost(EAST, WEST, seed=seed)
+        host.run(2, rate=60)
+        host.silent_zones = {EAST}
+        host.run(4, rate=60)
+        host.silent_zones = set()
+        while not host.logged("zone share raised"):
+            host.run(0.25, rate=60)
+        moments.append(host.now)
     most = max(sum(abs(one - other) <= REVIEW_INTERVAL_US for other in moments) for one in moments)
     assert most <= 0.6 * len(moments)
 
@@ -224,111 +227,109 @@
          "surrender"),
     ],
 )  # fmt: skip
-def test_what_is_out_in_a_lost_zone_is_never_sent_to_another_where_rule_2_forbids_it(
-    grade: Any, answer: str
-) -> None:
-    play = Play(EAST, WEST, classes=(grade,))
-    play.play(3, grade=grade.name)
-    play.silent = {EAST}
-    play.play(8, grade=grade.name)
-    assert play.said("zone share reduced")
-    for call, went in play.sent.items():
-        if len(went) > 1 and grade is UNSAFE:
-            assert all(play.ends[call, i] is not Outcome.TIMEOUT for i in range(len(went) - 1))
-        elif any(play.ends[call, i] is Outcome.TIMEOUT for i in range(len(went))):
-            assert len({play.zone_of[e] for e in went}) == 1
-    unserved = [call for call in play.sent if answer in play.answers(call)]
-    assert unserved  # they failed, and said so
-
-
-def test_a_farther_ring_gets_what_no_nearer_one_can_take_and_a_class_keeps_to_its_reach() -> None:
+def test_calls_in_flight_to_a_lost_zone_are_not_resent_where_it_is_forbidden(grade: Any, answer: str) -> None:
+    host = ZoneHost(EAST, WEST, classes=(grade,))
+    host.run(3, grade=grade.name)
+    host.silent_zones = {EAST}
+    host.run(8, grade=grade.name)
+    assert host.logged("zone share reduced")
+    for call, endpoints_used in host.sent.items():
+        if len(endpoints_used) > 1 and grade is UNSAFE:
+            assert all(host.outcomes[call, i] is not Outcome.TIMEOUT for i in range(len(endpoints_used) - 1))
+        elif any(host.outcomes[call, i] is Outcome.TIMEOUT for i in range(len(endpoints_used))):
+            assert len({host.zone_of[e] for e in endpoints_used}) == 1
+    unserved = [call for call in host.sent if answer in host.answers(call)]
+    assert unserved  # their clients were told of the failure
+
+
+def test_farther_rings_serve_what_nearer_ones_cannot_within_the_reach_of_the_class() -> None:
     regions = {EAST: "coast", WEST: "coast", NORTH: "inland"}
     near = replace(SAFE, name="near", reach=Ring.ZONE)
     home = replace(SAFE, name="home", reach=Ring.REGION)
-    play = Play(EAST, WEST, NORTH, regions=regions, classes=(SAFE, near, home))
-    play.play(4)
-    play.silent = {EAST}
-    play.play(6)
-    assert play.share(WEST, 3) > 0.95 and play.share(NORTH, 3) < 0.02
-    before = len(play.got)
-    play.play(2, rate=30, grade="near")
-    assert {zone for _, zone in play.got[before:]} <= {EAST}
-    play.silent = {EAST, WEST}
-    play.play(6, grade="home")
-    before = len(play.got)
-    play.play(3, rate=30, grade="home")
-    assert NORTH not in {zone for _, zone in play.got[before:]}
-    play.play(6)
-    assert play.share(NORTH, 2) > 0.9  # and the rest has a place to go
-
-
-def test_an_order_holds_whatever_the_verdict_and_what_it_gives_back_comes_by_steps() -> None:
-    play = Play(EAST, WEST)
-    play.play(3)
-    play.balancer.steer(play.now, {EAST: 0.0}, {})
-    play.play(3)
-    assert play.share(EAST, 2.9) == 0.0
-    play.balancer.steer(play.now, {EAST: 0.5}, {})
-    play.play(8)
-    assert 0.3 < play.share(EAST, 3) < 0.7
-    play.balancer.steer(play.now, {}, {})
-    play.play(10)
-    assert play.share(EAST, 2) > 0.9
-    shares = [told["share"] for told in play.said("zone share raised")]
+    host = ZoneHost(EAST, WEST, NORTH, regions=regions, classes=(SAFE, near, home))
+    host.run(4)
+    host.silent_zones = {EAST}
+    host.run(6)
+    assert host.share(WEST, 3) > 0.95 and host.share(NORTH, 3) < 0.02
+    before = len(host.received)
+    host.run(2, rate=30, grade="near")
+    assert {zone for _, zone in host.received[before:]} <= {EAST}
+    host.silent_zones = {EAST, WEST}
+    host.run(6, grade="home")
+    before = len(host.received)
+    host.run(3, rate=30, grade="home")
+    assert NORTH not in {zone for _, zone in host.received[before:]}
+    host.run(6)
+    assert host.share(NORTH, 2) > 0.9  # other classes use the farthest ring
+
+
+def test_operator_bound_overrides_verdicts_and_is_lifted_in_steps() -> None:
+    host = ZoneHost(EAST, WEST)
+    host.run(3)
+    host.balancer.steer(host.now, {EAST: 0.0}, {})
+    host.run(3)
+    assert host.share(EAST, 2.9) == 0.0
+    host.balancer.steer(host.now, {EAST: 0.5}, {})
+    host.run(8)
+    assert 0.3 < host.share(EAST, 3) < 0.7
+    host.balancer.steer(host.now, {}, {})
+    host.run(10)
+    assert host.share(EAST, 2) > 0.9
+    shares = [fields["share"] for fields in host.logged("zone share raised")]
     assert shares[0] == FIRST_SHARE
     assert all(b <= 2 * a or a == 1.0 for a, b in itertools.pairwise(shares))
 
 
-def test_a_trial_that_is_turned_away_is_followed_by_another() -> None:
-    play = Play(EAST, WEST)
-    play.play(3)
-    play.silent = {EAST}
-    play.play(3)
-    play.silent, play.full = set(), {EAST}
-    play.play(6)
-    play.full = set()
-    play.play(12)
-    assert play.share(EAST, 2) > 0.9
+def test_rejected_trial_is_followed_by_another() -> None:
+    host = ZoneHost(EAST, WEST)
+    host.run(3)
+    host.silent_zones = {EAST}
+    host.run(3)
+    host.silent_zones, host.full_zones = set(), {EAST}
+    host.run(6)
+    host.full_zones = set()
+    host.run(12)
+    assert host.share(EAST, 2) > 0.9
 
 
-def test_none_is_left_where_all_fall_silent_in_the_same_moment() -> None:
+def test_no_zone_is_evacuated_if_all_stop_answering_at_once() -> None:
     zones = Zones(EAST, {}, random.Random(1), Host())
     for i in range(60):
         zones.record(S, (EAST, WEST, NORTH)[i % 3], f"{i % 9}", True)
-    _, left = zones.review(3 * S, (EAST, WEST, NORTH), False)
-    assert left == []
+    _, evacuated = zones.review(3 * S, (EAST, WEST, NORTH), False)
+    assert evacuated == []
     assert [zones.share(name) for name in (EAST, WEST, NORTH)] == [1.0] * 3
 
 
-steps = st.tuples(
-    st.integers(1, 800),  # milliseconds until then
+CALL_STEPS = st.tuples(
+    st.integers(1, 800),  # milliseconds since the step before
     st.sampled_from([EAST, WEST, NORTH]),
     st.integers(0, 3),  # endpoint
-    st.booleans(),  # ill
-    st.integers(1, 12),  # so many calls
+    st.booleans(),  # failed
+    st.integers(1, 12),  # calls
 )
 
 
-@given(st.lists(steps, max_size=80), st.booleans())
-def test_whatever_calls_come_to_a_zone_stays_and_shares_rise_by_answers_at_most_twofold(
-    story: list[tuple[int, str, int, bool, int]], scarce: bool
+@given(st.lists(CALL_STEPS, max_size=80), st.booleans())
+def test_one_zone_always_remains_and_shares_at_most_double_after_answers(
+    steps: list[tuple[int, str, int, bool, int]], overloaded: bool
 ) -> None:
     zones = Zones(EAST, {}, random.Random(1), Host())
     now = S
     raised: dict[str, int] = {}
-    for wait, zone, endpoint, ill, count in story:
+    for wait, zone, endpoint, failed, count in steps:
         now += wait * MS
         for _ in range(count):
-            zones.record(now, zone, f"{zone}-{endpoint}", ill)
+            zones.record(now, zone, f"{zone}-{endpoint}", failed)
         before = {z.name: (z.share, z.answers) for z in zones.zones.values()}
         zones.last_log = ""
-        changed, left = zones.review(now, (EAST, WEST, NORTH), scarce)
+        changed, evacuated = zones.review(now, (EAST, WEST, NORTH), overloaded)
         after = {z.name: z.share for z in zones.zones.values()}
         assert changed == any(after[name] != share for name, (share, _) in before.items())
         assert max(zones.share(name) for name in (EAST, WEST, NORTH)) > 0
-        assert all(after[name] == 0 for name in left)
+        assert all(after[name] == 0 for name in evacuated)
         for name, (share, answers) in before.items():
-            if after[name] > share and (share or after[name] < 1.0):  # else all zones were found alike
+            if after[name] > share and (share or after[name] < 1.0):  # else all zones fail alike
                 assert after[name] <= max(2 * share, FIRST_SHARE)
                 assert answers > 0 or share >= 0.5
                 assert now - raised.get(name, 0) >= GROWTH_US
@@ -336,11 +337,11 @@
             assert zones.zones[name].until <= now + 1.5 * MAX_BACKOFF_US
 
 
-def test_readiness_has_no_word_for_zones() -> None:
-    """Rule 3 stays the list's alone: a zone's verdict never makes a draining endpoint ready."""
-    play = Play(EAST, WEST)
+def test_zone_failover_never_uses_draining_endpoints() -> None:
+    """Only the list decides on readiness: zone failover never makes a draining endpoint usable."""
+    host = ZoneHost(EAST, WEST)
     drained = [e._replace(readiness=Readiness.DRAINING) for e in listed(EAST)]
-    play.balancer.discovery(play.now, ListForm.DELTA, drained)
-    play.silent = {WEST}
-    play.play(6)
-    assert EAST not in {zone for _, zone in play.got}
+    host.balancer.discovery(host.now, ListForm.DELTA, drained)
+    host.silent_zones = {WEST}
+    host.run(6)
+    assert EAST not in {zone for _, zone in host.received}
