--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -96,8 +96,7 @@
 HUNG_FACTOR = 10.0  # an endpoint is hung after so many median latencies without any answer,
 HUNG_CALLS, BUSY_HUNG = 3, 3.0  # or, with so many calls in flight, after so many uncongested medians
 FLEET_WEIGHT = 0.02  # weight of the newest outcome in the fleet's failure share and latency
-# Ejection threshold of the failure share (two failures in a row pass it), plus a part of the fleet's share.
-EJECT_SHARE, EJECT_FLEET_FACTOR = 0.45, 0.5
+EJECT_SHARE, EJECT_FLEET_FACTOR = 0.45, 0.5  # failure share: two in a row pass it; plus a part of the fleet's
 MAX_EJECTED_SHARE = 0.5  # of the ready endpoints of all zones
 EJECTION_US, MAX_EJECTION_US = 3_000_000, 24_000_000  # first ejection, doubled each time up to the maximum
 RECOVERY_US, RECOVERY_START_SHARE = 4_000_000, 0.15  # ramp of an ejected endpoint back to its full share
@@ -382,14 +381,14 @@
     __slots__ = (
         "backoff_end", "backoff_start", "cell", "credit", "credit_at", "ejected_until", "ejections",
         "failed_at", "failing", "id", "in_flight", "kind", "launched_at", "on_trial", "ready", "refusals",
-        "slowness", "sort_key", "taken", "unanswered_since", "used_at", "weight", "zone",
+        "slowness", "sort_key", "taken", "used_at", "waiting_since", "weight", "zone",
     )  # fmt: skip
 
     def __init__(self, entry: Endpoint) -> None:
         self.id = entry.id
         self.sort_key = zlib.crc32(entry.id.encode())  # same at all instances, unrelated to id order
         self.in_flight = self.failed_at = self.backoff_start = 0
-        self.unanswered_since = 0  # calls are in flight without an answer since; 0: none
+        self.waiting_since = 0  # calls are in flight without an answer since; 0: none
         self.credit, self.credit_at = -1.0, 0  # calls earned while cold; below 0: not started
         self.taken = 0.0  # share of capacity in use at all instances, with one more call; 0: unknown
         self.launched_at = self.used_at = 0  # used_at: last use of a connection to it, 0: never
@@ -958,9 +957,9 @@
 
     def _hung(self, now: int, endpoint: EndpointState, pool: Pool, call: Call) -> bool:
         """Whether calls are in flight and none was answered for far longer than usual."""
-        if not endpoint.unanswered_since:
+        if not endpoint.waiting_since:
             return False
-        silent_us, aim = now - endpoint.unanswered_since, call.request_class.aim_us
+        silent_us, aim = now - endpoint.waiting_since, call.request_class.aim_us
         busy = endpoint.in_flight >= HUNG_CALLS and silent_us > BUSY_HUNG * pool.limit.baseline * aim > 0
         return busy or silent_us > HUNG_FACTOR * pool.limit.median * aim > 0
 
@@ -1017,7 +1016,7 @@
         endpoint.credit -= 1.0 if endpoint.credit >= 1.0 else 0.0
         pool.sent += 1
         endpoint.in_flight += 1
-        endpoint.unanswered_since = endpoint.unanswered_since or now
+        endpoint.waiting_since = endpoint.waiting_since or now
         pool.limit.in_flight += 1
         # Without the limit, calls at a hung endpoint would keep their places under the caps of all tiers.
         self.actions.hand_off(call.id, endpoint.id, max(1, call.answer_by - now))
@@ -1030,16 +1029,15 @@
         found.answered, found.streaming_attempt = True, attempt
         attempt_state = found.attempts[attempt]
         attempt_state.endpoint.in_flight -= 1
-        self._release(now_us, attempt_state, Outcome.OK)
+        self._release_place(now_us, attempt_state, Outcome.OK)
         self._record(now_us, found, attempt_state, spent_us, Outcome.OK, False)
         if self.queue.count:
             self._dispatch(now_us)
 
-    def _release(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
-        """Free the attempt's place under the cap."""
+    def _release_place(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
         endpoint = attempt.endpoint
         if outcome in ANSWERED or not endpoint.in_flight:
-            endpoint.unanswered_since = now if endpoint.in_flight else 0
+            endpoint.waiting_since = now if endpoint.in_flight else 0
         endpoint.used_at = now
         attempt.pool.limit.in_flight -= 1
         if self.zones.any_reduced:
@@ -1061,7 +1059,7 @@
             return
         target.in_flight -= 1
         hung = outcome is Outcome.TIMEOUT and self._hung(now_us, target, pool, found)
-        self._release(now_us, attempt_state, outcome)
+        self._release_place(now_us, attempt_state, outcome)
         if idle_bucket >= 0 and outcome not in NEVER_RAN:
             unanswered = outcome in UNANSWERED
             slow = spent_us > UNANSWERED_FACTOR * pool.limit.median * found.request_class.aim_us > 0
@@ -1084,35 +1082,39 @@
         """Update the endpoint's health, the latency ratio, the cap and the tenant's budget."""
         if outcome is Outcome.NOT_SENT or outcome is Outcome.CANCELLED:
             return
-        e, sent_at, pool, _, overdue_recorded = attempt
+        endpoint, sent_at, pool, _, overdue_recorded = attempt
         ok = outcome is Outcome.OK
-        if ok and e.on_trial and now >= e.ejected_until:
-            e.on_trial = False
-            e.ejected_until = now  # recovery starts now
+        if ok and endpoint.on_trial and now >= endpoint.ejected_until:
+            endpoint.on_trial = False
+            endpoint.ejected_until = now  # recovery starts now
         if outcome in NEVER_RAN:
-            e.back_off(now, sent_at, 0.75 + 0.5 * self.rng.random())
+            endpoint.back_off(now, sent_at, 0.75 + 0.5 * self.rng.random())
         elif outcome in ANSWERED:
-            e.refusals = 0
+            endpoint.refusals = 0
         latency = spent_us / call.request_class.aim_us
         if outcome is not Outcome.FULL:  # a full endpoint is busy, not unhealthy
             failed = 0.0 if ok else 1.0
             if ok or not overdue_recorded:
-                self.zones.record(now, e.zone, e.id, not ok)
+                self.zones.record(now, endpoint.zone, endpoint.id, not ok)
             self.fleet_failure_share += FLEET_WEIGHT * (failed - self.fleet_failure_share)
             # Calls that fail together count as one failure. Ignored ones must not move failed_at, or only
             # the first failure of a hung endpoint would ever count.
-            if ok or sent_at >= e.failed_at:
-                certain = hung or (failed and e.on_trial)
-                e.failing += (1.0 if certain else FAILURE_WEIGHT) * (failed - e.failing)
+            if ok or sent_at >= endpoint.failed_at:
+                certain = hung or (failed and endpoint.on_trial)
+                endpoint.failing += (1.0 if certain else FAILURE_WEIGHT) * (failed - endpoint.failing)
                 if failed:
-                    e.failed_at = now
-                    self._maybe_eject(now, e)
+                    endpoint.failed_at = now
+                    self._maybe_eject(now, endpoint)
         if ok or outcome is Outcome.TIMEOUT:
             self.fleet_latency = self.fleet_latency or latency
             self.fleet_latency += FLEET_WEIGHT * (latency - self.fleet_latency)
-            ratio = min(max(latency / self.fleet_latency, 1 / MAX_SLOWNESS), MAX_SLOWNESS)
-            e.slowness = e.slowness + SLOW_WEIGHT * (ratio - e.slowness) if e.slowness else 0.5 + 0.5 * ratio
-        outlier = e.slowness > OUTLIER_SLOWNESS and latency > self.fleet_latency
+            relative = min(max(latency / self.fleet_latency, 1 / MAX_SLOWNESS), MAX_SLOWNESS)
+            endpoint.slowness = (
+                endpoint.slowness + SLOW_WEIGHT * (relative - endpoint.slowness)
+                if endpoint.slowness
+                else 0.5 + 0.5 * relative
+            )
+        outlier = endpoint.slowness > OUTLIER_SLOWNESS and latency > self.fleet_latency
         if not outlier:  # else one slow endpoint would cause refusals while others are idle
             if ok or outcome is Outcome.TIMEOUT:
                 self.ratio.record(now, latency)
