--- a/eiderhub/control/__init__.py
+++ b/eiderhub/control/__init__.py
@@ -1,1 +1,1 @@
-"""What the control plane replicates and distributes: configuration, endpoint list, sessions of nodes."""
+"""The control plane: configuration, endpoints, sessions, spending caps, and their distribution to nodes."""
--- a/eiderhub/control/configuration.py
+++ b/eiderhub/control/configuration.py
@@ -1,7 +1,7 @@
-"""The operator's configuration: what a valid one is, how changes apply, and which change wins a race.
+"""The operator's configuration: parsing, validation, patches, and optimistic concurrency control of changes.
 
-Pure. A configuration is kept as the JSON document that the operator sent, unknown keys included, since it is
-read back as it was sent.
+This module does no I/O. A configuration is stored as the JSON document that the operator sent, including
+unknown keys, because it must be returned as it was sent.
 """
 
 from __future__ import annotations
@@ -20,44 +20,44 @@
 from eiderhub.coordination.messages import Write
 
 CURRENT_KEY = "config/current"
-TAKEN_PREFIX = "config/taken/"  # digest of the change that made a generation
-FORGOTTEN_KEY = "config/forgotten"  # the last generation whose change is remembered no more
-KEPT_CHANGES = 20_000  # changes that are remembered, so that one that is sent again is known
-PURGED_CHANGES = 500  # that are forgotten at once
-LISTS = ("routes", "backends", "tenants")
-MOST_GENERATION = (1 << 63) - 1
+TAKEN_PREFIX = "config/taken/"  # digest of the change that created a generation
+LAST_PURGED_KEY = "config/forgotten"  # the last generation whose digest was purged
+RETAINED_CHANGES = 20_000  # digests kept to recognise a change that is sent again
+PURGE_BATCH = 500  # digests deleted at once
+NAMED_LISTS = ("routes", "backends", "tenants")
+MAX_GENERATION = (1 << 63) - 1
 BYTE_ORDER_MARK = b"\xef\xbb\xbf"
 
 Document = dict[str, Any]
 
 
 class Change(NamedTuple):
-    """One call of the operator."""
+    """A PUT or PATCH request of the operator."""
 
-    base: int  # generation that it builds on
-    patch: bool
+    base: int  # generation that the change applies to
+    is_patch: bool
     body: bytes
 
     @property
     def digest(self) -> bytes:
-        kind = b"patch" if self.patch else b"put"
-        return hashlib.sha256(b"%s %d " % (kind, self.base) + self.body).hexdigest().encode()
+        method = b"patch" if self.is_patch else b"put"
+        return hashlib.sha256(b"%s %d " % (method, self.base) + self.body).hexdigest().encode()
 
 
 class Accepted(NamedTuple):
-    """What to write for a change that won; no writes: it is in force already."""
+    """An accepted change. `writes` is empty if the change is already in force."""
 
     generation: int
     writes: list[Write]
 
 
-def _invalid(why: str) -> Err[Refusal]:
-    return Err(Refusal(ErrorKind.INVALID, why))
+def _invalid(reason: str) -> Err[Refusal]:
+    return Err(Refusal(ErrorKind.INVALID, reason))
 
 
 @lru_cache(maxsize=1)
 def _validator() -> Any:
-    # Only the primary needs these, some time after its start.
+    # Imported on first use: only the primary needs these modules, and not during start-up.
     from importlib.resources import files
 
     import jsonschema
@@ -66,106 +66,111 @@
     return jsonschema.Draft202012Validator(schema)
 
 
-def _without_repeats(pairs: list[tuple[str, Any]]) -> Document:
-    found = dict(pairs)
-    if len(found) != len(pairs):
-        raise ValueError("a key stands twice in one object")
-    return found
+def _reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> Document:
+    members = dict(pairs)
+    if len(members) != len(pairs):
+        raise ValueError("duplicate key in an object")
+    return members
 
 
-def _no_number(text: str) -> float:
-    raise ValueError(f"{text} is no number in JSON")
+def _reject_constant(text: str) -> float:
+    raise ValueError(f"{text} is not a valid JSON number")
 
 
-def _finite(text: str) -> float:
+def _parse_float(text: str) -> float:
     value = float(text)
     if not math.isfinite(value):
-        raise ValueError(f"{text[:20]} is beyond what a double holds")
+        raise ValueError(f"{text[:20]} is out of range for a double")
     return value
 
 
-def _whole(text: str) -> int:
-    _finite(text)
+def _parse_int(text: str) -> int:
+    _parse_float(text)
     return int(text)
 
 
 def read(body: bytes) -> Result[Document, Refusal]:
-    """A JSON object, whole, by RFC 8259: UTF-8, no NaN, each key once, numbers that a double holds.
+    """Parse a JSON object by RFC 8259: UTF-8, no NaN, no duplicate keys, numbers in range of a double.
 
-    A byte order mark is ignored, as the standard allows.
+    A leading byte order mark is ignored, as the RFC allows.
     """
     try:
         document = json.loads(
             body.removeprefix(BYTE_ORDER_MARK).decode(),
-            object_pairs_hook=_without_repeats,
-            parse_constant=_no_number,
-            parse_float=_finite,
-            parse_int=_whole,
+            object_pairs_hook=_reject_duplicate_keys,
+            parse_constant=_reject_constant,
+            parse_float=_parse_float,
+            parse_int=_parse_int,
         )
-        json.dumps(document, ensure_ascii=False).encode()  # fails at half a surrogate pair
+        json.dumps(document, ensure_ascii=False).encode()  # raises for an unpaired surrogate
     except (ValueError, RecursionError) as error:
-        return _invalid(f"no JSON: {error}")
-    return Ok(document) if isinstance(document, dict) else _invalid("no JSON object")
+        return _invalid(f"not valid JSON: {error}")
+    return Ok(document) if isinstance(document, dict) else _invalid("not a JSON object")
 
 
 def stored(body: bytes) -> Document:
-    """A configuration that was checked when it was taken, perhaps by an earlier version of this program."""
+    """Parse a stored configuration, which was validated when accepted, possibly by an older release."""
     document: Document = json.loads(body)
     return document
 
 
 def generation_of(body: bytes) -> int:
-    """Of a configuration that has been checked."""
+    """The generation of a valid configuration."""
     return int(stored(body)["generation"])
 
 
 def services_of(route: Document) -> list[tuple[str, float]]:
-    """The services that a route names, with their weights."""
+    """The services that a route refers to, with their weights."""
     if route.get("weighted_backends"):
-        return [(each["backend"], each["weight"]) for each in route["weighted_backends"]]
+        return [(entry["backend"], entry["weight"]) for entry in route["weighted_backends"]]
     return [(route["backend"], 1.0)] if "backend" in route else []
 
 
 class SchemaError(NamedTuple):
-    """What a document has that the schema does not allow, and where."""
+    """A violation of the JSON schema, and its path in the document."""
 
     path: tuple[str | int, ...]
     message: str
 
 
 def schema_errors(document: Document) -> Iterator[SchemaError]:
-    """All of them. Costs about 0.4 ms for each route of the document, on a whole core."""
+    """All schema violations of a document. Takes about 0.4 ms of CPU time per route."""
     for error in _validator().iter_errors(document):
         yield SchemaError(tuple(error.absolute_path), error.message)
 
 
 def _first_error(document: Document, valid: Document) -> SchemaError | None:
-    """The fault that is nearest to the document's top; items that stand in `valid` are not looked at again.
+    """The schema violation nearest to the document root. Items that are unchanged from `valid` are skipped.
 
-    Danger: the primary checks beside its lease. A check that looks at all items lets it lapse where there are
-    many, for each change of one.
+    Validation blocks the primary, which must also renew its lease: validating every item of a large
+    configuration for each change of one item would let the lease expire.
     """
-    places: dict[str, list[int]] = {}
-    changed = dict(document)
-    for kind in LISTS:
-        items = document.get(kind)
+    indices: dict[str, list[int]] = {}
+    reduced = dict(document)
+    for list_name in NAMED_LISTS:
+        items = document.get(list_name)
         if isinstance(items, list):
-            known = {item["name"]: item for item in valid.get(kind, [])}
-            places[kind] = [n for n, item in enumerate(items) if not _is_known(item, known)]
-            changed[kind] = [items[n] for n in places[kind]]
-    error = min(schema_errors(changed), key=lambda error: len(error.path), default=None)
-    if error is None or len(error.path) < 2 or error.path[0] not in places:
+            valid_items = {item["name"]: item for item in valid.get(list_name, [])}
+            indices[list_name] = [
+                index for index, item in enumerate(items) if not _is_unchanged(item, valid_items)
+            ]
+            reduced[list_name] = [items[index] for index in indices[list_name]]
+    error = min(schema_errors(reduced), key=lambda error: len(error.path), default=None)
+    if error is None or len(error.path) < 2 or error.path[0] not in indices:
         return error
-    kind, number = str(error.path[0]), int(error.path[1])
-    return SchemaError((kind, places[kind][number], *error.path[2:]), error.message)
+    list_name, reduced_index = str(error.path[0]), int(error.path[1])
+    return SchemaError((list_name, indices[list_name][reduced_index], *error.path[2:]), error.message)
 
 
-def _is_known(item: Any, known: Document) -> bool:
-    """Whether an item stands in a valid configuration just so; 1, 1.0 and true are not the same in JSON."""
+def _is_unchanged(item: Any, valid_items: Document) -> bool:
+    """Whether a valid configuration has an identical item.
+
+    Representations are compared, since 1, 1.0 and true are equal in Python but not in JSON.
+    """
     if not isinstance(item, dict) or not isinstance(item.get("name"), str):
         return False
-    same = known.get(item["name"])
-    return same is not None and (same is item or repr(same) == repr(item))
+    valid_item = valid_items.get(item["name"])
+    return valid_item is not None and (valid_item is item or repr(valid_item) == repr(item))
 
 
 def _json_path(path: tuple[str | int, ...]) -> str:
@@ -173,103 +178,121 @@
 
 
 def check(document: Document, valid: Document | None = None) -> Result[Document, Refusal]:
-    """Whether a whole configuration is valid, by PROTOCOL; `valid` is one that has been checked."""
+    """Validate a complete configuration against the protocol specification.
+
+    `valid` is a valid configuration; items that equal its items are not checked against the schema again.
+    """
     error = _first_error(document, valid or {})
     if error is not None:
         return _invalid(f"{_json_path(error.path)}: {error.message}"[:300])
-    for kind in LISTS:
-        names = Counter(item["name"] for item in document.get(kind, []))
-        twice = [name for name, times in names.items() if times > 1]
-        if twice:
-            return _invalid(f"{kind}: {twice[0]} stands twice")
-    capped = Counter(
+    for list_name in NAMED_LISTS:
+        names = Counter(item["name"] for item in document.get(list_name, []))
+        duplicates = [name for name, count in names.items() if count > 1]
+        if duplicates:
+            return _invalid(f"{list_name}: duplicate name {duplicates[0]}")
+    tenants_per_route = Counter(
         route for tenant in document.get("tenants", []) for route in set(tenant.get("routes", []))
     )
-    if any(times > 1 for times in capped.values()):
-        return _invalid("tenants: a route belongs to two")
-    known = {backend["name"] for backend in document["backends"]}
-    places: set[tuple[str, str]] = set()
+    if any(count > 1 for count in tenants_per_route.values()):
+        return _invalid("tenants: a route belongs to more than one tenant")
+    service_names = {backend["name"] for backend in document["backends"]}
+    host_prefixes: set[tuple[str, str]] = set()
     for route in document["routes"]:
         services = services_of(route)
-        named = [name for name, _ in services] + [route[key] for key in ("backend",) if key in route]
-        unknown = sorted({name for name in named if name not in known})
+        referenced = [name for name, _ in services] + [route[key] for key in ("backend",) if key in route]
+        unknown = sorted({name for name in referenced if name not in service_names})
         if unknown or not services:
-            return _invalid(f"route {route['name']}: unknown service {', '.join(unknown) or '(none named)'}")
+            return _invalid(f"route {route['name']}: unknown service {', '.join(unknown) or '(none given)'}")
         if sum(weight for _, weight in services) <= 0:
-            return _invalid(f"route {route['name']}: its weights sum to 0")
-        place = (route["host"].lower(), route["path_prefix"])
-        if place in places:
-            return _invalid(f"route {route['name']}: another route has its host and prefix")
-        places.add(place)
+            return _invalid(f"route {route['name']}: the weights sum to 0")
+        host_prefix = (route["host"].lower(), route["path_prefix"])
+        if host_prefix in host_prefixes:
+            return _invalid(f"route {route['name']}: another route has the same host and path prefix")
+        host_prefixes.add(host_prefix)
     return Ok(document)
 
 
-def patched(current: Document, patch: Document) -> Result[Document, Refusal]:
-    """The configuration with a patch's named items put in, replaced and removed."""
+def apply_patch(current: Document, patch: Document) -> Result[Document, Refusal]:
+    """Apply a patch: add, replace and remove items by name."""
     upsert, remove = patch.get("upsert", {}), patch.get("remove", {})
     if not isinstance(upsert, dict) or not isinstance(remove, dict):
         return _invalid("upsert and remove must be objects")
-    made = dict(current) | {"generation": patch.get("generation")}
-    for kind in LISTS:
-        items, names = upsert.get(kind, []), remove.get(kind, [])
+    updated = dict(current) | {"generation": patch.get("generation")}
+    for list_name in NAMED_LISTS:
+        items, names = upsert.get(list_name, []), remove.get(list_name, [])
         if not isinstance(items, list) or not isinstance(names, list):
-            return _invalid(f"{kind}: upsert and remove take lists")
+            return _invalid(f"{list_name}: upsert and remove must be lists")
         if not all(isinstance(item, dict) and isinstance(item.get("name"), str) for item in items):
-            return _invalid(f"upsert.{kind}: each item needs a name")
-        new = {item["name"]: item for item in items}
-        if len(new) != len(items):
-            return _invalid(f"upsert.{kind}: a name stands twice")
-        kept = [new.pop(item["name"], item) for item in current.get(kind, []) if item["name"] not in names]
-        kept += [item for item in new.values() if item["name"] not in names]
-        if kept or kind in current:
-            made[kind] = kept
+            return _invalid(f"upsert.{list_name}: each item must have a name")
+        upserted = {item["name"]: item for item in items}
+        if len(upserted) != len(items):
+            return _invalid(f"upsert.{list_name}: duplicate name")
+        merged = [
+            upserted.pop(item["name"], item)
+            for item in current.get(list_name, [])
+            if item["name"] not in names
+        ]
+        merged += [item for item in upserted.values() if item["name"] not in names]
+        if merged or list_name in current:
+            updated[list_name] = merged
     if "limits" in upsert:
-        made["limits"] = upsert["limits"]
-    return Ok(made)
+        updated["limits"] = upsert["limits"]
+    return Ok(updated)
 
 
-def difference(old: Document, new: Document) -> Document | None:
-    """A patch that makes the new configuration of the old one; None where none can."""
+def diff(old: Document, new: Document) -> Document | None:
+    """A patch that turns the old configuration into the new one; None if no patch can express the change."""
     patch: Document = {"generation": new["generation"], "upsert": {}, "remove": {}}
-    for kind in LISTS:
-        before = {item["name"]: item for item in old.get(kind, [])}
-        after = {item["name"]: item for item in new.get(kind, [])}
+    for list_name in NAMED_LISTS:
+        before = {item["name"]: item for item in old.get(list_name, [])}
+        after = {item["name"]: item for item in new.get(list_name, [])}
         changed = [item for name, item in after.items() if before.get(name) != item]
         removed = [name for name in before if name not in after]
-        patch["upsert"] |= {kind: changed} if changed else {}
-        patch["remove"] |= {kind: removed} if removed else {}
+        patch["upsert"] |= {list_name: changed} if changed else {}
+        patch["remove"] |= {list_name: removed} if removed else {}
     if new.get("limits") != old.get("limits") and "limits" in new:
         patch["upsert"]["limits"] = new["limits"]
-    return patch if patched(old, patch).unwrap() == new else None
+    return patch if apply_patch(old, patch).unwrap() == new else None
 
 
 def decide(
-    current: Document | None, taken: bytes | None, forgotten: int, change: Change, document: Document
+    current: Document | None,
+    recorded_digest: bytes | None,
+    last_purged: int,
+    change: Change,
+    document: Document,
 ) -> Result[Accepted, Refusal]:
-    """What becomes of a change on top of the newest configuration.
+    """Decide on a change of the current configuration.
 
-    `taken` is the digest of the change that made the generation which this one asks for, `forgotten` the last
-    generation of which that is not known any more; `document` is the change's own body as read.
+    Args:
+        recorded_digest: digest of the change that created the generation which this change asks for, if any.
+        last_purged: the last generation whose digest has been purged.
+        document: the parsed body of the change.
     """
     generation = document.get("generation")
-    if not isinstance(generation, int) or isinstance(generation, bool) or generation > MOST_GENERATION:
-        return _invalid(f"generation: must be a whole number up to {MOST_GENERATION}")
-    if taken == change.digest:
+    if not isinstance(generation, int) or isinstance(generation, bool) or generation > MAX_GENERATION:
+        return _invalid(f"generation: must be an integer up to {MAX_GENERATION}")
+    if recorded_digest == change.digest:
         return Ok(Accepted(generation, []))
-    if generation <= forgotten and change.base < generation:
-        return Err(Refusal(ErrorKind.UNCERTAIN, f"generation {generation} is too long ago to tell"))
-    newest = current["generation"] if current else 0
-    if change.base != newest:
-        return Err(Refusal(ErrorKind.STALE_VERSION, f"generation {newest} is in place"))
-    if generation <= newest:
-        return _invalid(f"generation: must be above {newest}")
-    if change.patch and current is None:
-        return _invalid("there is no configuration to change")
-    whole = patched(current, document) if change.patch and current else Ok(document)
-    checked = whole.and_then(lambda made: check(made, current))
-    if isinstance(checked, Err):
-        return checked
-    body = json.dumps(checked.ok_value, separators=(",", ":")).encode()
+    if generation <= last_purged and change.base < generation:
+        return Err(
+            Refusal(
+                ErrorKind.UNCERTAIN,
+                f"generation {generation} is too old to tell whether this change was accepted",
+            )
+        )
+    current_generation = current["generation"] if current else 0
+    if change.base != current_generation:
+        return Err(Refusal(ErrorKind.STALE_VERSION, f"generation {current_generation} is in place"))
+    if generation <= current_generation:
+        return _invalid(f"generation: must be greater than {current_generation}")
+    if change.is_patch and current is None:
+        return _invalid("there is no configuration to patch")
+    merged = apply_patch(current, document) if change.is_patch and current else Ok(document)
+    validated = merged.and_then(lambda candidate: check(candidate, current))
+    if isinstance(validated, Err):
+        return validated
+    body = json.dumps(validated.ok_value, separators=(",", ":")).encode()
     writes = [
         Write(CURRENT_KEY, body),
         Write(f"{TAKEN_PREFIX}{generation}", change.digest),
@@ -277,16 +300,16 @@
     return Ok(Accepted(generation, writes))
 
 
-def purge(taken: list[int], accepted: Accepted) -> list[Write]:
-    """What to write so that a bounded number of changes is remembered; `taken` are their generations, rising.
+def purge(retained: list[int], accepted: Accepted) -> list[Write]:
+    """Writes that delete the oldest change digests; `retained` are their generations in ascending order.
 
-    A change that is forgotten and sent again gets no clear answer: it can't be told from one that lost a
-    race, and one that was taken must not be refused.
+    A change whose digest was purged and that is sent again gets an uncertain answer: it cannot be told from
+    one that lost a race, and a change that was accepted must never be refused.
     """
-    if not accepted.writes or len(taken) < KEPT_CHANGES + PURGED_CHANGES:
+    if not accepted.writes or len(retained) < RETAINED_CHANGES + PURGE_BATCH:
         return []
-    old = taken[:PURGED_CHANGES]
+    purged = retained[:PURGE_BATCH]
     return [
-        *(Write(f"{TAKEN_PREFIX}{generation}", None) for generation in old),
-        Write(FORGOTTEN_KEY, str(old[-1]).encode()),
+        *(Write(f"{TAKEN_PREFIX}{generation}", None) for generation in purged),
+        Write(LAST_PURGED_KEY, str(purged[-1]).encode()),
     ]
--- a/eiderhub/control/errors.py
+++ b/eiderhub/control/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, and the one table that turns a kind into an answer."""
+"""Error kinds shared by all services, and their HTTP status codes."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 class ErrorKind(Enum):
-    INVALID = "invalid"  # the call can't be carried out as it stands
-    STALE_VERSION = "stale version"  # another version is in place
-    UNKNOWN = "unknown"  # there is no such thing
+    INVALID = "invalid"  # the request is malformed or violates a rule
+    STALE_VERSION = "stale version"  # the request is based on a version that is not the current one
+    UNKNOWN = "unknown"  # the resource does not exist
     TOO_FEW = "too few left"
-    NO_ROOM = "no room"  # a quota is used up
-    NOT_READY = "not ready"  # nothing was done; another node may do it
-    UNCERTAIN = "uncertain"  # it may have been done
-    FAILED = "failed"  # an endpoint failed, and it may have run
+    NO_ROOM = "no room"  # a quota is exhausted
+    NOT_READY = "not ready"  # not attempted; another node may serve the request
+    UNCERTAIN = "uncertain"  # the request may have taken effect
+    FAILED = "failed"  # an endpoint failed; the request may have run
 
 
 STATUS = {
@@ -30,7 +30,7 @@
 
 
 class Refusal(NamedTuple):
-    """Why something was not done."""
+    """The reason why a request was not carried out."""
 
     kind: ErrorKind
     why: str
--- a/eiderhub/control/freshness.py
+++ b/eiderhub/control/freshness.py
@@ -1,29 +1,33 @@
-"""How old what a process was told may be, by its own clock.
+"""An upper bound for the age of the tables that a process has received, by its own clock.
 
-Pure. A process that asks (a ping with its own time) and is answered knows that what it was told was current
-when it asked, however late it reads the answer. One that was frozen finds answers in its buffers which say
-nothing of the time since: only the time of asking counts. A control node that is not the primary adds the age
-of what it knows itself, so that the bound does not grow with the length of the chain.
+This module does no I/O. A ping carries the sender's time. Its answer proves that the tables received before
+it were current when the ping was sent, however late the answer is read: a process that was suspended finds
+answers in its buffers that say nothing of the time since. So the age counts from the time of sending. A
+control node that is not the primary adds the age of its own tables, so that the bound does not grow with the
+length of a chain of nodes.
 """
 
 from __future__ import annotations
 
-FRESH_S = 0.9  # what was current so long ago is handed on; anything older is not
+FRESH_S = 0.9  # older tables are not passed on
 
 
 class Freshness:
-    """Of what one process was told by the control plane."""
+    """Tracks the age of the tables that one process has received from the control plane."""
 
     def __init__(self) -> None:
-        self._current_at = float("-inf")  # when what it has been told was current for certain
+        self._current_at = float("-inf")  # latest time at which the tables were known to be current
 
     def answered(self, sent_at: float, age_s: float | None) -> None:
-        """The ping that was sent then has been answered; `age_s` is of what the answerer knows."""
+        """Record the answer to the ping sent at `sent_at`; `age_s` is the age of the answering node's tables.
+
+        None: the answering node cannot tell.
+        """
         if age_s is not None:
             self._current_at = max(self._current_at, sent_at - age_s)
 
     def age(self, now: float) -> float | None:
-        """Seconds since what it was told was current; None: longer than may be handed on."""
+        """The age of the tables in seconds; None if they are too old to be passed on."""
         age = now - self._current_at
         return age if age < FRESH_S else None
 
@@ -31,5 +35,5 @@
         return self.age(now) is not None
 
     def silent_since(self, opened_at: float) -> float:
-        """When a session that was opened then was current last, or could first have been."""
+        """When the tables were last known to be current, at the earliest when the session was opened."""
         return max(self._current_at, opened_at)
--- a/eiderhub/control/kept_list.py
+++ b/eiderhub/control/kept_list.py
@@ -1,6 +1,7 @@
-"""The endpoint list as the primary keeps it in the control state, for one that knows nothing yet.
+"""A copy of the endpoint list in the replicated control state, for a primary that has no list yet.
 
-The platform is the list's authority; what is kept only bridges the time until it has been asked again.
+The platform is the authority for the list; the stored copy only bridges the time until the platform has
+answered.
 """
 
 from __future__ import annotations
@@ -17,28 +18,29 @@
 _decode = msgspec.msgpack.Decoder(list[EndpointRecord]).decode
 
 
-class Store(Protocol):
-    """What is read of the control state."""
+class StateReader(Protocol):
+    """Read access to the replicated control state."""
 
     def get(self, key: str) -> bytes | None: ...
 
 
-def writes_of(store: Store, listed: list[EndpointRecord]) -> list[Write]:
-    """What keeps this list; nothing where it is the one that is kept."""
-    value = msgspec.msgpack.encode(listed)
-    return [] if value == store.get(LIST_KEY) else [Write(LIST_KEY, value)]
+def writes_of(state: StateReader, endpoints: list[EndpointRecord]) -> list[Write]:
+    """The writes that store this list; none if it is already stored."""
+    value = msgspec.msgpack.encode(endpoints)
+    return [] if value == state.get(LIST_KEY) else [Write(LIST_KEY, value)]
 
 
-def provisional_list(store: Store, known: EndpointsUpdate) -> list[EndpointRecord] | None:
-    """The kept list, where nothing is known of endpoints; None: there is none, or it is not needed.
+def provisional_list(state: StateReader, current: EndpointsUpdate) -> list[EndpointRecord] | None:
+    """The stored list, for a primary that has no endpoints; None if there is none or it is not needed.
 
-    Danger: it may name endpoints that are gone, and their addresses may be another service's by now. Calls
-    name the instance that they are for, so that any other turns them away without running them.
+    The stored list may contain endpoints that no longer exist, whose addresses may since belong to another
+    service. Calls name the instance that they are meant for, so any other instance rejects them without
+    running them.
     """
-    value = store.get(LIST_KEY)
-    if value is None or known.endpoints:
+    value = state.get(LIST_KEY)
+    if value is None or current.endpoints:
         return None
     try:
         return _decode(value)
     except msgspec.DecodeError:
-        return None  # of another version of this program
+        return None  # written by an incompatible release
--- a/eiderhub/control/load.py
+++ b/eiderhub/control/load.py
@@ -1,8 +1,9 @@
-"""How many calls are out to each endpoint over all sidecars, as their sessions last told.
+"""Calls in flight to each endpoint, summed over all sidecars.
 
-Pure; of one control node. Each sidecar says with its pings what it has out, and is answered with what all
-others have. Between control nodes it is the same: a backup tells the primary the sum of its own sessions, and
-hears that of all others. What is old says nothing: who hears nothing new goes by its own calls alone.
+This module does no I/O and holds the state of one control node. Each sidecar reports its calls in flight with
+its pings and receives the sum of all others. Control nodes do the same: a backup reports the sum of its
+sessions to the primary and receives the sum of all other nodes. Reports expire: without recent ones a node
+uses only the calls of its own sessions.
 """
 
 from __future__ import annotations
@@ -11,9 +12,9 @@
 from collections.abc import Callable, Hashable, Mapping
 from typing import NamedTuple
 
-KEPT_S = 1.0  # what a session said counts for so long; four pings
-MOST_TOLD = 64  # endpoints that one update tells of: those of the session's own zone come first
-SUMMED_S = 0.05  # a sum over all sessions is used for so long: in a large fleet it takes a millisecond
+KEPT_S = 1.0  # four ping intervals
+MOST_TOLD = 64  # endpoints; those in the session's zone come first
+SUMMED_S = 0.05  # a sum over all sessions is reused: in a large fleet it takes a millisecond
 
 
 class _Report(NamedTuple):
@@ -22,74 +23,74 @@
 
 
 class LoadTable:
-    """Calls by endpoint: of the sessions of this node, and of those of other nodes as the primary told."""
+    """Calls in flight by endpoint: of this node's sessions, and of other nodes as the primary reported."""
 
     def __init__(self) -> None:
         self._reports: dict[Hashable, _Report] = {}
-        self._total: Counter[str] = Counter()  # of all reports
-        self._elsewhere = _Report(float("-inf"), {})
-        self._sums: dict[str, _Report] = {}  # over all nodes, what sessions of one zone may be told
+        self._local_total: Counter[str] = Counter()  # sum of `_reports`
+        self._remote = _Report(float("-inf"), {})
+        self._zone_totals: dict[str, _Report] = {}  # sums over all nodes, limited for sessions of a zone
 
     def report(self, now: float, session: Hashable, calls: Mapping[str, int]) -> None:
-        """A session says how many calls it has out to each endpoint."""
+        """Replace the report of a session of this node: its calls in flight by endpoint."""
         self.forget(session)
         self._reports[session] = _Report(now, {e: n for e, n in calls.items() if n > 0})
-        self._total.update(self._reports[session].calls)
+        self._local_total.update(self._reports[session].calls)
 
     def forget(self, session: Hashable) -> None:
-        """A session has ended, or says something new."""
+        """Remove the report of a session that has ended or reports anew."""
         report = self._reports.pop(session, None)
         if report is None:
             return
         for endpoint, calls in report.calls.items():
-            self._total[endpoint] -= calls
-            if self._total[endpoint] <= 0:
-                del self._total[endpoint]
+            self._local_total[endpoint] -= calls
+            if self._local_total[endpoint] <= 0:
+                del self._local_total[endpoint]
 
     def heard_elsewhere(self, now: float, calls: Mapping[str, int]) -> None:
-        """The primary has told what the sessions of all other nodes have out."""
-        self._elsewhere = _Report(now, calls)
+        """Replace the report of the primary: the calls in flight of all other nodes' sessions."""
+        self._remote = _Report(now, calls)
 
     def own(self, now: float) -> dict[str, int]:
-        """What the sessions of this node have out."""
+        """Calls in flight of this node's sessions, after removing expired reports."""
         for session in [s for s, report in self._reports.items() if now - report.at > KEPT_S]:
             self.forget(session)
-        return dict(self._total)
+        return dict(self._local_total)
 
-    def all(self, now: float) -> dict[str, int]:
-        """What the sessions of all nodes have out."""
+    def total(self, now: float) -> dict[str, int]:
+        """Calls in flight of the sessions of all nodes."""
         calls = Counter(self.own(now))
-        if now - self._elsewhere.at <= KEPT_S:
-            calls.update(self._elsewhere.calls)
+        if now - self._remote.at <= KEPT_S:
+            calls.update(self._remote.calls)
         return dict(calls)
 
     def others(self, now: float, session: Hashable) -> dict[str, int]:
-        """What all but this session have out, of all endpoints."""
-        return self._without(session, self.all(now))
+        """Calls in flight of all sessions but this one, for all endpoints."""
+        return self._subtract_session(session, self.total(now))
 
     def nearest(
         self, now: float, session: Hashable, zone: str, zone_of: Callable[[str], str]
     ) -> dict[str, int]:
-        """What all but this session have out, of the endpoints that a session of its zone is told of."""
-        told = self._sums.get(zone)
-        if told is None or now - told.at > SUMMED_S:
-            told = self._sums[zone] = _Report(now, _first(self.all(now), zone, zone_of))
-        return self._without(session, told.calls)
-
-    def _without(self, session: Hashable, calls: Mapping[str, int]) -> dict[str, int]:
-        left = {endpoint: count for endpoint, count in calls.items() if count > 0}
+        """Calls in flight of all sessions but this one, limited to what one update to its zone may carry."""
+        totals = self._zone_totals.get(zone)
+        if totals is None or now - totals.at > SUMMED_S:
+            totals = self._zone_totals[zone] = _Report(now, _limit_to_update(self.total(now), zone, zone_of))
+        return self._subtract_session(session, totals.calls)
+
+    def _subtract_session(self, session: Hashable, calls: Mapping[str, int]) -> dict[str, int]:
+        remaining = {endpoint: count for endpoint, count in calls.items() if count > 0}
         report = self._reports.get(session)
         for endpoint, count in report.calls.items() if report is not None else ():
-            if endpoint in left:
-                left[endpoint] -= count
-                if left[endpoint] <= 0:
-                    del left[endpoint]
-        return left
+            if endpoint in remaining:
+                remaining[endpoint] -= count
+                if remaining[endpoint] <= 0:
+                    del remaining[endpoint]
+        return remaining
 
 
-def _first(calls: dict[str, int], zone: str, zone_of: Callable[[str], str]) -> dict[str, int]:
-    """Those that one update tells of."""
+def _limit_to_update(calls: dict[str, int], zone: str, zone_of: Callable[[str], str]) -> dict[str, int]:
+    """Limit the endpoints to what one update may carry, those in the zone first."""
     if len(calls) <= MOST_TOLD:
         return calls
-    found = sorted(calls, key=lambda endpoint: zone_of(endpoint) != zone)
-    return {endpoint: calls[endpoint] for endpoint in found[:MOST_TOLD]}
+    ordered = sorted(calls, key=lambda endpoint: zone_of(endpoint) != zone)
+    return {endpoint: calls[endpoint] for endpoint in ordered[:MOST_TOLD]}
--- a/eiderhub/control/messages.py
+++ b/eiderhub/control/messages.py
@@ -1,4 +1,4 @@
-"""Messages of sessions with control nodes."""
+"""Messages of sessions between control nodes and other processes."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 class TableVersion(NamedTuple):
-    """Orders the states of a table that is rebuilt by each primary."""
+    """The version of a table that each primary rebuilds: ordered by epoch, then by number."""
 
     epoch: int
     number: int
 
 
 class NodeRecord(Struct, array_like=True, frozen=True):
-    """A process that has a session."""
+    """A process that has a session with a control node."""
 
     name: str
     role: str  # edge, control or storage
     zone: str
-    identity: str = ""  # of its replica, where it has one: id@host:port
+    identity: str = ""  # of its replica, if it has one: id@host:port
     wire_version: int = UNTOLD_VERSION
 
 
 class EndpointRecord(Struct, array_like=True, frozen=True):
-    """One entry of the platform's list."""
+    """An entry of the platform's endpoint list."""
 
     id: str
     service: str
@@ -38,66 +38,66 @@
 
 
 class Retirement(Struct, array_like=True, frozen=True):
-    """A storage node that is to be emptied."""
+    """A storage node that is being drained of data."""
 
     node: str
-    identities: list[str]  # of its replica, and of those that came in its place when its disk was lost
+    identities: list[str]  # of its replica, and of any that replaced it after a disk loss
     done: bool
 
 
 class Hello(Struct, tag=True, frozen=True):
-    """First message of a connection between replicas, from either side."""
+    """The first message of each side on a connection between replicas."""
 
     node: NodeRecord
     support: WireSupport = UNTOLD
 
 
 class SessionOpen(Struct, tag=True, frozen=True):
-    """First message of a session with a control node."""
+    """The first message of a session with a control node."""
 
     node: NodeRecord
     support: WireSupport = UNTOLD
 
 
 class SessionAccepted(Struct, tag=True, frozen=True):
-    """The control node's answer to `SessionOpen`, where the other side takes it: what the node speaks."""
+    """The answer to `SessionOpen`: the control node's wire support. Sent only to peers that support it."""
 
     support: WireSupport
 
 
 class StorageReport(Struct, array_like=True, frozen=True):
-    """What the storage group's primary tells of its group, all of it committed."""
+    """The committed state of the storage group, reported by its primary."""
 
     members: list[str]
     barred: list[str]  # identities that the group will never admit
-    synced: bool  # whether all members have all that is committed
+    synced: bool  # whether all members have all committed writes
 
 
 class SessionPing(Struct, tag=True, frozen=True):
-    """Keeps a session alive and acknowledges what has been applied."""
+    """Keeps a session alive and acknowledges the table versions that have been applied."""
 
     generation: int  # of the configuration in force
     endpoints: TableVersion
     nodes: TableVersion
     spending: TableVersion = TableVersion(0, 0)
-    attached: list[NodeRecord] = []  # sessions that a control node holds for the primary
+    attached: list[NodeRecord] = []  # nodes with a session at the sending control node
     group: StorageReport | None = None  # from the storage group's primary
-    sent_at: float = 0.0  # sender's clock, in seconds; returned with the answer
-    calls: dict[str, int] = {}  # that are out now, by endpoint; of a control node: over its own sessions
+    sent_at: float = 0.0  # sender's clock, in seconds; echoed in `SessionPong`
+    calls: dict[str, int] = {}  # in flight, by endpoint; a control node sends the sum over its sessions
 
 
 class SessionPong(Struct, tag=True, frozen=True):
-    """What this session has been sent before it is what the primary had `age_s` seconds ago, or newer.
+    """Confirms the age of the tables that were sent on this session before this message.
 
-    None: the control node can't tell.
+    They are what the primary had `age_s` seconds ago, or newer. None: the control node cannot tell.
     """
 
-    sent_at: float  # of the ping that it answers
+    sent_at: float  # copied from the ping
     age_s: float | None
 
 
 class LoadUpdate(Struct, tag=True, frozen=True):
-    """Calls that all other processes have out, by endpoint; those that are not named have none."""
+    """Calls in flight of all other processes, by endpoint; endpoints that are not listed have none."""
 
     calls: dict[str, int]
 
@@ -113,11 +113,11 @@
 
 
 class ConfigurationDelta(Struct, tag=True, frozen=True):
-    """What changed from one generation to the next, as a patch."""
+    """The change from one generation to a later one, as a patch."""
 
     base: int
     generation: int
-    patch: bytes  # JSON, in the form of the operator's PATCH
+    patch: bytes  # JSON, in the format of the operator's PATCH requests
 
 
 class EndpointsDelta(Struct, tag=True, frozen=True):
@@ -128,27 +128,27 @@
 
 
 class NodesUpdate(Struct, tag=True, frozen=True):
-    """Who is there: control and storage nodes by name, sidecars by their number alone."""
+    """The running processes: control and storage nodes by name, sidecars as a count."""
 
     version: TableVersion
     nodes: list[NodeRecord]
     sidecars: int
-    storage_group: list[str]  # the members that it was founded with; empty: not founded
+    storage_group: list[str]  # the members that it was bootstrapped with; empty: not yet bootstrapped
     retirements: list[Retirement]
-    wire_versions: dict[str, int] = {}  # how many processes speak each
+    wire_versions: dict[str, int] = {}  # number of processes by wire version
 
 
 class SpendingUpdate(Struct, tag=True, frozen=True):
-    """The tenants whose spending cap has run out."""
+    """The tenants whose spending cap is used up."""
 
     version: TableVersion
     exhausted: list[str]
 
 
 class LeaseRequest(Struct, tag=True, frozen=True):
-    """A process asks for tokens of a tenant's cap; below 0: it gives so many back, and no answer is due."""
+    """Requests tokens of a tenant's cap. A negative number returns tokens, and is not answered."""
 
-    origin: str  # set by the control node that passes it on to the primary
+    origin: str  # set by the control node that forwards the request to the primary
     tenant: str
     tokens: int
 
--- a/eiderhub/control/platform.py
+++ b/eiderhub/control/platform.py
@@ -1,4 +1,7 @@
-"""Reads the platform's list of endpoints, whole, by urllib3 in a thread of its own."""
+"""Reads the complete endpoint list from the platform's HTTP API.
+
+The calls block; callers run them in a separate thread.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +11,10 @@
 
 from eiderhub.control.messages import EndpointRecord
 
-READ_S = 0.6  # for one page
+REQUEST_TIMEOUT_S = 0.6  # per page
 
 
-class Listed(msgspec.Struct):
+class Instance(msgspec.Struct):
     id: str
     backend: str
     address: str
@@ -21,17 +24,17 @@
 
 
 class Page(msgspec.Struct):
-    instances: list[Listed]
+    instances: list[Instance]
     next_token: str | None = None
 
 
 class PlatformUnavailable(Exception):
-    """The list could not be read whole."""
+    """The endpoint list could not be read completely."""
 
 
 class PlatformReader:
     def __init__(self, target: str) -> None:
-        self._base = f"http://{target}/instances"
+        self._url = f"http://{target}/instances"
         self._pool: Any = None
         self._decode = msgspec.json.Decoder(Page).decode
 
@@ -39,29 +42,29 @@
         """All pages of the list.
 
         Raises:
-            PlatformUnavailable: a page did not come.
+            PlatformUnavailable: a page could not be read.
         """
-        import urllib3  # only a primary reads the list; the others come up sooner without it
+        import urllib3  # only the primary needs it; other nodes start faster without it
 
         if self._pool is None:
-            timeout = urllib3.Timeout(connect=READ_S, read=READ_S)
+            timeout = urllib3.Timeout(connect=REQUEST_TIMEOUT_S, read=REQUEST_TIMEOUT_S)
             self._pool = urllib3.PoolManager(num_pools=1, maxsize=1, timeout=timeout, retries=False)
-        found: dict[str, EndpointRecord] = {}
+        endpoints: dict[str, EndpointRecord] = {}
         token: str | None = None
         while True:
             fields = {"page_token": token} if token else None
             try:
-                answer = self._pool.request("GET", self._base, fields=fields)
-                if answer.status != 200:
-                    raise PlatformUnavailable(f"status {answer.status}")
-                page = self._decode(answer.data)
+                response = self._pool.request("GET", self._url, fields=fields)
+                if response.status != 200:
+                    raise PlatformUnavailable(f"platform answered with status {response.status}")
+                page = self._decode(response.data)
             except (urllib3.exceptions.HTTPError, OSError, msgspec.DecodeError) as error:
                 raise PlatformUnavailable(str(error)) from error
-            for each in page.instances:
-                ready = each.state == "ready"
-                found[each.id] = EndpointRecord(
-                    each.id, each.backend, each.address, each.zone, ready, each.capacity
+            for instance in page.instances:
+                ready = instance.state == "ready"
+                endpoints[instance.id] = EndpointRecord(
+                    instance.id, instance.backend, instance.address, instance.zone, ready, instance.capacity
                 )
             token = page.next_token
             if not token:
-                return [found[key] for key in sorted(found)]
+                return [endpoints[key] for key in sorted(endpoints)]
--- a/eiderhub/control/publication.py
+++ b/eiderhub/control/publication.py
@@ -1,14 +1,15 @@
-"""What a control node tells its sessions, and when it may tell it.
+"""What a control node sends to its sessions, and when it may send it.
 
-Pure. The primary tells what it has while it leads; a backup relays what the primary told it, for as long as
-that is fresh. A node that has not been in contact with a majority, or with a primary that has, tells nothing.
+This module does no I/O. The primary sends its tables while it leads; a backup relays the tables that it
+received from the primary while they are fresh. A node without recent contact to a majority, or to a primary
+with such contact, sends nothing.
 """
 
 from __future__ import annotations
 
 from typing import Any
 
-from eiderhub.control.desk import Desk, Newest
+from eiderhub.control.desk import CommittedConfiguration, Desk
 from eiderhub.control.distribution import Subscriber, Tables
 from eiderhub.control.freshness import Freshness
 from eiderhub.control.messages import ConfigurationUpdate, SessionPing, SessionPong, TableUpdate
@@ -16,37 +17,42 @@
 
 
 class Publication:
-    """Of one control node: `desk` has what is committed, `freshness` is of the session with the primary."""
+    """Publishes the tables of one control node.
 
-    def __init__(self, tables: Tables, freshness: Freshness, replica: Replica, desk: Desk[Any]) -> None:
+    `change_processor` has the committed configuration, `freshness` belongs to the session with the primary.
+    """
+
+    def __init__(
+        self, tables: Tables, freshness: Freshness, replica: Replica, change_processor: Desk[Any]
+    ) -> None:
         self._tables = tables
         self._freshness = freshness
         self._replica = replica
-        self._desk = desk
-        self._epoch = 0  # the last one that this node has led
-        self._published: Newest | None = None  # in that epoch
+        self._change_processor = change_processor
+        self._epoch = 0  # the last epoch that this node led
+        self._published: CommittedConfiguration | None = None  # configuration published in `_epoch`
 
     @property
     def epoch(self) -> int:
-        """The last epoch that this node has led, and whose tables it has."""
+        """The last epoch that this node led and built tables for."""
         return self._epoch
 
     def leads(self, now: float) -> bool:
-        """Whether this node leads, with the tables of its own epoch."""
+        """Whether this node leads and its tables belong to the current epoch."""
         return self._replica.leads(now) and self._epoch == self._replica.epoch
 
     def begin(self, now: float) -> bool:
-        """Whether this node leads an epoch that it has not led before; from now on its tables are of it."""
-        if self._epoch == self._replica.epoch or not self._desk.leads(now):
+        """Start publishing a new epoch if this node leads one; returns whether it does."""
+        if self._epoch == self._replica.epoch or not self._change_processor.leads(now):
             return False
         self._epoch = self._replica.epoch
         self._published = None
         self.follow(now)
         return True
 
-    def follow(self, now: float) -> Newest | None:
-        """Put the newest committed configuration into the tables; it, where it is new to this epoch."""
-        newest = self._desk.newest(now) if self.leads(now) else None
+    def follow(self, now: float) -> CommittedConfiguration | None:
+        """Put the newest committed configuration into the tables; returns it if it is new in this epoch."""
+        newest = self._change_processor.newest(now) if self.leads(now) else None
         if newest is None or newest == self._published:
             return None
         self._published = newest
@@ -54,16 +60,19 @@
         return newest
 
     def age(self, now: float) -> float | None:
-        """Seconds since what this node has was what the primary had; None: it must not be told."""
+        """The age in seconds of this node's tables behind the primary's; None if they must not be sent."""
         return 0.0 if self.leads(now) else self._freshness.age(now)
 
     def pending(self, now: float, subscriber: Subscriber) -> list[TableUpdate]:
-        """What the session lacks, where it may be told now."""
-        return subscriber.pending(self._tables) if self.age(now) is not None else []
+        """The updates that the session lacks, if this node may send them now."""
+        return subscriber.next_updates(self._tables) if self.age(now) is not None else []
 
     def answer(
         self, now: float, subscriber: Subscriber, ping: SessionPing
     ) -> list[TableUpdate | SessionPong]:
-        """What to send for a ping: what the session lacks comes before the answer that vouches for it."""
+        """The messages that answer a ping.
+
+        Updates precede the pong, which confirms the age of everything that was sent before it.
+        """
         subscriber.acknowledge(ping)
         return [*self.pending(now, subscriber), SessionPong(ping.sent_at, self.age(now))]
--- a/eiderhub/control/retirement.py
+++ b/eiderhub/control/retirement.py
@@ -1,9 +1,10 @@
-"""Retirement of storage nodes: which orders there are, and when a machine and its disk may be taken away.
+"""Retirement of storage nodes: retire orders, and when a machine and its disk may be removed.
 
-Pure. An order names a machine and is kept by the identities of its replica: the one that it had, and any
-that comes in its place when its disk is lost before the order is done. It is done when the storage group
-itself has committed that it bars each of them and has no member on the machine, and all its members have all
-that is committed. What is barred stays so: no later primary of the group can make it a member again.
+This module does no I/O. An order names a machine and lists the identities of its replica: the one at the time
+of the order, and any that replaces it because the disk is lost before the order is done. An order is done
+once the storage group has committed that all these identities are barred, no member runs on the machine, and
+all members have all committed writes. Barring is permanent: no later primary of the group can admit a barred
+identity again.
 """
 
 from __future__ import annotations
@@ -29,7 +30,7 @@
 
 
 def read_orders(entries: Iterable[tuple[str, bytes]]) -> dict[str, RetireOrder]:
-    """Orders by machine, from the control state."""
+    """Decode the orders in the control state, by machine name."""
     decode = msgspec.json.Decoder(RetireOrder).decode
     return {key.removeprefix(RETIRE_PREFIX): decode(value) for key, value in entries}
 
@@ -39,27 +40,30 @@
 
 
 def is_repeat(order: RetireOrder | None, identity: str) -> bool:
-    """Whether an order for the machine that now has this identity stands already."""
+    """Whether this order already covers the machine that now has this identity.
+
+    A done order covers only the identities that it lists: a new machine may reuse the name.
+    """
     return order is not None and (not order.done or identity in order.identities)
 
 
 def is_empty(order: RetireOrder, report: StorageReport) -> bool:
-    """Whether the storage group holds nothing on the machine, and never will."""
-    places = {address_of(identity) for identity in order.identities}
+    """Whether the storage group has no data on the machine and can never place any there again."""
+    addresses = {address_of(identity) for identity in order.identities}
     barred = set(order.identities) <= set(report.barred)
-    absent = places.isdisjoint(address_of(member) for member in report.members)
+    absent = addresses.isdisjoint(address_of(member) for member in report.members)
     return report.synced and barred and absent
 
 
 def next_state(
     name: str, order: RetireOrder, nodes: Iterable[NodeRecord], report: StorageReport | None
 ) -> RetireOrder:
-    """The order as it stands now; `nodes` are the storage nodes that have sessions."""
+    """The order after a report; `nodes` are the storage nodes that have sessions."""
     if order.done:
         return order
-    new = [n.identity for n in nodes if n.name == name and n.identity not in order.identities]
-    if new:
-        return RetireOrder(order.identities + new)
+    new_identities = [n.identity for n in nodes if n.name == name and n.identity not in order.identities]
+    if new_identities:
+        return RetireOrder(order.identities + new_identities)
     if report is not None and is_empty(order, report):
         return RetireOrder(order.identities, done=True)
     return order
--- a/eiderhub/control/sessions.py
+++ b/eiderhub/control/sessions.py
@@ -1,6 +1,6 @@
-"""The session table: which processes there are, by the sessions that they keep with control nodes.
+"""The session table: the running processes, known by their sessions with control nodes.
 
-Pure. The primary merges the sessions of its own with those that other control nodes hold and report.
+This module does no I/O. The primary merges its own sessions with those that other control nodes report.
 """
 
 from __future__ import annotations
@@ -9,55 +9,57 @@
 
 from eiderhub.control.messages import NodeRecord
 
-SILENT_S = 1.5  # a session that says nothing for so long has ended
-SIDECAR = "edge"  # the role of those that are counted, not named
-RESTORED = "restored"  # stands for the reporter of what another primary knew
+SESSION_TIMEOUT_S = 1.5  # a session that is silent for longer has ended
+SIDECAR = "edge"  # role of sidecars, which are published as a count, not by name
+RESTORED_REPORTER = "restored"  # reporter name of the nodes restored from an earlier primary
 
 
 class SessionTable:
     def __init__(self) -> None:
-        self._own: dict[tuple[str, str], tuple[NodeRecord, float]] = {}  # by name and role; time heard
+        # By name and role, with the time when the node was last seen.
+        self._local: dict[tuple[str, str], tuple[NodeRecord, float]] = {}
         self._restored_sidecars = 0
-        self._reported: dict[str, tuple[list[NodeRecord], float]] = {}  # by the control node that reports
+        # By reporting control node, with the time of the report.
+        self._reported: dict[str, tuple[list[NodeRecord], float]] = {}
 
     def heard(self, now: float, node: NodeRecord) -> None:
-        self._own[node.name, node.role] = (node, now)
+        self._local[node.name, node.role] = (node, now)
 
     def report(self, now: float, reporter: str, nodes: list[NodeRecord]) -> None:
         self._reported[reporter] = (nodes, now)
 
     def restore(self, now: float, nodes: list[NodeRecord], sidecars: int) -> None:
-        """What another primary knew: it stands until its nodes would have said something."""
-        self._reported[RESTORED] = (nodes, now)
+        """Restore the nodes known to an earlier primary; they expire like the report of a control node."""
+        self._reported[RESTORED_REPORTER] = (nodes, now)
         self._restored_sidecars = sidecars
 
-    def ended(self, node: NodeRecord) -> None:
-        self._own.pop((node.name, node.role), None)
+    def remove(self, node: NodeRecord) -> None:
+        self._local.pop((node.name, node.role), None)
 
     def own(self, now: float) -> list[NodeRecord]:
-        """The nodes whose sessions end here."""
-        return [node for node, heard in self._own.values() if now - heard < SILENT_S]
+        """The nodes that have a session with this control node."""
+        return [node for node, last_seen in self._local.values() if now - last_seen < SESSION_TIMEOUT_S]
 
     def named(self, now: float) -> list[NodeRecord]:
-        """The control and storage nodes."""
+        """All control and storage nodes."""
         return [node for node in self.all(now) if node.role != SIDECAR]
 
     def sidecars(self, now: float) -> int:
-        """How many sidecars there are."""
+        """The number of sidecars, at least the restored number until that expires."""
         count = sum(node.role == SIDECAR for node in self.all(now))
-        restored_at = self._reported.get(RESTORED, ([], -SILENT_S))[1]
-        return max(count, self._restored_sidecars) if now - restored_at < SILENT_S else count
+        restored_at = self._reported.get(RESTORED_REPORTER, ([], -SESSION_TIMEOUT_S))[1]
+        return max(count, self._restored_sidecars) if now - restored_at < SESSION_TIMEOUT_S else count
 
-    def wire_versions(self, now: float, own: NodeRecord) -> dict[str, int]:
-        """How many processes speak each version, the primary's own among them."""
-        known = {(n.name, n.role): n for n in [*self.all(now), own]}
-        counts = Counter(node.wire_version for node in known.values())
+    def wire_versions(self, now: float, primary: NodeRecord) -> dict[str, int]:
+        """The number of processes by wire version, including the primary."""
+        processes = {(n.name, n.role): n for n in [*self.all(now), primary]}
+        counts = Counter(node.wire_version for node in processes.values())
         return {str(version): counts[version] for version in sorted(counts)}
 
     def all(self, now: float) -> list[NodeRecord]:
-        """Every node, in one order."""
-        found = {(n.name, n.role): n for n in self.own(now)}
-        for nodes, heard in self._reported.values():
-            if now - heard < SILENT_S:
-                found.update(((n.name, n.role), n) for n in nodes)
-        return [found[key] for key in sorted(found)]
+        """All nodes, ordered by name and role."""
+        by_key = {(n.name, n.role): n for n in self.own(now)}
+        for nodes, last_seen in self._reported.values():
+            if now - last_seen < SESSION_TIMEOUT_S:
+                by_key.update(((n.name, n.role), n) for n in nodes)
+        return [by_key[key] for key in sorted(by_key)]
--- a/eiderhub/control/spending.py
+++ b/eiderhub/control/spending.py
@@ -1,8 +1,8 @@
-"""Spending caps of tenants: tokens are leased to the processes that take work, and never more than the cap.
+"""Spending caps of tenants: tokens are leased to the processes that accept work, never more than the cap.
 
-Pure. A lease is written to the control state before it is given, so that no primary ever gives what another
-has given. A process charges work against its leases when it takes it; what it has taken is paid for and is
-carried through, whatever becomes of the cap.
+This module does no I/O. A lease is written to the control state before it is granted, so that a later primary
+never grants the same tokens again. A process charges work to its leases when it accepts it; accepted work is
+paid for and completes even if the cap is exhausted meanwhile.
 """
 
 from __future__ import annotations
@@ -15,9 +15,10 @@
 from eiderhub.coordination.messages import Write
 
 LEASED_PREFIX = "spending/"
-LEASE_SHARE = 0.02  # of what is left, at most, in one lease: it stops everywhere at nearly the same moment
-LEAST_LEASE = 2_000  # tokens, unless less is left
-MOST_CAP = 1 << 62  # tokens; what a configuration says beyond that is this
+# Fraction of the remaining tokens in one lease; small, so that all processes run out at nearly the same time.
+LEASE_RATIO = 0.02
+MIN_LEASE_TOKENS = 2_000  # unless fewer remain
+MAX_CAP_TOKENS = 1 << 62  # larger caps in a configuration are reduced to this
 
 
 class Tenant(NamedTuple):
@@ -27,17 +28,19 @@
 
 
 def tenants_of(document: Document) -> dict[str, Tenant]:
-    """The tenants of a configuration that have a cap, by name."""
-    found = {}
+    """The tenants of a configuration that have a spending cap, by name."""
+    tenants = {}
     for item in document.get("tenants", []):
         if "spending_cap_tokens" in item:
             routes = frozenset(item.get("routes", []))
-            found[item["name"]] = Tenant(item["name"], min(item["spending_cap_tokens"], MOST_CAP), routes)
-    return found
+            tenants[item["name"]] = Tenant(
+                item["name"], min(item["spending_cap_tokens"], MAX_CAP_TOKENS), routes
+            )
+    return tenants
 
 
-class Leased(NamedTuple):
-    """What a request for a lease comes to; `exhausted`: the cap has run out."""
+class LeaseDecision(NamedTuple):
+    """The decision on a lease request; `exhausted`: the cap is used up."""
 
     tokens: int
     exhausted: bool
@@ -45,14 +48,14 @@
 
 
 class SpendingLedger:
-    """What has been leased to each tenant's processes, and what is left."""
+    """The tokens leased and remaining for each tenant, on the primary."""
 
     def __init__(self) -> None:
         self._leased: dict[str, int] = {}
         self._tenants: dict[str, Tenant] = {}
 
     def load(self, stored: dict[str, bytes]) -> None:
-        """Begin with what earlier primaries have leased, by key."""
+        """Load the totals leased by earlier primaries, by key of the control state."""
         self._leased = {
             key.removeprefix(LEASED_PREFIX): msgspec.json.decode(value, type=int)
             for key, value in stored.items()
@@ -61,37 +64,37 @@
     def follow(self, tenants: dict[str, Tenant]) -> None:
         self._tenants = tenants
 
-    def left(self, name: str) -> int:
-        """Tokens of the cap that have not been leased."""
+    def remaining(self, name: str) -> int:
+        """The tokens of the cap that have not been leased."""
         tenant = self._tenants.get(name)
         return max(0, tenant.cap_tokens - self._leased.get(name, 0)) if tenant else 0
 
     def exhausted(self) -> list[str]:
-        """The tenants whose cap has run out."""
-        return sorted(name for name in self._tenants if self.left(name) == 0)
-
-    def lease(self, name: str, need: int) -> Leased:
-        """Tokens for work that needs so many. A need that is more than is left ends the tenant's spending."""
-        left = self.left(name)
-        if left == 0:
-            return Leased(0, True, [])
-        wanted = max(need, LEAST_LEASE, int(left * LEASE_SHARE))
-        tokens = min(wanted, left)
-        if tokens < need:  # the rest would pay for nothing that is asked: it is spent
-            return Leased(0, True, self._note(name, left))
-        return Leased(tokens, False, self._note(name, tokens))
+        """The tenants whose cap is used up."""
+        return sorted(name for name in self._tenants if self.remaining(name) == 0)
+
+    def lease(self, name: str, needed: int) -> LeaseDecision:
+        """Lease at least the needed tokens. If fewer remain, they are written off and the cap is used up."""
+        remaining = self.remaining(name)
+        if remaining == 0:
+            return LeaseDecision(0, True, [])
+        preferred = max(needed, MIN_LEASE_TOKENS, int(remaining * LEASE_RATIO))
+        tokens = min(preferred, remaining)
+        if tokens < needed:  # the rest cannot pay for the request, and is written off
+            return LeaseDecision(0, True, self._record(name, remaining))
+        return LeaseDecision(tokens, False, self._record(name, tokens))
 
     def give_back(self, name: str, tokens: int) -> list[Write]:
-        """A process that stops has not used all of its leases."""
-        return self._note(name, -min(tokens, self._leased.get(name, 0))) if name in self._tenants else []
+        """Return unused tokens of a lease to the cap; returns the writes."""
+        return self._record(name, -min(tokens, self._leased.get(name, 0))) if name in self._tenants else []
 
-    def _note(self, name: str, tokens: int) -> list[Write]:
+    def _record(self, name: str, tokens: int) -> list[Write]:
         self._leased[name] = self._leased.get(name, 0) + tokens
         return [Write(LEASED_PREFIX + name, msgspec.json.encode(self._leased[name]))]
 
 
 class LeasePurse:
-    """One process's leases, and the charges against them."""
+    """The leased tokens of one process, by tenant."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, int] = {}
@@ -101,18 +104,18 @@
         return name in self._exhausted
 
     def stop(self, names: frozenset[str]) -> None:
-        """These tenants' caps have run out: nothing more is charged, whatever is left here."""
+        """Set the tenants whose cap is used up. Their work is not charged any more, even if tokens remain."""
         self._exhausted = names
 
     def add(self, name: str, tokens: int) -> None:
         self._tokens[name] = self._tokens.get(name, 0) + tokens
 
     def charge(self, name: str, tokens: int) -> bool:
-        """Pay for work; false where the leases do not cover it."""
-        left = self._tokens.get(name, 0)
-        if name in self._exhausted or left < tokens:
+        """Charge work to the leases; returns False if they do not cover it."""
+        balance = self._tokens.get(name, 0)
+        if name in self._exhausted or balance < tokens:
             return False
-        self._tokens[name] = left - tokens
+        self._tokens[name] = balance - tokens
         return True
 
     def unspent(self) -> dict[str, int]:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration: what is invalid, how patches apply, who wins a race, what a repeat gets."""
+"""The operator's configuration: parsing, validation, patches, races between changes, and repeated changes."""
 
 from __future__ import annotations
 
@@ -18,8 +18,10 @@
 
 
 def route(name: str = "r", **fields: Any) -> Document:
-    made = {"name": name, "host": "h.example", "path_prefix": f"/{name}/", "timeout_ms": 1000, "backend": "s"}
-    return made | fields
+    defaults = {
+        "name": name, "host": "h.example", "path_prefix": f"/{name}/", "timeout_ms": 1000, "backend": "s"
+    }  # fmt: skip
+    return defaults | fields
 
 
 def document(generation: int = 1, *routes: Document) -> Document:
@@ -44,7 +46,7 @@
     ("no routes", {"generation": 2, "backends": []}),
     ("same generation", document(1)),
     ("older generation", document(0)),
-    ("generation is no number", document(2) | {"generation": "2"}),
+    ("generation is not a number", document(2) | {"generation": "2"}),
 ]
 
 
@@ -56,46 +58,46 @@
 @pytest.mark.parametrize(
     "body", [b'{"generation":1,"rou', b"", b"[]", b'{"generation":1,"generation":2}', b"\xff"]
 )
-def test_body_that_cannot_be_read_whole_is_refused(body: bytes) -> None:
+def test_malformed_body_is_refused(body: bytes) -> None:
     assert isinstance(configuration.read(body), Err)
 
 
-def test_first_configuration_builds_on_0() -> None:
+def test_first_configuration_has_base_0() -> None:
     assert isinstance(decide(None, 0, document(4)), Accepted)
     assert decide(None, 3, document(4)) is ErrorKind.STALE_VERSION
 
 
-def test_one_of_two_changes_on_the_same_version_wins() -> None:
+def test_only_one_of_two_changes_to_the_same_generation_is_accepted() -> None:
     first = decide(document(1), 1, document(2))
     assert isinstance(first, Accepted)
     assert decide(document(2), 1, document(3)) is ErrorKind.STALE_VERSION
     assert decide(document(2), 1, document(2, route("other"))) is ErrorKind.STALE_VERSION
 
 
-def test_change_that_was_taken_is_acknowledged_again_whoever_answers() -> None:
+def test_accepted_change_is_acknowledged_again_whatever_the_current_generation() -> None:
     body = document(2)
     taken = Change(1, False, json.dumps(body).encode()).digest
     assert decide(document(2), 1, body, taken) == Accepted(2, [])
     assert decide(document(9), 1, body, taken) == Accepted(2, [])
 
 
-def test_same_body_on_another_version_is_another_change() -> None:
+def test_same_body_with_another_base_is_a_different_change() -> None:
     body = document(2)
     taken = Change(0, False, json.dumps(body).encode()).digest
     assert decide(document(2), 1, body, taken) is ErrorKind.STALE_VERSION
 
 
-def test_patch_puts_in_replaces_and_removes_and_keeps_unknown_keys() -> None:
+def test_patch_adds_replaces_and_removes_items_and_keeps_unknown_keys() -> None:
     current = document(1, route("a"), route("b"), route("c", note="kept")) | {"extra": 1}
     patch = {
         "generation": 2,
         "upsert": {"routes": [route("b", timeout_ms=5), route("d")]},
         "remove": {"routes": ["a", "nowhere"]},
     }
-    made = configuration.patched(current, patch).unwrap()
-    assert [(r["name"], r["timeout_ms"]) for r in made["routes"]] == [("b", 5), ("c", 1000), ("d", 1000)]
-    assert made["routes"][1]["note"] == "kept"
-    assert made["extra"] == 1
+    body = configuration.apply_patch(current, patch).unwrap()
+    assert [(r["name"], r["timeout_ms"]) for r in body["routes"]] == [("b", 5), ("c", 1000), ("d", 1000)]
+    assert body["routes"][1]["note"] == "kept"
+    assert body["extra"] == 1
     assert isinstance(decide(current, 1, patch, patch=True), Accepted)
 
 
@@ -109,37 +111,37 @@
         {"generation": 1},
     ],
 )
-def test_patch_that_leaves_an_invalid_configuration_is_refused(patch: Document) -> None:
+def test_patch_that_results_in_an_invalid_configuration_is_refused(patch: Document) -> None:
     assert decide(document(1), 1, patch, patch=True) is ErrorKind.INVALID
 
 
-def test_patch_needs_a_configuration() -> None:
+def test_patch_without_a_current_configuration_is_refused() -> None:
     assert decide(None, 0, {"generation": 2}, patch=True) is ErrorKind.INVALID
 
 
 def body_with(raw: str) -> bytes:
-    """A configuration whose weight is this text."""
-    made = document(2, route(weighted_backends=[{"backend": "s", "weight": "HERE"}]))
-    return json.dumps(made).replace('"HERE"', raw).encode()
+    """A configuration document with this literal text as a weight."""
+    template = document(2, route(weighted_backends=[{"backend": "s", "weight": "HERE"}]))
+    return json.dumps(template).replace('"HERE"', raw).encode()
 
 
 UNREADABLE = {
     "NaN": body_with("NaN"),
     "Infinity": body_with("Infinity"),
     "-Infinity": body_with("-Infinity"),
-    "a number beyond a double": body_with("1e999"),
-    "a whole number beyond a double": body_with("1" + "0" * 400),
+    "a number out of range for a double": body_with("1e999"),
+    "an integer out of range for a double": body_with("1" + "0" * 400),
     "a lone surrogate": json.dumps(document(2, route(host="\ud800"))).encode(),
     "a lone surrogate in a key": json.dumps(document(2) | {"\udc00": 1}).encode(),
     "UTF-16": json.dumps(document(2)).encode("utf-16"),
     "UTF-32": json.dumps(document(2)).encode("utf-32"),
-    "bytes behind the document": json.dumps(document(2)).encode() + b"}",
+    "bytes after the document": json.dumps(document(2)).encode() + b"}",
     "deep nesting": b"[" * 100_000,
 }
 
 
 @pytest.mark.parametrize("why", UNREADABLE)
-def test_body_that_is_no_json_by_the_standard_is_refused(why: str) -> None:
+def test_body_that_violates_rfc_8259_is_refused(why: str) -> None:
     assert isinstance(configuration.read(UNREADABLE[why]), Err)
 
 
@@ -148,37 +150,37 @@
 
 
 KNOWN, UNKNOWN = {"backend": "s", "weight": 1}, {"backend": "other", "weight": 0}
-BEYOND_THE_LIST: list[tuple[str, Document]] = [
+FORBIDDEN: list[tuple[str, Document]] = [
     ("an unknown backend beside weights", document(2, route(backend="other", weighted_backends=[KNOWN]))),
     ("an unknown backend of weight 0", document(2, route(weighted_backends=[KNOWN, UNKNOWN]))),
-    ("a generation that is no whole number", document(2) | {"generation": 2.5}),
+    ("a generation that is not an integer", document(2) | {"generation": 2.5}),
     ("a generation that is true", document(2) | {"generation": True}),
-    ("a generation that no counter holds", document(2) | {"generation": 1 << 70}),
+    ("a generation beyond 64 bits", document(2) | {"generation": 1 << 70}),
 ]
 
 
-@pytest.mark.parametrize(("why", "body"), BEYOND_THE_LIST, ids=[why for why, _ in BEYOND_THE_LIST])
-def test_configuration_that_names_what_is_not_there_is_refused(why: str, body: Document) -> None:
+@pytest.mark.parametrize(("why", "body"), FORBIDDEN, ids=[why for why, _ in FORBIDDEN])
+def test_forbidden_references_and_generations_are_refused(why: str, body: Document) -> None:
     assert decide(document(1), 1, body) is ErrorKind.INVALID
 
 
 EXTREMES: dict[str, Document] = {
     "times": route(timeout_ms=1e308, slo_ms=1e-300, retention_s=1e308, completion_window_ms=1e308),
     "weights": route(weighted_backends=[{"backend": "s", "weight": 1e308}] * 2),
-    "whole numbers": route(priority=10**300, max_attempts=10**300, max_queued_tokens=10**300),
-    "least weight": route(weighted_backends=[{"backend": "s", "weight": 5e-324}]),
+    "integers": route(priority=10**300, max_attempts=10**300, max_queued_tokens=10**300),
+    "smallest weight": route(weighted_backends=[{"backend": "s", "weight": 5e-324}]),
     "a batch route": route(route_kind="batch", max_queued_tokens=1e308, completion_window_ms=1e-300),
 }
 
 
 @pytest.mark.parametrize("what", EXTREMES)
-def test_whatever_is_taken_can_be_served(what: str) -> None:
-    """Danger: what every process fails at when it reads it is in force nowhere, and stays so."""
-    made = document(2, EXTREMES[what])
-    made["backends"] = [{"name": "s", "max_connections": 10**300, "engine": {"capacity": 10**300}}]
-    made["tenants"] = [{"name": "t", "routes": ["r"], "spending_cap_tokens": 10**300}]
-    assert isinstance(decide(document(1), 1, made), Accepted)
-    table = RouteTable(2, made)
+def test_extreme_values_that_are_accepted_can_be_served(what: str) -> None:
+    """An accepted configuration that no process can load would come into force nowhere."""
+    body = document(2, EXTREMES[what])
+    body["backends"] = [{"name": "s", "max_connections": 10**300, "engine": {"capacity": 10**300}}]
+    body["tenants"] = [{"name": "t", "routes": ["r"], "spending_cap_tokens": 10**300}]
+    assert isinstance(decide(document(1), 1, body), Accepted)
+    table = RouteTable(2, body)
     found = table.by_name["r"]
     assert found.draw_service(random.Random(1)) == "s"
     request_class(found)
@@ -188,17 +190,17 @@
 
 
 @pytest.mark.parametrize("routes", [20, 400])
-def test_check_of_a_change_looks_at_what_it_changes(routes: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The primary's lease runs out meanwhile: a change of one route costs no more where there are many."""
+def test_only_changed_items_are_validated(routes: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Validating all routes of a large configuration for each change would let the primary's lease expire."""
     current = document(1, *(route(f"r{number}") for number in range(routes)))
     checked: list[int] = []
-    errors_of = configuration.schema_errors
+    original_schema_errors = configuration.schema_errors
 
-    def counted(made: Document) -> Any:
-        checked.append(sum(len(made.get(kind, [])) for kind in configuration.LISTS))
-        return errors_of(made)
+    def counting_schema_errors(body: Document) -> Any:
+        checked.append(sum(len(body.get(kind, [])) for kind in configuration.NAMED_LISTS))
+        return original_schema_errors(body)
 
-    monkeypatch.setattr(configuration, "schema_errors", counted)
+    monkeypatch.setattr(configuration, "schema_errors", counting_schema_errors)
     patch = {"generation": 2, "upsert": {"routes": [route("r7", timeout_ms=5), route("new")]}}
     assert isinstance(decide(current, 1, patch, patch=True), Accepted)
     assert checked == [2]
@@ -207,10 +209,10 @@
     assert checked == [2, 1]
 
 
-def test_fault_is_told_by_its_place_in_the_whole_document() -> None:
+def test_schema_error_path_refers_to_the_full_document() -> None:
     routes = [route(f"r{number}") for number in range(9)]
     change = Change(1, False, b"")
-    made = document(2, *routes[:7], route("r7", timeout_ms=-1), *routes[8:])
-    refused = configuration.decide(document(1, *routes), None, 0, change, made)
+    body = document(2, *routes[:7], route("r7", timeout_ms=-1), *routes[8:])
+    refused = configuration.decide(document(1, *routes), None, 0, change, body)
     assert isinstance(refused, Err)
     assert refused.err_value.why.startswith("$.routes[7].timeout_ms")
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -1,4 +1,4 @@
-"""Freshness, retirement, the desk, and a state that many changes have passed through."""
+"""Freshness, retirement, configuration changes, and bounds on the stored state after many changes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from eiderhub.batch.jobs import BatchTerms, JobTable
 from eiderhub.control import configuration, retirement
-from eiderhub.control.configuration import FORGOTTEN_KEY, TAKEN_PREFIX, Change
+from eiderhub.control.configuration import LAST_PURGED_KEY, TAKEN_PREFIX, Change
 from eiderhub.control.desk import Desk, Outcome
 from eiderhub.control.freshness import FRESH_S, Freshness
 from eiderhub.control.messages import NodeRecord, StorageReport
@@ -26,21 +26,21 @@
 # --- freshness ---
 
 
-def test_answer_that_is_read_late_says_nothing_of_the_time_since() -> None:
+def test_age_counts_from_the_ping_however_late_the_answer_is_read() -> None:
     freshness = Freshness()
-    freshness.answered(sent_at=10.0, age_s=0.0)  # read when the process wakes, twenty seconds later
+    freshness.answered(sent_at=10.0, age_s=0.0)  # read after the process was suspended for 20 s
     assert freshness.age(10.5) == 0.5
     assert freshness.age(30.0) is None
 
 
-def test_age_of_what_the_answerer_knows_is_added() -> None:
+def test_age_of_the_answering_nodes_tables_is_added() -> None:
     freshness = Freshness()
     freshness.answered(sent_at=10.0, age_s=0.6)
     assert freshness.age(10.2) == pytest.approx(0.8)
     assert not freshness.is_fresh(10.0 - 0.6 + FRESH_S)
 
 
-def test_node_that_cannot_vouch_changes_nothing() -> None:
+def test_answer_without_an_age_is_ignored() -> None:
     freshness = Freshness()
     freshness.answered(sent_at=10.0, age_s=None)
     assert freshness.age(10.0) is None
@@ -57,20 +57,20 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "empty"),
+    ("storage_report", "empty"),
     [
         (report([OTHER], [OLD]), True),
-        (report([OTHER], []), False),  # a later primary could admit it
+        (report([OTHER], []), False),  # not barred: a later primary could admit it
         (report([OTHER, OLD], [OLD]), False),
-        (report([OTHER, NEW], [OLD]), False),  # it came back with another disk, and belongs again
+        (report([OTHER, NEW], [OLD]), False),  # rejoined with a new disk
         (report([OTHER], [OLD], synced=False), False),
     ],
 )
-def test_machine_is_empty_once_the_group_has_barred_it(told: StorageReport, empty: bool) -> None:
-    assert retirement.is_empty(ORDER, told) is empty
+def test_machine_is_empty_once_the_group_has_barred_it(storage_report: StorageReport, empty: bool) -> None:
+    assert retirement.is_empty(ORDER, storage_report) is empty
 
 
-def test_disk_that_is_lost_meanwhile_retires_too() -> None:
+def test_identity_that_replaces_a_lost_disk_is_added_to_the_order() -> None:
     node = NodeRecord("m1", "storage", "z", NEW)
     order = retirement.next_state("m1", ORDER, [node], report([OTHER], [OLD]))
     assert order == RetireOrder([OLD, NEW])
@@ -79,18 +79,18 @@
     assert retirement.next_state("m1", order, [node], report([OTHER], [OLD, NEW])).done
 
 
-def test_second_machine_under_a_name_is_an_order_of_its_own() -> None:
+def test_order_for_another_machine_with_the_same_name_is_not_a_duplicate() -> None:
     done = RetireOrder([OLD], done=True)
     assert retirement.is_repeat(done, OLD)
     assert not retirement.is_repeat(done, NEW)
-    assert retirement.is_repeat(ORDER, NEW)  # the same machine, still under way
+    assert retirement.is_repeat(ORDER, NEW)  # the same machine, still being drained
 
 
-# --- the desk ---
+# --- configuration changes ---
 
 
-def alone(store: Any) -> Replica:
-    """The only member of its group, and its primary."""
+def single_replica(store: Any) -> Replica:
+    """The primary of a group with one member."""
     replica = Replica("a@1", store, 0.0, random.Random(1), GroupSize(None, 1))
     replica.bootstrap(["a@1"])
     replica.tick(5.0)
@@ -99,99 +99,101 @@
     return replica
 
 
-def order(desk: Desk[str], base: int, generation: int, author: str) -> tuple[Change, Outcome]:
+def submit_change(processor: Desk[str], base: int, generation: int, author: str) -> tuple[Change, Outcome]:
     change = Change(base, False, document(generation, author, base))
-    return change, send(desk, change)
+    return change, send(processor, change)
 
 
-def send(desk: Desk[str], change: Change) -> Outcome:
-    desk.submit(change, "caller")
-    (answer,) = desk.step(6.0)
+def send(processor: Desk[str], change: Change) -> Outcome:
+    processor.submit(change, "caller")
+    (answer,) = processor.step(6.0)
     return answer.outcome
 
 
-def test_one_of_two_changes_on_a_version_wins_and_both_may_be_sent_again() -> None:
+def test_conflicting_changes_get_the_same_answers_when_sent_again() -> None:
     store = MemoryStore()
-    desk: Desk[str] = Desk(alone(store), store)
-    won, first = order(desk, 0, 1, "ann")
-    lost, second = order(desk, 0, 1, "ben")
+    processor: Desk[str] = Desk(single_replica(store), store)
+    accepted, first = submit_change(processor, 0, 1, "ann")
+    refused, second = submit_change(processor, 0, 1, "ben")
     assert (first, second) == (Outcome.ACKNOWLEDGED, Outcome.REFUSED)
-    assert order(desk, 1, 2, "ann")[1] is Outcome.ACKNOWLEDGED
-    assert send(desk, won) is Outcome.ACKNOWLEDGED
-    assert send(desk, lost) is Outcome.REFUSED
+    assert submit_change(processor, 1, 2, "ann")[1] is Outcome.ACKNOWLEDGED
+    assert send(processor, accepted) is Outcome.ACKNOWLEDGED
+    assert send(processor, refused) is Outcome.REFUSED
 
 
-def test_desk_of_a_replica_that_does_not_lead_answers_and_tells_nothing() -> None:
+def test_replica_that_does_not_lead_rejects_changes_and_reads() -> None:
     store = MemoryStore()
     replica = Replica("a@1", store, 0.0, random.Random(1))
     replica.bootstrap(["a@1", "b@2", "c@3"])
-    desk: Desk[str] = Desk(replica, store)
-    assert order(desk, 0, 1, "ann")[1] is Outcome.NOT_PRIMARY
-    assert desk.newest(6.0) is None
+    processor: Desk[str] = Desk(replica, store)
+    assert submit_change(processor, 0, 1, "ann")[1] is Outcome.NOT_PRIMARY
+    assert processor.newest(6.0) is None
 
 
-def test_change_that_is_written_and_not_committed_is_neither_read_nor_acknowledged_again() -> None:
+def test_uncommitted_change_is_neither_read_nor_acknowledged_again() -> None:
     store = MemoryStore()
-    replica = alone(store)
-    desk: Desk[str] = Desk(replica, store)
-    change, _ = order(desk, 0, 1, "ann")
-    replica._members = frozenset({"a@1", "b@2", "c@3"})  # from here on nothing is committed
+    replica = single_replica(store)
+    processor: Desk[str] = Desk(replica, store)
+    change, _ = submit_change(processor, 0, 1, "ann")
+    replica._members = frozenset({"a@1", "b@2", "c@3"})  # no quorum: nothing more is committed
     replica._lease.end = lambda members: float("inf")  # type: ignore[method-assign]
     later = Change(1, False, document(2, "ann", 1))
-    desk.submit(later, "first")
-    desk.submit(later, "again")
-    assert desk.step(6.0) == []
-    newest = desk.newest(6.0)
+    processor.submit(later, "first")
+    processor.submit(later, "again")
+    assert processor.step(6.0) == []
+    newest = processor.newest(6.0)
     assert newest is not None and newest.generation == 1
     assert store.get(f"{TAKEN_PREFIX}2") == later.digest
     assert change.digest != later.digest
 
 
-# --- a state that many changes have passed through ---
+# --- stored state after many changes ---
 
 CHANGES = 5_000
 KEPT, PURGED = 400, 50
 
 
 @pytest.fixture
-def short_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(configuration, "KEPT_CHANGES", KEPT)
-    monkeypatch.setattr(configuration, "PURGED_CHANGES", PURGED)
+def few_retained_changes(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(configuration, "RETAINED_CHANGES", KEPT)
+    monkeypatch.setattr(configuration, "PURGE_BATCH", PURGED)
 
 
-def test_state_stays_bounded_and_no_change_that_was_taken_is_ever_refused(short_memory: None) -> None:
+def test_state_is_bounded_and_no_accepted_change_is_ever_refused(few_retained_changes: None) -> None:
     store = MemoryStore()
-    desk: Desk[str] = Desk(alone(store), store)
+    processor: Desk[str] = Desk(single_replica(store), store)
     changes = []
     for generation in range(1, CHANGES + 1):
-        change, outcome = order(desk, generation - 1, generation, "ann")
+        change, outcome = submit_change(processor, generation - 1, generation, "ann")
         assert outcome is Outcome.ACKNOWLEDGED
         changes.append(change)
     assert sum(key.startswith(TAKEN_PREFIX) for key in store.data) <= KEPT + PURGED
-    forgotten = int(store.get(FORGOTTEN_KEY) or 0)
-    assert forgotten >= CHANGES - KEPT - PURGED
-    for generation in (1, 2, forgotten, forgotten + 1, CHANGES - 1, CHANGES):
-        outcome = send(desk, changes[generation - 1])
-        known = generation > forgotten
+    last_purged = int(store.get(LAST_PURGED_KEY) or 0)
+    assert last_purged >= CHANGES - KEPT - PURGED
+    for generation in (1, 2, last_purged, last_purged + 1, CHANGES - 1, CHANGES):
+        outcome = send(processor, changes[generation - 1])
+        known = generation > last_purged
         assert outcome is (Outcome.ACKNOWLEDGED if known else Outcome.UNKNOWN)
-    lost = Change(0, False, document(1, "ben", 0))
-    assert send(desk, lost) is not Outcome.ACKNOWLEDGED
+    never_accepted = Change(0, False, document(1, "ben", 0))
+    assert send(processor, never_accepted) is not Outcome.ACKNOWLEDGED
 
 
-def test_desk_of_the_next_epoch_remembers_the_same_changes(short_memory: None) -> None:
+def test_next_primary_recognises_the_same_changes(few_retained_changes: None) -> None:
     store = MemoryStore()
-    desk: Desk[str] = Desk(alone(store), store)
-    changes = [order(desk, g - 1, g, "ann")[0] for g in range(1, KEPT + 2 * PURGED)]
-    again: Desk[str] = Desk(alone(store), store)
-    forgotten = int(store.get(FORGOTTEN_KEY) or 0)
-    assert forgotten
+    processor: Desk[str] = Desk(single_replica(store), store)
+    changes = [submit_change(processor, g - 1, g, "ann")[0] for g in range(1, KEPT + 2 * PURGED)]
+    next_processor: Desk[str] = Desk(single_replica(store), store)
+    last_purged = int(store.get(LAST_PURGED_KEY) or 0)
+    assert last_purged
     for generation, change in enumerate(changes, 1):
-        expected = Outcome.ACKNOWLEDGED if generation > forgotten else Outcome.UNKNOWN
-        assert send(again, change) is expected
+        expected = Outcome.ACKNOWLEDGED if generation > last_purged else Outcome.UNKNOWN
+        assert send(next_processor, change) is expected
 
 
-def test_thousands_of_changes_then_restart_wipe_and_a_snapshot(tmp_path: Path, short_memory: None) -> None:
-    """One replica restarts on its disk, another begins with none and is sent the whole state."""
+def test_state_of_many_changes_survives_a_restart_and_a_snapshot(
+    tmp_path: Path, few_retained_changes: None
+) -> None:
+    """One replica restarts with its disk; another starts with an empty disk and receives a snapshot."""
     store = LmdbStore(tmp_path / "a", 32.0, "a@1")
     for version in range(2, CHANGES + 2):
         writes = [Write("config/current", b"%d" % version), Write(f"{TAKEN_PREFIX}{version}", b"digest")]
@@ -199,46 +201,46 @@
             writes.append(Write(f"{TAKEN_PREFIX}{version - KEPT}", None))
         if version % 100 == 0 or version > CHANGES - 10:
             store.apply([Update(Position(1, version), writes)])
-    kept = dict(store.scan(""))
+    expected = dict(store.scan(""))
     store.close()
-    again = LmdbStore(tmp_path / "a", 32.0, "other@1")
-    assert dict(again.scan("")) == kept
-    wiped = LmdbStore(tmp_path / "b", 32.0, "b@2")
-    assert wiped.position == NOWHERE
+    reopened = LmdbStore(tmp_path / "a", 32.0, "other@1")
+    assert dict(reopened.scan("")) == expected
+    receiver = LmdbStore(tmp_path / "b", 32.0, "b@2")
+    assert receiver.position == NOWHERE
     after, first = "", True
     while True:
-        chunk = again.chunk(after, 200)
-        wiped.stage(chunk.entries, Staged(again.position, chunk.through), first)
+        chunk = reopened.chunk(after, 200)
+        receiver.stage(chunk.entries, Staged(reopened.position, chunk.through), first)
         after, first = chunk.through, False
         if chunk.last:
             break
-    wiped.install_staged()
-    assert dict(wiped.scan("")) == kept
-    assert wiped.position == again.position
+    receiver.install_staged()
+    assert dict(receiver.scan("")) == expected
+    assert receiver.position == reopened.position
 
 
 # --- finished batch jobs ---
 
 
-def test_job_is_forgotten_once_nobody_may_ask_for_it() -> None:
+def test_job_is_purged_after_its_retention_period() -> None:
     store = MemoryStore()
     table = JobTable(store)
     terms = BatchTerms("r", 10.0, 100.0, 2, 0)
     item = {"id": "i", "path": "/", "headers": {}, "body": "", "tokens": 1}
     body = json.dumps({"requests": [item]}).encode()
 
-    def keep(writes: Any) -> None:
+    def apply_writes(writes: Any) -> None:
         assert isinstance(writes, list)
         if writes:
             store.apply([Update(Position(1, store.position.version + 1), writes)])
 
-    for name, wall in (("ended", 0.0), ("open", 0.0), ("young", 100.0)):
-        keep(table.submit(wall, name, terms, body))
+    for name, wall_time in (("ended", 0.0), ("open", 0.0), ("young", 100.0)):
+        apply_writes(table.submit(wall_time, name, terms, body))
         table.accepted(name)
-    keep(table.end("ended"))
-    keep(table.end("young"))
+    apply_writes(table.end("ended"))
+    apply_writes(table.end("young"))
     assert table.purge(150.0, 120.0) == []
-    keep(table.purge(190.0, 120.0))
+    apply_writes(table.purge(190.0, 120.0))
     assert sorted(table.jobs) == ["open", "young"]
     assert table.purge(190.0, 120.0) == []
     assert not [key for key in store.data if "ended" in key]
--- a/tests/test_kept_list.py
+++ b/tests/test_kept_list.py
@@ -1,43 +1,43 @@
-"""The endpoint list that a primary begins with after a loss of all."""
+"""The stored endpoint list, which a primary starts with after all nodes have lost power."""
 
 from __future__ import annotations
 
 from eiderhub.control.kept_list import LIST_KEY, provisional_list, writes_of
 from eiderhub.control.messages import EndpointRecord, EndpointsUpdate, TableVersion
 
-LISTED = [
+ENDPOINTS = [
     EndpointRecord("i-1", "s", "10.0.0.1:80", "z", True, 8),
     EndpointRecord("i-2", "s", "h:1", "y", False, 8),
 ]
-NOTHING = EndpointsUpdate(TableVersion(0, 0), [])
+NO_ENDPOINTS = EndpointsUpdate(TableVersion(0, 0), [])
 
 
-class Kept(dict[str, bytes]):
-    """A store that has what the writes put there."""
+class FakeState(dict[str, bytes]):
+    """Control state in memory."""
 
-    def keep(self, listed: list[EndpointRecord]) -> int:
-        writes = writes_of(self, listed)
+    def store(self, endpoints: list[EndpointRecord]) -> int:
+        writes = writes_of(self, endpoints)
         self.update({write.key: write.value or b"" for write in writes})
         return len(writes)
 
 
-def test_what_is_kept_comes_back_to_a_primary_that_knows_nothing() -> None:
-    store = Kept()
-    assert provisional_list(store, NOTHING) is None
-    store.keep(LISTED)
-    assert provisional_list(store, NOTHING) == LISTED
+def test_stored_list_is_returned_to_a_primary_without_endpoints() -> None:
+    state = FakeState()
+    assert provisional_list(state, NO_ENDPOINTS) is None
+    state.store(ENDPOINTS)
+    assert provisional_list(state, NO_ENDPOINTS) == ENDPOINTS
 
 
-def test_a_primary_that_knows_endpoints_goes_on_with_those() -> None:
-    store = Kept()
-    store.keep(LISTED)
-    assert provisional_list(store, EndpointsUpdate(TableVersion(1, 4), LISTED[:1])) is None
+def test_stored_list_is_ignored_by_a_primary_with_endpoints() -> None:
+    state = FakeState()
+    state.store(ENDPOINTS)
+    assert provisional_list(state, EndpointsUpdate(TableVersion(1, 4), ENDPOINTS[:1])) is None
 
 
-def test_a_list_is_written_once_and_again_when_it_changes() -> None:
-    store = Kept()
-    assert [store.keep(LISTED), store.keep(LISTED), store.keep(LISTED[:1])] == [1, 0, 1]
+def test_list_is_written_only_when_it_changes() -> None:
+    state = FakeState()
+    assert [state.store(ENDPOINTS), state.store(ENDPOINTS), state.store(ENDPOINTS[:1])] == [1, 0, 1]
 
 
-def test_a_kept_list_that_cannot_be_read_is_passed_over() -> None:
-    assert provisional_list(Kept({LIST_KEY: b"\xc1 no list"}), NOTHING) is None
+def test_stored_list_that_cannot_be_decoded_is_ignored() -> None:
+    assert provisional_list(FakeState({LIST_KEY: b"\xc1 not a list"}), NO_ENDPOINTS) is None
--- a/tests/test_nearer_session.py
+++ b/tests/test_nearer_session.py
@@ -1,4 +1,4 @@
-"""A session with a control node of another zone moves to one of its own, and is never without meanwhile."""
+"""A session with a control node of another zone moves to a node of its own zone without an interruption."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 from eiderhub.transport.frames import Message
 from eiderhub.transport.framing import Connection
 
-BOUND_S = 10.0
+TIMEOUT_S = 10.0
 
 
-class ControlNode:
-    """Answers pings, and notes who opens a session."""
+class FakeControlNode:
+    """Answers pings, and signals when a session is opened, answered and closed."""
 
     def __init__(self, zone: str) -> None:
         self.zone = zone
-        self.age_s: float | None = 0.0  # of what it tells; None: it can't tell
+        self.age_s: float | None = 0.0  # age of its tables; None: it cannot tell
         self.opened = asyncio.Event()
         self.ended = asyncio.Event()
         self.answered = asyncio.Event()
@@ -53,9 +53,9 @@
     def on_closed(self, connection: Connection) -> None:
         self.ended.set()
 
-    async def answers(self, times: int) -> None:
-        """Returns once it has answered so many more pings."""
-        for _ in range(times):
+    async def answer_pings(self, count: int) -> None:
+        """Wait until this many more pings have been answered."""
+        for _ in range(count):
             self.answered.clear()
             await self.answered.wait()
 
@@ -65,13 +65,13 @@
 
 
 @pytest.fixture(autouse=True)
-def searches_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def short_intervals(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(control_session, "NEARER_S", 0.0)
     monkeypatch.setattr(control_session, "PING_S", 0.01)
 
 
 @asynccontextmanager
-async def session_with(seed: ControlNode, tables: Tables) -> AsyncIterator[ControlSession]:
+async def session_with(seed: FakeControlNode, tables: Tables) -> AsyncIterator[ControlSession]:
     session = ControlSession(
         NodeRecord("e", "edge", "a"),
         tables,
@@ -84,12 +84,12 @@
         session.task.cancel()
 
 
-def run(test: Callable[[ControlNode, ControlNode], Awaitable[None]]) -> None:
+def run(test: Callable[[FakeControlNode, FakeControlNode], Awaitable[None]]) -> None:
     async def started() -> None:
-        near, far = ControlNode("a"), ControlNode("b")
+        near, far = FakeControlNode("a"), FakeControlNode("b")
         await near.start()
         await far.start()
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await test(near, far)
         near.stop()
         far.stop()
@@ -97,16 +97,16 @@
     asyncio.run(started())
 
 
-def tell(tables: Tables, *nodes: ControlNode) -> None:
+def publish_nodes(tables: Tables, *nodes: FakeControlNode) -> None:
     tables.apply(NodesUpdate(TableVersion(1, 1), [node.record for node in nodes], 1, [], []))
 
 
-def test_a_session_moves_to_a_node_of_its_own_zone_once_that_is_known() -> None:
-    async def test(near: ControlNode, far: ControlNode) -> None:
+def test_session_moves_to_a_node_of_its_own_zone_once_it_is_known() -> None:
+    async def test(near: FakeControlNode, far: FakeControlNode) -> None:
         tables = Tables()
         async with session_with(far, tables) as session:
             await far.answered.wait()
-            tell(tables, near, far)
+            publish_nodes(tables, near, far)
             await near.answered.wait()
             await far.ended.wait()
             assert session.connection is not None and session.connection.peer_zone == "a"
@@ -114,41 +114,41 @@
     run(test)
 
 
-def test_a_session_stays_where_the_nearer_node_takes_no_connection() -> None:
-    async def test(near: ControlNode, far: ControlNode) -> None:
+def test_session_stays_if_the_nearer_node_refuses_connections() -> None:
+    async def test(near: FakeControlNode, far: FakeControlNode) -> None:
         near.stop()
         tables = Tables()
         async with session_with(far, tables) as session:
             await far.answered.wait()
-            tell(tables, near, far)
-            await far.answers(20)
+            publish_nodes(tables, near, far)
+            await far.answer_pings(20)
             assert not far.ended.is_set()
             assert session.connection is not None and session.connection.peer_zone == "b"
 
     run(test)
 
 
-def test_a_session_with_a_near_node_stays() -> None:
-    async def test(near: ControlNode, far: ControlNode) -> None:
+def test_session_with_a_node_of_its_own_zone_stays() -> None:
+    async def test(near: FakeControlNode, far: FakeControlNode) -> None:
         tables = Tables()
-        tell(tables, near, far)
+        publish_nodes(tables, near, far)
         async with session_with(near, tables):
-            await near.answers(20)
+            await near.answer_pings(20)
             assert not far.opened.is_set() and not near.ended.is_set()
 
     run(test)
 
 
-def test_a_session_does_not_come_back_at_once_to_a_near_node_that_tells_nothing_new() -> None:
-    async def test(near: ControlNode, far: ControlNode) -> None:
+def test_session_does_not_return_at_once_to_a_near_node_with_stale_tables() -> None:
+    async def test(near: FakeControlNode, far: FakeControlNode) -> None:
         near.age_s = None
         tables = Tables()
         async with session_with(far, tables) as session:
             await far.answered.wait()
-            tell(tables, near, far)
-            await near.ended.wait()  # it was tried, and left
+            publish_nodes(tables, near, far)
+            await near.ended.wait()  # it was tried and left
             near.opened.clear()
-            await far.answers(20)
+            await far.answer_pings(20)
             assert not near.opened.is_set()
             assert session.connection is not None and session.connection.peer_zone == "b"
 
