--- a/eiderhub/batch/__init__.py
+++ b/eiderhub/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: acceptance, items, results and their positions, scheduling, quota."""
+"""Batch jobs: submission, items, results, scheduling and token quotas."""
--- a/eiderhub/batch/dispatch.py
+++ b/eiderhub/batch/dispatch.py
@@ -1,9 +1,9 @@
-"""Who runs which item: the storage primary's sessions with sidecars, compared with what they hold.
+"""Assigns items to sidecars, and reconciles the job table with the items that the sidecars report.
 
-Pure: it is told the time and what arrives, and leaves what is to be sent in `outbox`. Nothing is judged once
-and for all: a sidecar that has gone is looked for until its items have been taken back, and what a sidecar
-says that it holds is compared with the table again and again. So each item of a committed job is, within the
-bounds of docs/control-guarantees.md, held by a sidecar that says so, or waits to be given out.
+No I/O: callers pass the time and messages, and send what is put in `outbox`. Every check is repeated: a
+disconnected sidecar is tracked until its items have been reclaimed, and each report of a sidecar is compared
+with the table. So within the bounds of docs/control-guarantees.md each item of a committed job is held by a
+sidecar that reports it, or waits to be assigned.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from eiderhub.batch.jobs import Item, ItemState, JobTable
 from eiderhub.batch.messages import (
-    SILENT_S,
+    SESSION_TIMEOUT_S,
     BatchMessage,
     CancelItem,
     ItemFinished,
@@ -27,239 +27,244 @@
     WorkerReport,
     WorkerReported,
 )
-from eiderhub.batch.scheduler import Round, Scheduler
-from eiderhub.batch.turns import LateStarts, Turns, is_safe
-from eiderhub.batch.workers import Standing
+from eiderhub.batch.scheduler import AssignmentRound, Scheduler
+from eiderhub.batch.turns import JobOrder, LateStartBudget, is_progressing
+from eiderhub.batch.workers import WorkerHealth
 from eiderhub.coordination.messages import Write
 from eiderhub.coordination.wire import OWN_SUPPORT
 
-# While a job moves nowhere, sidecars not answered lately are asked so often to probe an endpoint.
-PROBE_S = 0.5
-RETURN_S = 0.8  # sidecars have so long to announce what they run, after a new primary or a lost session
+# While a job makes no progress, sidecars without a recent endpoint answer are asked this often to probe one.
+PROBE_INTERVAL_S = 0.5
+RECONNECT_GRACE_S = 0.8  # time to announce running items after a new primary or a lost session
 
 
 class Why(Enum):
-    """Why items were taken back from a sidecar."""
+    """Why items were reclaimed from a sidecar."""
 
     NOT_HELD = "does not hold"
-    GONE = "is gone with"
+    DISCONNECTED = "is gone with"
 
 
-class Repair(NamedTuple):
-    """Items that were taken back from a sidecar; for the log."""
+class ReclaimedItems(NamedTuple):
+    """Items that were reclaimed from a sidecar; for the log."""
 
     node: str
-    why: Why
+    reason: Why
     items: list[ItemKey]
 
 
 class Session:
     """One sidecar's session with this primary."""
 
-    __slots__ = ("heard_at", "node", "orders")
+    __slots__ = ("last_message_at", "node", "orders_sent")
 
     def __init__(self, node: str, now: float) -> None:
         self.node = node
-        self.heard_at = now
-        self.orders = 0  # `RunItem`s sent
+        self.last_message_at = now
+        self.orders_sent = 0  # number of `RunItem` messages
 
 
-class Outgoing(NamedTuple):
+class OutgoingMessage(NamedTuple):
     session: Session
     message: BatchMessage
 
 
 class Dispatcher:
-    """Of one storage node, while it leads."""
+    """The dispatcher of one storage node, in use while the node is the primary."""
 
     def __init__(self, table: JobTable) -> None:
         self.table = table
         self.scheduler = Scheduler(table.load_of)
-        self.outbox: list[Outgoing] = []
-        self.repairs: list[Repair] = []
+        self.outbox: list[OutgoingMessage] = []
+        self.repairs: list[ReclaimedItems] = []
         self._sessions: dict[str, Session] = {}  # by node
-        self._gone: dict[str, float] = {}  # nodes without a session, and when their items are taken back
+        # Nodes without a session, and when their items are reclaimed.
+        self._disconnected: dict[str, float] = {}
         self._epoch = 0
-        self._give_from = 0.0
-        self._late_starts = LateStarts()
-        self._next_probes = 0.0
+        self._assign_from = 0.0
+        self._late_start_budget = LateStartBudget()
+        self._next_probe_at = 0.0
 
     def begin(self, now: float, epoch: int) -> None:
-        """Lead a new epoch: the table is what the store holds, and sidecars say what they hold."""
+        """Start a new epoch: reload the table from the store; sidecars then announce their items."""
         self.table.load()
         self.scheduler.reset()
         self._epoch = epoch
-        self._gone.clear()
-        self._give_from = now + RETURN_S
+        self._disconnected.clear()
+        self._assign_from = now + RECONNECT_GRACE_S
 
     def _send(self, session: Session, message: BatchMessage) -> None:
-        self.outbox.append(Outgoing(session, message))
+        self.outbox.append(OutgoingMessage(session, message))
 
     # --- sessions ---
 
     def open(self, now: float, message: WorkerOpen) -> Session:
-        """A sidecar has opened a session; an earlier one of its name is not heard any more."""
+        """A sidecar has opened a session; it replaces an earlier session of that name."""
         session = Session(message.node, now)
         self._sessions[message.node] = session
-        self._gone.pop(message.node, None)
+        self._disconnected.pop(message.node, None)
         self._send(session, WorkerAccepted(self._epoch, OWN_SUPPORT))
-        self.scheduler.join(now, message.node, message.zone, message.reach)
+        self.scheduler.add_worker(now, message.node, message.zone, message.reach)
         for item in self.table.running_at(message.node):
-            item.order = 0  # of an earlier session
-        self._compare(session, 0, message.running)
+            item.order_number = 0  # sent in an earlier session
+        self._reconcile(session, 0, message.running)
         return session
 
     def is_current(self, session: Session) -> bool:
         return self._sessions.get(session.node) is session
 
     def closed(self, now: float, session: Session) -> None:
-        """The session is over; its sidecar may come back."""
+        """The session has ended; its sidecar may reconnect within the grace period."""
         if self.is_current(session):
             del self._sessions[session.node]
-            self.scheduler.leave(session.node)
-            self._gone[session.node] = now + RETURN_S
+            self.scheduler.remove_worker(session.node)
+            self._disconnected[session.node] = now + RECONNECT_GRACE_S
 
     def report(self, now: float, session: Session, message: WorkerReport) -> None:
-        """A sidecar says what it holds."""
+        """A sidecar reports the items that it holds."""
         if not self.is_current(session):
             return
-        session.heard_at = now
+        session.last_message_at = now
         if message.answered:
-            self.scheduler.answered(now, session.node)
-        self.scheduler.routes_by(session.node, message.generation)
-        self._compare(session, message.received, message.held)
+            self.scheduler.endpoint_answered(now, session.node)
+        self.scheduler.set_generation(session.node, message.generation)
+        self._reconcile(session, message.received, message.held)
         self._send(session, WorkerReported())
 
-    def _compare(self, session: Session, received: int, named: list[ItemKey]) -> None:
-        """Have the table and the sidecar hold the same, but for orders that it had not read when it spoke."""
-        held = set(named)
-        read = [item for item in self.table.running_at(session.node) if item.order <= received]
-        self._take_back(session.node, Why.NOT_HELD, [item for item in read if item.key not in held])
-        for key in named:
-            if not self.table.announced(session.node, key):
+    def _reconcile(self, session: Session, received: int, announced: list[ItemKey]) -> None:
+        """Make the table and the sidecar agree, except for orders that it had not yet received."""
+        held = set(announced)
+        read = [item for item in self.table.running_at(session.node) if item.order_number <= received]
+        self._reclaim(session.node, Why.NOT_HELD, [item for item in read if item.key not in held])
+        for key in announced:
+            if not self.table.confirm_running(session.node, key):
                 self._send(session, CancelItem(key))
 
     def silent(self, now: float) -> list[Session]:
-        """Sessions whose sidecars have said nothing for too long; they are to be closed."""
-        return [s for s in self._sessions.values() if now - s.heard_at > SILENT_S]
+        """Sessions to be closed because their sidecars have sent nothing for too long."""
+        return [s for s in self._sessions.values() if now - s.last_message_at > SESSION_TIMEOUT_S]
 
     def tick(self, now: float) -> None:
-        """Let time pass, while this node leads: take back what sidecars ran that have not come back."""
+        """Reclaim the items of sidecars that have not reconnected in time, and request probes when due."""
         for node in self.table.running_nodes():
             if node not in self._sessions:
-                self._gone.setdefault(node, now + RETURN_S)
-        for node in [node for node, until in self._gone.items() if now >= until]:
-            del self._gone[node]
-            self._take_back(node, Why.GONE, self.table.running_at(node))
-        if now >= self._next_probes:
-            self._next_probes = now + PROBE_S
-            self._ask_for_probes(now)
-
-    def _ask_for_probes(self, now: float) -> None:
-        """Where a job moves nowhere, have sidecars find out whether they reach endpoints."""
-        moving = self.table.jobs_at(self.scheduler.moving())
-        if all(is_safe(now, job, moving) for job in self.table.open_jobs()):
+                self._disconnected.setdefault(node, now + RECONNECT_GRACE_S)
+        for node in [node for node, until in self._disconnected.items() if now >= until]:
+            del self._disconnected[node]
+            self._reclaim(node, Why.DISCONNECTED, self.table.running_at(node))
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + PROBE_INTERVAL_S
+            self._request_probes(now)
+
+    def _request_probes(self, now: float) -> None:
+        """If a job makes no progress, have sidecars check whether they reach endpoints."""
+        progressing_jobs = self.table.jobs_at(self.scheduler.progressing_nodes())
+        if all(is_progressing(now, job, progressing_jobs) for job in self.table.open_jobs()):
             return
         for session in self._sessions.values():
-            if not self.scheduler.was_answered_lately(now, session.node):
+            if not self.scheduler.is_reachable(now, session.node):
                 self._send(session, ProbeEndpoints())
 
-    def _take_back(self, node: str, why: Why, items: list[Item]) -> None:
+    def _reclaim(self, node: str, reason: Why, items: list[Item]) -> None:
         for item in items:
-            self._release(item)
+            self._requeue(item)
         if items:
-            self.repairs.append(Repair(node, why, [item.key for item in items]))
+            self.repairs.append(ReclaimedItems(node, reason, [item.key for item in items]))
 
     # --- items ---
 
-    def _release(self, item: Item) -> None:
-        self.scheduler.released(item.key)
-        self.table.release(item)
+    def _requeue(self, item: Item) -> None:
+        self.scheduler.item_unassigned(item.key)
+        self.table.requeue(item)
 
-    def give_out(self, now: float, wall: float) -> None:
-        """Have as many items run as there is room for."""
-        if now < self._give_from:
+    def give_out(self, now: float, wall_time: float) -> None:
+        """Assign as many waiting items as the sidecars have free slots for."""
+        if now < self._assign_from:
             return
-        round_ = self.scheduler.round(now)
-        if not round_.has_room:
+        round_ = self.scheduler.new_round(now)
+        if not round_.has_free_slots:
             return
-        turns = Turns(now, wall, self.scheduler.run_s, self.table, self.scheduler.moving())
-        for job in turns.idle(self._late_starts):
+        job_order = JobOrder(
+            now, wall_time, self.scheduler.mean_run_s, self.table, self.scheduler.progressing_nodes()
+        )
+        for job in job_order.idle_jobs(self._late_start_budget):
             for item in islice(job.runnable(), 1):
-                if self._give(now, wall, item, round_, turns):
-                    self._late_starts.started(ahead=turns.is_ahead(job))
-        for job in turns.in_order():
+                if self._assign(now, wall_time, item, round_, job_order):
+                    self._late_start_budget.record_start(overtaking=job_order.overtakes(job))
+        for job in job_order.waiting_jobs():
             for item in list(job.runnable()):
-                if not self._give(now, wall, item, round_, turns):
+                if not self._assign(now, wall_time, item, round_, job_order):
                     break
-                self._late_starts.started(ahead=False)
-            if not round_.has_room:
+                self._late_start_budget.record_start(overtaking=False)
+            if not round_.has_free_slots:
                 return
 
-    def _give(self, now: float, wall: float, item: Item, round_: Round, turns: Turns) -> bool:
-        """Give an item out, if there is a sidecar for it."""
-        failures = self.scheduler.failures(item.key)
-        worker = round_.choose(item.job.record.route, failures, turns.is_safe(item.job))
+    def _assign(
+        self, now: float, wall_time: float, item: Item, round_: AssignmentRound, job_order: JobOrder
+    ) -> bool:
+        """Assign an item; returns whether there was a sidecar for it."""
+        returns = self.scheduler.item_returns(item.key)
+        worker = round_.choose(item.job.record.route, returns, job_order.is_progressing(item.job))
         if worker is None:
             return False
         session = self._sessions[worker.node]
-        tries = self.scheduler.tries(item.key)
-        order = self.table.start(wall, item, worker.node, session.orders + 1, tries)
-        session.orders += 1
-        round_.given(worker)
-        if worker.standing is Standing.MOVING:
-            turns.note_moving(item.job)
-        self.scheduler.given(now, item.key, worker)
+        stalls = self.scheduler.stall_count(item.key)
+        order = self.table.start(wall_time, item, worker.node, session.orders_sent + 1, stalls)
+        session.orders_sent += 1
+        round_.record_assignment(worker)
+        if worker.health is WorkerHealth.PROGRESSING:
+            job_order.mark_progressing(item.job)
+        self.scheduler.item_assigned(now, item.key, worker)
         self._send(session, order)
         return True
 
     def started(self, now: float, session: Session, key: ItemKey) -> None:
-        """An item's first event has come."""
+        """The first event of an item has arrived at a sidecar."""
         item = self.table.find(key)
         if item is not None and item.node == session.node:
-            item.job.begun += 1
-            item.job.moved_at = now
-            self.scheduler.started(now, session.node, key)
+            item.job.starts += 1
+            item.job.progressed_at = now
+            self.scheduler.item_started(now, session.node, key)
 
     def finish(self, now: float, session: Session, message: ItemFinished) -> list[Write]:
-        """A sidecar has an item's result; what to write, nothing where it has been taken before."""
+        """A sidecar has the result of an item; returns the writes, none if there is a result already."""
         item = self.table.find(message.key)
         node = item.node if item is not None else ""
         if node == session.node:
-            self.scheduler.finished(now, node, message.key)
+            self.scheduler.item_finished(now, node, message.key)
         writes = self.table.finish(message.key, message.succeeded, message.text)
         if item is not None and writes:
-            item.job.moved_at = now
+            item.job.progressed_at = now
             self.scheduler.forget(message.key)
             if node not in ("", session.node):
                 self._cancel(node, message.key)
         return writes
 
     def stored(self, session: Session, key: ItemKey) -> bool:
-        """An item's result is committed; whether readers have something new."""
-        news = self.table.listed(key)
+        """The result of an item is committed; returns whether readers have something new."""
+        newly_committed = self.table.listed(key)
         self._send(session, ItemStored(key))
-        return news
+        return newly_committed
 
     def returned(self, now: float, session: Session, message: ItemReturned) -> None:
-        """A sidecar does not run an item any more."""
+        """A sidecar no longer runs an item."""
         if not self.is_current(session):
             return
-        item = self.table.returned(session.node, message.key, message.errors, message.progress)
+        item = self.table.item_returned(session.node, message.key, message.errors, message.progress)
         if item is not None:
             route = item.job.record.route
-            self.scheduler.returned(now, session.node, message.key, route, message.reason)
+            self.scheduler.item_returned(now, session.node, message.key, route, message.reason)
             if message.errors:
-                self.scheduler.answered(now, session.node)
+                self.scheduler.endpoint_answered(now, session.node)
 
     def cancel_job(self, job_id: str) -> None:
-        """The job's end is committed: nobody runs its items any more."""
+        """The end of the job is committed: cancel its items."""
         job = self.table.jobs.get(job_id)
         for item in job.items.values() if job is not None else ():
             self.scheduler.forget(item.key)
             if item.state is ItemState.RUNNING:
                 node = item.node
-                self._release(item)
+                self._requeue(item)
                 self._cancel(node, item.key)
 
     def _cancel(self, node: str, key: ItemKey) -> None:
--- a/eiderhub/batch/messages.py
+++ b/eiderhub/batch/messages.py
@@ -1,7 +1,7 @@
 """Messages between edge sidecars and the storage group's primary.
 
-Each message of a session is delivered in order, or the session ends. A sidecar names all items that it holds
-as the session opens and then every `REPORT_S`, so that the two sides never differ for longer than that.
+Messages of a session are delivered in order, or the session ends. A sidecar lists all items that it holds
+when the session opens and then every `REPORT_INTERVAL_S`, so the two sides differ for no longer than that.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from eiderhub.coordination.wire import UNTOLD, WireSupport
 
-REPORT_S = 1.0  # a sidecar says so often what it holds
-SILENT_S = 3.0  # a session whose other side has said nothing for so long is ended
+REPORT_INTERVAL_S = 1.0  # how often a sidecar reports the items that it holds
+SESSION_TIMEOUT_S = 3.0  # a session is closed once its peer has sent nothing for this long
 
 
 class ItemKey(Struct, array_like=True, frozen=True):
@@ -22,20 +22,20 @@
 
 
 class Reach(Enum):
-    """What a sidecar knows of its own way to endpoints."""
+    """Whether a sidecar reaches endpoints, as far as it knows."""
 
     UNKNOWN = "unknown"
-    ANSWERED = "answered"  # they have answered its latest calls
-    UNANSWERED = "unanswered"  # they have answered none since it gave an item back
+    ANSWERED = "answered"  # endpoints have answered its latest calls
+    UNANSWERED = "unanswered"  # endpoints have answered no call since it last returned an item
 
     @classmethod
     def _missing_(cls, value: object) -> Reach:
-        """A newer program's word."""
+        """Map a value of a newer version."""
         return cls.UNKNOWN
 
 
 class WorkerOpen(Struct, tag=True, frozen=True):
-    """An edge sidecar announces itself, and the items that it runs."""
+    """Opens the session of an edge sidecar, with the items that it holds."""
 
     node: str
     zone: str
@@ -50,10 +50,10 @@
 
 
 class WorkerReport(Struct, tag=True, frozen=True):
-    """All items that the sidecar holds, once it has read so many of the session's `RunItem`s.
+    """All items that the sidecar holds after reading `received` `RunItem` messages of the session.
 
-    `answered`: whether endpoints have answered any of its calls, live ones too, since the report before.
-    `generation`: of the configuration by which it routes.
+    `answered`: whether endpoints have answered any of its calls, live ones included, since the last report.
+    `generation`: generation of the configuration that it routes by.
     """
 
     received: int
@@ -63,15 +63,15 @@
 
 
 class WorkerReported(Struct, tag=True, frozen=True):
-    """The primary has compared a report with its table, and sent what differs before this."""
+    """The primary has reconciled a report with its job table; corrections, if any, were sent before this."""
 
 
 class ProbeEndpoints(Struct, tag=True, frozen=True):
-    """Items wait for a sidecar that reaches endpoints: find out whether this one does, and report it."""
+    """Asks a sidecar to probe an endpoint and report the result; items wait for one that has access."""
 
 
 class Redirect(Struct, tag=True, frozen=True):
-    """Not the primary; `primary` is its identity where it is known."""
+    """The sender is not the primary; `primary` is the identity of the primary, or empty if unknown."""
 
     primary: str
 
@@ -80,7 +80,7 @@
     call: int
     job: str
     route: str
-    body: bytes  # the job's JSON as it came
+    body: bytes  # the JSON document as submitted
 
 
 class ReadResults(Struct, tag=True, frozen=True):
@@ -102,7 +102,7 @@
 
 
 class Answer(Struct, tag=True, frozen=True):
-    """To a call: an HTTP status and body."""
+    """The HTTP status and body that answer a call."""
 
     call: int
     status: int
@@ -110,7 +110,7 @@
 
 
 class Progress(Struct, array_like=True, frozen=True):
-    """What an item has brought so far: the data of its events up to `last_event`."""
+    """Partial output of an item: the data of its events up to `last_event`."""
 
     last_event: int
     texts: list[str]
@@ -124,8 +124,8 @@
     body: bytes
     due_in_ms: int
     progress: Progress | None = None
-    tries: int = 0  # times that it has failed to move since it last moved
-    errors: int = 0  # answers of 500 that it has had, of those that its route allows
+    tries: int = 0  # returns without progress, refusals excluded, since it last made progress
+    errors: int = 0  # answers with status 500 so far; they count towards the attempts that its route allows
 
 
 class CancelItem(Struct, tag=True, frozen=True):
@@ -133,13 +133,13 @@
 
 
 class ItemStarted(Struct, tag=True, frozen=True):
-    """Its first event has come: the endpoint has read its prompt."""
+    """The first event of the item has arrived: the endpoint has read its prompt."""
 
     key: ItemKey
 
 
 class ItemFinished(Struct, tag=True, frozen=True):
-    """`succeeded`: the whole text; otherwise no endpoint can ever do the item."""
+    """The item has ended: `text` is its complete text if it succeeded, else no endpoint can process it."""
 
     key: ItemKey
     succeeded: bool
@@ -147,30 +147,30 @@
 
 
 class ItemStored(Struct, tag=True, frozen=True):
-    """The item's end is committed; the sidecar may forget it."""
+    """The result of the item is committed; the sidecar may drop it."""
 
     key: ItemKey
 
 
 class ReturnReason(Enum):
-    """Why a sidecar does not run an item any more."""
+    """Why a sidecar no longer runs an item."""
 
-    REFUSED = "refused"  # its admission had no room
-    FAILED = "failed"  # all attempts that were allowed have failed
-    SILENT = "silent"  # its endpoint has said nothing for too long
-    STUCK = "stuck"  # no endpoint has taken it, or nothing at all has moved at the sidecar
-    ROUTE_MOVED = "route moved"  # its route leads to another service now
-    UNKNOWN_ROUTE = "unknown route"  # the sidecar's configuration does not have the item's route
-    STOPPING = "stopping"  # the sidecar ends
+    REFUSED = "refused"  # no room in the admission queue
+    FAILED = "failed"  # all allowed attempts failed
+    SILENT = "silent"  # its endpoint has sent nothing for too long
+    STUCK = "stuck"  # no endpoint accepted it, or the sidecar made no progress with anything
+    ROUTE_MOVED = "route moved"  # its route now leads to another service
+    UNKNOWN_ROUTE = "unknown route"  # the configuration of the sidecar does not have its route
+    STOPPING = "stopping"  # the sidecar is shutting down
 
     @classmethod
     def _missing_(cls, value: object) -> ReturnReason:
-        """A newer program's word."""
+        """Map a value of a newer version."""
         return cls.FAILED
 
 
 class ItemReturned(Struct, tag=True, frozen=True):
-    """The sidecar does not run the item any more; `errors`: answers of 500 that it has seen for the item."""
+    """The sidecar no longer runs the item; `errors`: answers with status 500 that it has seen for it."""
 
     key: ItemKey
     reason: ReturnReason
--- a/eiderhub/batch/scheduler.py
+++ b/eiderhub/batch/scheduler.py
@@ -1,15 +1,18 @@
-"""Which sidecar gets an item, how many items each gets, and how many endpoints read prompts of items at once.
+"""Chooses the sidecar for each item, and bounds the items per sidecar and the items that are starting.
 
-Pure. It counts no items: how many a sidecar runs is the job table's to say. Items that have not begun to
-answer are bounded over all: an endpoint that reads many prompts at once pauses every stream that it serves.
+No I/O; callers pass the time. The number of items that a sidecar runs is not counted here but read from the
+job table. Items that wait for their first event are bounded over all sidecars: an endpoint that reads many
+prompts at once pauses every stream that it serves.
 
-Room says nothing of what a sidecar can reach: one that moves nothing has the most room. So sidecars are taken
-by their standing first (workers.py). Two rules keep an item from being passed from one that moves nothing to
-the next, and the next from being forgotten:
+Free slots alone do not show whether a sidecar reaches endpoints: one that makes no progress has the most free
+slots. So sidecars are ranked by their health first (workers.py). Two rules keep an item from being passed
+between sidecars that make no progress, and such sidecars from never being tried again:
 
-* A job none of whose items moves is given to the sidecars of the best standing alone, and waits for them.
-* A job that has an item at a sidecar that moves items may be given to any, so that those which are stuck are
-  tried again without a job that depends on it. Where all are stuck, each is tried all the time.
+* Items of a job without progress go only to sidecars that make progress or reach endpoints, and wait for
+  these; while no sidecar makes progress, they may go to any.
+* Items of a job that makes progress elsewhere may go to any sidecar, so that failing ones are tried again
+  without a job that depends on the outcome. While no sidecar makes progress, stuck ones are tried without
+  pause.
 """
 
 from __future__ import annotations
@@ -19,335 +22,366 @@
 from typing import NamedTuple
 
 from eiderhub.batch.messages import ItemKey, Reach, ReturnReason
-from eiderhub.batch.workers import MOST_WINDOW, NEVER, START_WINDOW, Standing, Worker
+from eiderhub.batch.workers import INITIAL_WINDOW, MAX_WINDOW, NEVER, Worker, WorkerHealth
 
-FIRST_RUN_S, RUN_WEIGHT = 1.5, 0.05  # what an item is taken to take at first; weight of the newest
-STARTING_PER_ENDPOINT = 1.0  # items that may wait for their first event, for each endpoint
-# Of all places of the endpoints, the share that items and live calls may take together, and the least that
-# items may have: jobs move on, however busy live traffic is.
-FILLED_SHARE, LEAST_ITEM_SHARE = 0.75, 0.1
-LIVE_FALL = 0.25  # weight of the newest count of live calls, where it is lower; a rise counts at once
-LOAD_KEPT_S = 1.5  # a count of live calls says nothing once it is older
-STARTING_S = 0.5  # an item that has not begun by then does not count any more
-MOST_REMEMBERED = 16  # sidecars at which an item has failed, the latest
+# Mean run time of an item before any was measured, and the weight of a new sample in the moving average.
+INITIAL_RUN_S, RUN_MEAN_WEIGHT = 1.5, 0.05
+MAX_STARTING_PER_ENDPOINT = 1.0  # items that may wait for their first event, per endpoint
+# Shares of the total endpoint capacity: the most that items and live calls may use together, and the least
+# that items may use, so that jobs make progress under any live load.
+MAX_CAPACITY_SHARE, MIN_ITEM_SHARE = 0.75, 0.1
+LIVE_DECREASE_WEIGHT = 0.25  # weight of a lower count of live calls; a higher one applies at once
+LOAD_VALID_S = 1.5  # a count of live calls expires after this time
+STARTING_TIMEOUT_S = 0.5  # an item without a first event by then no longer counts as starting
+MAX_NODES_PER_ITEM = 16  # latest sidecars that are remembered for having returned an item
 
 
-class Placement(NamedTuple):
-    """What sidecars there are for items; for logs and figures."""
+class SchedulerStatus(NamedTuple):
+    """Summary of the sidecars, for logs and metrics."""
 
     sidecars: int
-    paused: int  # given nothing for a while
-    full: int  # that run as many items as their windows allow
-    stuck: int  # that no endpoint has answered since they last were stuck
-    returns: dict[ReturnReason, int]  # items that were given back, in this epoch
+    paused: int  # get no items at present
+    full: int  # run as many items as their windows allow
+    stuck: int  # last returned an item as stuck, and have not been answered since
+    returns: dict[ReturnReason, int]  # items returned in this epoch, by reason
 
     def __str__(self) -> str:
         returns = ", ".join(f"{reason.value} {count}" for reason, count in self.returns.items())
         return (
             f"{self.sidecars} sidecars, {self.paused} paused, {self.full} full, {self.stuck} stuck; "
-            f"given back: {returns or 'none'}"
+            f"returned: {returns or 'none'}"
         )
 
 
-class Failure(NamedTuple):
-    """How often a sidecar has given an item back since that last moved, and when it last did."""
+class NodeReturns(NamedTuple):
+    """How often a sidecar has returned an item since the item last made progress, and when it last did."""
 
     times: int
-    at: float
+    last_at: float
 
 
-NO_FAILURE = Failure(0, NEVER)
+NO_RETURNS = NodeReturns(0, NEVER)
 
 
-class _Failures:
-    """Where an item has been given back since it last moved."""
+class _ItemReturns:
+    """Which sidecars have returned an item since it last made progress."""
 
-    __slots__ = ("by_node", "unmoved")
+    __slots__ = ("by_node", "stalls")
 
     def __init__(self) -> None:
-        self.by_node: dict[str, Failure] = {}  # the latest last
-        self.unmoved = 0  # times that it was not just refused
+        self.by_node: dict[str, NodeReturns] = {}  # in the order of the last return
+        self.stalls = 0  # returns other than refusals
 
     def add(self, now: float, node: str, refused: bool) -> None:
-        before = self.by_node.pop(node, NO_FAILURE)
-        self.by_node[node] = Failure(before.times + 1, now)
-        self.unmoved += not refused
-        if len(self.by_node) > MOST_REMEMBERED:
+        previous = self.by_node.pop(node, NO_RETURNS)
+        self.by_node[node] = NodeReturns(previous.times + 1, now)
+        self.stalls += not refused
+        if len(self.by_node) > MAX_NODES_PER_ITEM:
             del self.by_node[next(iter(self.by_node))]
 
 
-class Round:
-    """The sidecars with room, for one round of giving items out.
+class AssignmentRound:
+    """The sidecars with free slots, for one round of assignments.
 
-    `some_move`: whether items move at any sidecar, those without room included. `starts`: how many more items
-    may wait for their first event. `places`: how many more may run, for what live calls leave.
+    Args:
+        now: Time of the round.
+        free_slots: Free slots of each sidecar that has at least one.
+        any_progress: Whether any sidecar makes progress, including those without free slots.
+        start_allowance: How many more items may wait for their first event.
+        capacity_left: How many more items may run beside the live calls.
     """
 
     def __init__(
-        self, now: float, room: dict[Worker, float], some_move: bool, starts: float, places: float
+        self,
+        now: float,
+        free_slots: dict[Worker, float],
+        any_progress: bool,
+        start_allowance: float,
+        capacity_left: float,
     ) -> None:
         self._now = now
-        self._room = room
-        self._worst = Standing.ANSWERED if some_move else Standing.STUCK  # that a job may depend on
-        self._some_move = some_move
-        self._starts = starts
-        self._places = places
+        self._free_slots = free_slots
+        # The worst health that a job without progress may use.
+        self._worst_allowed = WorkerHealth.REACHABLE if any_progress else WorkerHealth.STUCK
+        self._any_progress = any_progress
+        self._start_allowance = start_allowance
+        self._capacity_left = capacity_left
 
     @property
-    def has_room(self) -> bool:
-        """Whether any item may still be given out."""
-        return bool(self._room)
+    def has_free_slots(self) -> bool:
+        """Whether any sidecar still has a free slot."""
+        return bool(self._free_slots)
 
-    def choose(self, route: str, failures: dict[str, Failure], safe: bool) -> Worker | None:
-        """The sidecar that is to run an item; None: it waits.
+    def choose(self, route: str, returns: dict[str, NodeReturns], job_progresses: bool) -> Worker | None:
+        """Choose the sidecar that is to run an item; None if it has to wait.
 
-        `failures`: where it was given back. `safe`: another of its job's items moves. Each time that a
-        sidecar has given the item back counts as much as a standing that is lower by one.
+        Each return of the item by a sidecar ranks that sidecar one health level lower for it.
+
+        Args:
+            route: Route of the item.
+            returns: The sidecars that have returned the item, by node.
+            job_progresses: Whether the item's job makes progress elsewhere.
         """
         allowed = [
             worker
-            for worker in self._room
-            if (safe or worker.standing <= self._worst) and self._may_start_at(worker) and worker.knows(route)
+            for worker in self._free_slots
+            if (job_progresses or worker.health <= self._worst_allowed)
+            and self._within_limits(worker)
+            and worker.may_know_route(route)
         ]
 
         def rank(worker: Worker) -> tuple[bool, int, float, float]:
-            standing = worker.standing
-            times, at = failures.get(worker.node, NO_FAILURE)
-            if worker.moved_at > at:
-                times = max(0, times - 1)  # others have moved there since
-            return standing is Standing.STUCK, standing + times, at, self._last_rank(worker, safe)
+            health = worker.health
+            count, last_at = returns.get(worker.node, NO_RETURNS)
+            if worker.last_start_at > last_at:
+                count = max(0, count - 1)  # other items have started there since
+            return (
+                health is WorkerHealth.STUCK,
+                health + count,
+                last_at,
+                self._tie_break(worker, job_progresses),
+            )
 
         return min(allowed, key=rank, default=None)
 
-    def _may_start_at(self, worker: Worker) -> bool:
-        """Whether bounds over all sidecars allow one more item there; where nothing moves, each is tried."""
-        if worker.is_tested(self._now):
-            return min(self._starts, self._places) > 0
-        return self._places > 0 or not self._some_move
+    def _within_limits(self, worker: Worker) -> bool:
+        """Whether the limits over all sidecars allow one more item there.
+
+        While no sidecar makes progress, each one is tried whatever capacity is left.
+        """
+        if worker.is_proven(self._now):
+            return min(self._start_allowance, self._capacity_left) > 0
+        return self._capacity_left > 0 or not self._any_progress
 
-    def _last_rank(self, worker: Worker, safe: bool) -> float:
-        """Among sidecars of one standing.
+    def _tie_break(self, worker: Worker, job_progresses: bool) -> float:
+        """Order sidecars of equal rank; the lowest value is preferred.
 
-        Of those that move items the one with the most room, or the one that last moved one where a job
-        depends on it; of those that endpoints answer the one that was answered last; of the others the one
-        that gave something back longest ago.
+        Progressing ones: most free slots, or the latest start if the item's job makes no progress elsewhere.
+        Reachable ones: the latest endpoint answer. Others: the longest time since a return.
         """
-        if worker.standing is Standing.MOVING:
-            return -self._room[worker] if safe else -worker.moved_at
-        return -worker.answered_at if worker.standing is Standing.ANSWERED else worker.returned_at
+        if worker.health is WorkerHealth.PROGRESSING:
+            return -self._free_slots[worker] if job_progresses else -worker.last_start_at
+        return -worker.last_answer_at if worker.health is WorkerHealth.REACHABLE else worker.last_return_at
 
-    def given(self, worker: Worker) -> None:
-        """One more item runs there."""
-        self._places -= 1
-        if worker.is_tested(self._now):
-            self._starts -= 1
-        self._room[worker] -= 1.0
-        if self._room[worker] < 1.0:
-            del self._room[worker]
+    def record_assignment(self, worker: Worker) -> None:
+        """Count one more item at a sidecar against the limits of this round."""
+        self._capacity_left -= 1
+        if worker.is_proven(self._now):
+            self._start_allowance -= 1
+        self._free_slots[worker] -= 1.0
+        if self._free_slots[worker] < 1.0:
+            del self._free_slots[worker]
 
 
 class Scheduler:
-    """`running` tells how many items a node is taken to run."""
+    """Assigns items to sidecars; `running_count` returns the number of items that a node runs."""
 
-    def __init__(self, running: Callable[[str], int]) -> None:
-        self._running = running
+    def __init__(self, running_count: Callable[[str], int]) -> None:
+        self._running_count = running_count
         self.workers: dict[str, Worker] = {}
-        self._starting: dict[ItemKey, float] = {}  # when each was given
-        self._given: dict[ItemKey, float] = {}
-        self._begun: dict[ItemKey, Worker] = {}  # items that have begun, by where they run
-        self._failures: dict[ItemKey, _Failures] = {}
-        self._returns: Counter[ReturnReason] = Counter()
-        self.run_s = FIRST_RUN_S  # that an item takes, on the mean of late
+        self._starting_since: dict[ItemKey, float] = {}  # assignment time of items without a first event
+        self._assigned_at: dict[ItemKey, float] = {}
+        self._started: dict[ItemKey, Worker] = {}  # items with a first event, and where they run
+        self._item_returns: dict[ItemKey, _ItemReturns] = {}
+        self._return_counts: Counter[ReturnReason] = Counter()
+        self.mean_run_s = INITIAL_RUN_S  # moving average of the run time of an item
         self._endpoints = 1
-        self._places = 0
-        self._live = 0.0  # calls that are out beside items, lately
-        self._live_at = NEVER
+        self._capacity = 0
+        self._live_calls = 0.0  # smoothed number of calls at endpoints, without items
+        self._live_calls_at = NEVER
 
-    def follow(self, endpoints: int, places: int) -> None:
-        """How many endpoints there are, and how many requests all of them work on at once."""
+    def follow(self, endpoints: int, capacity: int) -> None:
+        """Set the number of endpoints and the number of requests that they can process at once in total."""
         self._endpoints = max(1, endpoints)
-        self._places = places
+        self._capacity = capacity
 
     def follow_load(self, now: float, calls: int) -> None:
-        """How many calls all sidecars have out to the endpoints that run items, items among them."""
-        live = max(0.0, float(calls - self._items_out()))
-        falls = live < self._live and now - self._live_at <= LOAD_KEPT_S
-        self._live += (LIVE_FALL if falls else 1.0) * (live - self._live)
-        self._live_at = now
-
-    def _places_left(self, now: float) -> float:
-        """How many more items may run, for what live calls leave of the endpoints' places."""
-        if now - self._live_at > LOAD_KEPT_S or not self._places:
+        """Set the number of calls, items included, that all sidecars have open at the endpoints for items."""
+        live = max(0.0, float(calls - self._items_at_endpoints()))
+        decreased = live < self._live_calls and now - self._live_calls_at <= LOAD_VALID_S
+        self._live_calls += (LIVE_DECREASE_WEIGHT if decreased else 1.0) * (live - self._live_calls)
+        self._live_calls_at = now
+
+    def _remaining_capacity(self, now: float) -> float:
+        """How many more items may run in the endpoint capacity that live calls leave."""
+        if now - self._live_calls_at > LOAD_VALID_S or not self._capacity:
             return float("inf")
-        most = max(FILLED_SHARE * self._places - self._live, LEAST_ITEM_SHARE * self._places)
-        return most - self._items_out()
+        limit = max(MAX_CAPACITY_SHARE * self._capacity - self._live_calls, MIN_ITEM_SHARE * self._capacity)
+        return limit - self._items_at_endpoints()
 
-    def _items_out(self) -> int:
-        """Items that run at endpoints, as far as is known; what a sidecar can't move takes no place."""
-        return len(self._begun) + len(self._starting)
+    def _items_at_endpoints(self) -> int:
+        """Items known to run at endpoints; one that makes no progress at its sidecar takes no capacity."""
+        return len(self._started) + len(self._starting_since)
 
-    def _share(self, sidecars: int) -> float:
-        """The window of one of so many sidecars: an even share of half of all places."""
-        return min(MOST_WINDOW, max(START_WINDOW, self._places / 2 / sidecars))
+    def _even_share(self, workers: int) -> float:
+        """The initial window per sidecar: an even share of half of the endpoint capacity."""
+        return min(MAX_WINDOW, max(INITIAL_WINDOW, self._capacity / 2 / workers))
 
     def reset(self) -> None:
-        """Nothing is given out: another table has taken the place of the one before."""
-        self._starting.clear()
-        self._given.clear()
-        self._begun.clear()
+        """Drop the state of all items: the job table has been reloaded."""
+        self._starting_since.clear()
+        self._assigned_at.clear()
+        self._started.clear()
         for worker in self.workers.values():
-            worker.begun = 0
-        self._failures.clear()
-        self._returns.clear()
+            worker.started_items = 0
+        self._item_returns.clear()
+        self._return_counts.clear()
 
-    def placement(self, now: float) -> Placement:
-        """What sidecars there are, and what they have given back."""
+    def placement(self, now: float) -> SchedulerStatus:
+        """Summarise the sidecars and the items that they have returned."""
         workers = self.workers.values()
-        return Placement(
+        return SchedulerStatus(
             sidecars=len(workers),
             paused=sum(worker.is_paused(now) for worker in workers),
-            full=sum(worker.window - self._running(worker.node) < 1.0 for worker in workers),
-            stuck=sum(worker.standing is Standing.STUCK for worker in workers),
-            returns=dict(self._returns),
+            full=sum(worker.window - self._running_count(worker.node) < 1.0 for worker in workers),
+            stuck=sum(worker.health is WorkerHealth.STUCK for worker in workers),
+            returns=dict(self._return_counts),
         )
 
-    def join(self, now: float, node: str, zone: str, reach: Reach) -> None:
-        """A sidecar has opened a session; the job table has what it announces."""
+    def add_worker(self, now: float, node: str, zone: str, reach: Reach) -> None:
+        """Add a sidecar that has opened a session; the job table has the items that it runs."""
         self.workers.pop(node, None)
-        worker = Worker(node, zone, self._share(len(self.workers) + 1))
-        worker.opened(now, reach, self._running(node))
+        worker = Worker(node, zone, self._even_share(len(self.workers) + 1))
+        worker.session_opened(now, reach, self._running_count(node))
         self.workers[node] = worker
 
-    def leave(self, node: str) -> None:
+    def remove_worker(self, node: str) -> None:
         self.workers.pop(node, None)
 
-    # --- choosing ---
+    # --- assignment ---
 
-    def tries(self, key: ItemKey) -> int:
-        """How often the item has failed to move, refusals apart, since it last moved."""
-        failures = self._failures.get(key)
-        return failures.unmoved if failures is not None else 0
+    def stall_count(self, key: ItemKey) -> int:
+        """How often the item was returned, refusals excluded, since it last made progress."""
+        returns = self._item_returns.get(key)
+        return returns.stalls if returns is not None else 0
 
-    def failures(self, key: ItemKey) -> dict[str, Failure]:
-        """Where the item was given back since it last moved, by node."""
-        failures = self._failures.get(key)
-        return failures.by_node if failures is not None else {}
+    def item_returns(self, key: ItemKey) -> dict[str, NodeReturns]:
+        """The sidecars that have returned the item since it last made progress, by node."""
+        returns = self._item_returns.get(key)
+        return returns.by_node if returns is not None else {}
 
-    def round(self, now: float) -> Round:
-        """The sidecars that have room now."""
+    def new_round(self, now: float) -> AssignmentRound:
+        """Start a round with the sidecars that have free slots now."""
         workers = self.workers.values()
-        some_move = any(worker.moves_now(now) for worker in workers)
-        share = self._share_of_able(now)
-        room: dict[Worker, float] = {}
+        any_progress = any(worker.is_progressing(now) for worker in workers)
+        min_window = self._reachable_share(now)
+        free_by_worker: dict[Worker, float] = {}
         for worker in workers:
-            # Where none is known to do better, each is tried all the time.
-            free = worker.free(now, self._running(worker.node), wanted=not some_move, share=share)
+            # While no sidecar makes progress, stuck ones are tried without pause.
+            free = worker.free_slots(
+                now,
+                self._running_count(worker.node),
+                ignore_stuck_pause=not any_progress,
+                min_window=min_window,
+            )
             if free >= 1.0:
-                room[worker] = free
-        return Round(now, room, some_move, self._may_begin(now), self._places_left(now))
+                free_by_worker[worker] = free
+        return AssignmentRound(
+            now, free_by_worker, any_progress, self._remaining_starts(now), self._remaining_capacity(now)
+        )
 
-    def _share_of_able(self, now: float) -> float:
-        """The window that each may have where most are cut off: these leave the others their share.
+    def _reachable_share(self, now: float) -> float:
+        """The least window of reachable sidecars while most are unreachable and leave their share; else 0.
 
-        0: no such share. One that has nothing to run, or is full, leaves nothing.
+        A sidecar that is idle or full is not unreachable and leaves no share.
         """
-        able = sum(not worker.is_cut_off(now) for worker in self.workers.values())
-        return self._share(able) if 0 < able < len(self.workers) / 2 else 0.0
+        reachable = sum(not worker.is_unreachable(now) for worker in self.workers.values())
+        return self._even_share(reachable) if 0 < reachable < len(self.workers) / 2 else 0.0
 
-    def moving(self) -> list[str]:
-        """The sidecars that have moved items, and given none back since."""
-        return [w.node for w in self.workers.values() if w.standing is Standing.MOVING]
+    def progressing_nodes(self) -> list[str]:
+        """The sidecars that have started items and returned none since."""
+        return [w.node for w in self.workers.values() if w.health is WorkerHealth.PROGRESSING]
 
-    def _may_begin(self, now: float) -> float:
+    def _remaining_starts(self, now: float) -> float:
         """How many more items may wait for their first event."""
-        for key in [k for k, since in self._starting.items() if now - since > STARTING_S]:
-            del self._starting[key]
-        return STARTING_PER_ENDPOINT * self._endpoints - len(self._starting)
-
-    # --- what becomes of items ---
-
-    def given(self, now: float, key: ItemKey, worker: Worker) -> None:
-        """The item runs at that sidecar from now on."""
-        if worker.is_tested(now):
-            self._starting[key] = now
-        self._given[key] = now
-
-    def started(self, now: float, node: str, key: ItemKey) -> None:
-        """The item's first event has come from an endpoint of this node's."""
-        self._starting.pop(key, None)
-        self._failures.pop(key, None)
+        for key in [k for k, since in self._starting_since.items() if now - since > STARTING_TIMEOUT_S]:
+            del self._starting_since[key]
+        return MAX_STARTING_PER_ENDPOINT * self._endpoints - len(self._starting_since)
+
+    # --- events of items and sidecars ---
+
+    def item_assigned(self, now: float, key: ItemKey, worker: Worker) -> None:
+        """The item has been assigned to the sidecar."""
+        if worker.is_proven(now):
+            self._starting_since[key] = now
+        self._assigned_at[key] = now
+
+    def item_started(self, now: float, node: str, key: ItemKey) -> None:
+        """The first event of the item has arrived at the node."""
+        self._starting_since.pop(key, None)
+        self._item_returns.pop(key, None)
         worker = self.workers.get(node)
-        if worker is not None and key not in self._begun:
-            self._begun[key] = worker
-            worker.begun += 1
-            worker.moved(now)
+        if worker is not None and key not in self._started:
+            self._started[key] = worker
+            worker.started_items += 1
+            worker.record_start(now)
 
-    def answered(self, now: float, node: str) -> None:
-        """Endpoints have answered calls of this node's, live ones perhaps."""
+    def endpoint_answered(self, now: float, node: str) -> None:
+        """Endpoints have answered calls of the node, which may be live ones."""
         worker = self.workers.get(node)
         if worker is not None:
-            worker.answered(now)
+            worker.record_answer(now)
 
-    def was_answered_lately(self, now: float, node: str) -> bool:
-        """Whether endpoints are known to answer calls of the node's now."""
+    def is_reachable(self, now: float, node: str) -> bool:
+        """Whether endpoints have recently answered calls of the node."""
         worker = self.workers.get(node)
-        return worker is not None and worker.was_answered_lately(now)
+        return worker is not None and worker.is_reachable(now)
 
-    def routes_by(self, node: str, generation: int) -> None:
-        """The node routes by that generation of the configuration."""
+    def set_generation(self, node: str, generation: int) -> None:
+        """Set the generation of the configuration that the node routes by."""
         worker = self.workers.get(node)
         if worker is not None:
-            worker.routes_by(generation)
+            worker.set_generation(generation)
 
-    def finished(self, now: float, node: str, key: ItemKey) -> None:
-        """The node has done the item, which still counts among those that it runs."""
-        since = self._given.get(key)
+    def item_finished(self, now: float, node: str, key: ItemKey) -> None:
+        """The node has finished the item, which still counts as running there."""
+        since = self._assigned_at.get(key)
         if since is not None:
-            self.run_s += RUN_WEIGHT * (now - since - self.run_s)
-        self.started(now, node, key)  # its last events may be all that came
+            self.mean_run_s += RUN_MEAN_WEIGHT * (now - since - self.mean_run_s)
+        self.item_started(now, node, key)  # no earlier event may have been reported
         self.forget(key)
         worker = self.workers.get(node)
         if worker is None:
             return
-        worker.answered(now)
-        if self._running(node) >= worker.window - 1:
-            worker.grow()
+        worker.record_answer(now)
+        if self._running_count(node) >= worker.window - 1:
+            worker.grow_window()
 
     def forget(self, key: ItemKey) -> None:
-        """The item needs no sidecar any more: it is done, or its job has ended."""
-        self.released(key)
-        self._failures.pop(key, None)
+        """Drop the state of an item that has finished or whose job has ended."""
+        self.item_unassigned(key)
+        self._item_returns.pop(key, None)
 
-    def released(self, key: ItemKey) -> None:
-        """No sidecar runs the item now."""
-        worker = self._begun.pop(key, None)
+    def item_unassigned(self, key: ItemKey) -> None:
+        """The item no longer runs at any sidecar."""
+        worker = self._started.pop(key, None)
         if worker is not None:
-            worker.begun -= 1
-        self._starting.pop(key, None)
-        self._given.pop(key, None)
-
-    def returned(self, now: float, node: str, key: ItemKey, route: str, reason: ReturnReason) -> None:
-        """The node has given an item of that route back."""
-        self.released(key)
-        self._returns[reason] += 1
+            worker.started_items -= 1
+        self._starting_since.pop(key, None)
+        self._assigned_at.pop(key, None)
+
+    def item_returned(self, now: float, node: str, key: ItemKey, route: str, reason: ReturnReason) -> None:
+        """The node has returned an item of the route."""
+        self.item_unassigned(key)
+        self._return_counts[reason] += 1
         worker = self.workers.get(node)
         if reason is ReturnReason.UNKNOWN_ROUTE:
             if worker is not None:
-                worker.lacks(route)
+                worker.record_unknown_route(route)
         elif reason is ReturnReason.STOPPING:
             if worker is not None:
                 worker.stopping = True
         elif reason is not ReturnReason.ROUTE_MOVED:
-            failures = self._failures.setdefault(key, _Failures())
-            failures.add(now, node, refused=reason is ReturnReason.REFUSED)
+            returns = self._item_returns.setdefault(key, _ItemReturns())
+            returns.add(now, node, refused=reason is ReturnReason.REFUSED)
             if worker is not None:
-                self._judge(now, worker, reason)
+                self._record_return(now, worker, reason)
 
     @staticmethod
-    def _judge(now: float, worker: Worker, reason: ReturnReason) -> None:
+    def _record_return(now: float, worker: Worker, reason: ReturnReason) -> None:
         if reason is ReturnReason.STUCK:
-            worker.stuck(now)
+            worker.record_stall(now)
         elif reason is ReturnReason.FAILED:
-            worker.failed(now)
+            worker.record_return(now)
         else:
-            worker.refused(now)
+            worker.record_refusal(now)
--- a/tests/items_support.py
+++ b/tests/items_support.py
@@ -1,4 +1,4 @@
-"""One real storage service and real item runners in one event loop, on sockets, with wires between them."""
+"""A real storage service and real item runners in one event loop, connected by controllable TCP proxies."""
 
 from __future__ import annotations
 
@@ -25,47 +25,50 @@
 from eiderhub.transport.framing import Connection
 from tests.tier_support import document
 
-BOUND_S = 20.0  # for anything to come about, on however slow a machine
+TIMEOUT_S = 20.0  # for any expected event, also on slow machines
 POLL_S = 0.01
 ROUTE = "lots"
 
 
-async def until(found: Callable[[], Any], what: str, bound_s: float = BOUND_S) -> Any:
-    """The first true value of `found`, asked again and again."""
+async def until(condition: Callable[[], Any], what: str, bound_s: float = TIMEOUT_S) -> Any:
+    """Poll `condition` and return its first true value."""
     async with asyncio.timeout(bound_s) as limit:
-        while not (value := found()):
+        while not (value := condition()):
             await asyncio.sleep(POLL_S)
             if limit.expired():
                 raise AssertionError(what)
         return value
 
 
-class Wire:
-    """What a sidecar takes for the storage node; `open` is clear while the node's bytes are held up."""
+class Proxy:
+    """TCP proxy in front of the storage node; clear `forwarding` to hold back what the node sends."""
 
     def __init__(self, port: int) -> None:
         self._port = port
         self._tasks: set[asyncio.Task[None]] = set()
         self._writers: list[asyncio.StreamWriter] = []
-        self.open = asyncio.Event()
-        self.open.set()
-        self.sessions = 0
+        self.forwarding = asyncio.Event()
+        self.forwarding.set()
+        self.session_count = 0
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.sessions += 1
+        self.session_count += 1
         up_reader, up_writer = await asyncio.open_connection("127.0.0.1", self._port)
         self._writers += [writer, up_writer]
-        for pumped in (self._pump(reader, up_writer, None), self._pump(up_reader, writer, self.open)):
-            task = asyncio.get_running_loop().create_task(pumped)
+        for coroutine in (
+            self._forward(reader, up_writer, None),
+            self._forward(up_reader, writer, self.forwarding),
+        ):
+            task = asyncio.get_running_loop().create_task(coroutine)
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     @staticmethod
-    async def _pump(
+    async def _forward(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter, gate: asyncio.Event | None
     ) -> None:
         try:
@@ -78,28 +81,28 @@
         finally:
             writer.close()
 
-    def cut(self) -> None:
-        """Break all connections off."""
+    def disconnect(self) -> None:
+        """Abort all connections."""
         for writer in self._writers:
             writer.transport.abort()
         self._writers.clear()
 
     def close(self) -> None:
         self._server.close()
-        self.cut()
+        self.disconnect()
 
 
-class HandAdmission:
-    """Admission whose calls end when the test says so."""
+class ManualAdmission:
+    """Admission whose calls the test starts and ends."""
 
     def __init__(self) -> None:
         self.calls: dict[str, Call] = {}  # by item
-        self.begun: list[str] = []
-        self.reaches_others = True  # whether endpoints answer other calls of this sidecar
+        self.ordered: list[str] = []
+        self.endpoints_answer = True  # whether endpoints answer this sidecar
         self._answers = 0
 
     def answers(self) -> int:
-        self._answers += self.reaches_others
+        self._answers += self.endpoints_answer
         return self._answers
 
     @staticmethod
@@ -107,14 +110,14 @@
         return 0
 
     async def reaches_endpoint(self) -> bool:
-        return self.reaches_others
+        return self.endpoints_answer
 
     def order(self, call: Call) -> None:
         item = call.request_id.decode()
         self.calls[item] = call
-        if self.reaches_others:
-            call.current = mock.Mock(spec=Attempt, endpoint="e")  # an endpoint has it
-        self.begun.append(item)
+        if self.endpoints_answer:
+            call.current = mock.Mock(spec=Attempt, endpoint="e")  # the call is at an endpoint
+        self.ordered.append(item)
 
     def abandon(self, call: Call) -> None:
         self.calls.pop(call.request_id.decode(), None)
@@ -123,29 +126,29 @@
         if self.calls.pop(call.request_id.decode(), None) is not None:
             call.sink.refuse(ErrorKind.UNCERTAIN, 0)
 
-    def begin(self, item: str) -> None:
-        """The item's first event comes."""
+    def start_item(self, item: str) -> None:
+        """Deliver the first event of an item."""
         self._answers += 1
         self.calls[item].sink.event(Event(b"", 0, f"text of {item}"))
 
-    def finish(self, item: str) -> None:
+    def finish_item(self, item: str) -> None:
         call = self.calls.pop(item)
         self._answers += 1
         call.sink.event(Event(b"", 0, f"text of {item}"))
         call.sink.finish()
 
-    def refuse(self, item: str) -> None:
+    def fail_item(self, item: str) -> None:
         self.calls.pop(item).sink.refuse(ErrorKind.FAILED, 0)
 
 
 class Sidecar:
-    """A real item runner behind a wire of its own."""
+    """A real item runner behind its own proxy."""
 
-    def __init__(self, name: str, wire: Wire, route: Route) -> None:
-        self.wire = wire
-        self.admission = HandAdmission()
+    def __init__(self, name: str, proxy: Proxy, route: Route) -> None:
+        self.proxy = proxy
+        self.admission = ManualAdmission()
         self._route = route
-        self.runner = ItemRunner(name, "z0", self, lambda: [wire.address])
+        self.runner = ItemRunner(name, "z0", self, lambda: [proxy.address])
 
     def route_for(self, name: str) -> tuple[Route, Admission] | None:
         return self._route, cast(Admission, self.admission)
@@ -173,7 +176,7 @@
 
 
 class Storage:
-    """A storage service that leads a group of one."""
+    """A storage service that is the primary of a group of one."""
 
     def __init__(self, folder: Path) -> None:
         self.store = MemoryStore()
@@ -196,7 +199,7 @@
 
 
 def tier_settings(folder: Path, role: str) -> TierSettings:
-    """Of a node that knows no other."""
+    """Settings of a node without peers."""
     return TierSettings(
         node_name=f"{role}-0", role=role, ip="127.0.0.1", zone="z0", region="r", zones={}, frontend="",
         readiness="", control="", first_port=1, last_port=2, seeds=[], bootstrap=True, data_dir=str(folder),
@@ -205,43 +208,43 @@
     )  # fmt: skip
 
 
-class Bench:
-    """The parts of one test."""
+class Harness:
+    """The storage node and the sidecars of one test."""
 
     def __init__(self, folder: Path) -> None:
         self.storage = Storage(folder)
         self._sidecars: list[Sidecar] = []
 
-    async def sidecar(self, name: str) -> Sidecar:
-        wire = Wire(self.storage.port)
-        await wire.start()
+    async def add_sidecar(self, name: str) -> Sidecar:
+        proxy = Proxy(self.storage.port)
+        await proxy.start()
         route = RouteTable(1, document(1)).by_name[ROUTE]
-        made = Sidecar(name, wire, route)
-        self._sidecars.append(made)
-        await until(made.runner._up.is_set, f"{name} has a session")
-        return made
+        result = Sidecar(name, proxy, route)
+        self._sidecars.append(result)
+        await until(result.runner._up.is_set, f"{name} has a session")
+        return result
 
     def close(self) -> None:
         for sidecar in self._sidecars:
             sidecar.runner.stop()
-            sidecar.wire.close()
+            sidecar.proxy.close()
         self.storage.close()
 
 
 @asynccontextmanager
-async def bench(folder: Path) -> AsyncIterator[Bench]:
-    """A storage node that leads; sidecars are added by the test."""
-    made = Bench(folder)
-    await made.storage.start()
+async def running_harness(folder: Path) -> AsyncIterator[Harness]:
+    """A storage node that is the primary; the test adds sidecars."""
+    result = Harness(folder)
+    await result.storage.start()
     try:
-        yield made
+        yield result
     finally:
-        made.close()
+        result.close()
 
 
-async def listed(sidecar: Sidecar, job: str, *items: str) -> None:
-    """Returns once these items, and no others, are listed."""
-    async with asyncio.timeout(BOUND_S):
+async def wait_for_results(sidecar: Sidecar, job: str, *items: str) -> None:
+    """Wait until these items, and no others, have results."""
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
             found = await sidecar.results(job)
             if sorted(found) == sorted(items):
--- a/tests/test_items.py
+++ b/tests/test_items.py
@@ -1,8 +1,7 @@
-"""An accepted item is held by somebody who works on it, or waits to be given out.
+"""An accepted item is always held by a sidecar that runs it, or waits to be assigned.
 
+Runs the real storage service and item runners on real sockets, without knowledge of their protocol.
 See docs/incidents/lost-item.md.
-
-On real sockets, with the real storage service and item runners: nothing here knows how they agree.
 """
 
 from __future__ import annotations
@@ -14,9 +13,9 @@
 
 import pytest
 
-from eiderhub.batch.jobs import FIRST_RESULT_BYTES
+from eiderhub.batch.jobs import INITIAL_RESULT_BYTES
 from eiderhub.batch.messages import ItemKey, RunItem
-from eiderhub.batch.workers import LEAST_WINDOW, Standing
+from eiderhub.batch.workers import MIN_WINDOW, WorkerHealth
 from eiderhub.control.errors import ErrorKind, Refusal
 from eiderhub.control.freshness import FRESH_S
 from eiderhub.coordination.messages import Write
@@ -25,144 +24,153 @@
 from eiderhub.dataplane.items import ItemRunner, RunningItem
 from eiderhub.dataplane.routes import RouteTable
 from eiderhub.programs.storage_service import SPACE_SHARE
-from tests.items_support import BOUND_S, ROUTE, Bench, HandAdmission, Sidecar, bench, listed, until
+from tests.items_support import (
+    ROUTE,
+    TIMEOUT_S,
+    Harness,
+    ManualAdmission,
+    Sidecar,
+    running_harness,
+    until,
+    wait_for_results,
+)
 from tests.tier_support import document
 
-RETURN_S = 0.8  # a sidecar that has gone has so long to come back
+RECONNECT_GRACE_S = 0.8  # time for a disconnected sidecar to reconnect
 
 
-class LeaseThatLapses:
-    """The primary's lease, as the service sees it: it says no where the test wants it to."""
+class LapsingLease:
+    """The lease of the primary as seen by the service; lapses when the test says so."""
 
-    def __init__(self, made: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
-        replica = made.storage.service.group.replica
+    def __init__(self, harness: Harness, monkeypatch: pytest.MonkeyPatch) -> None:
+        replica = harness.storage.service.group.replica
         self._leads = replica.leads
         self.lapsed: Callable[[], bool] = lambda: False
         monkeypatch.setattr(replica, "leads", lambda now: not self.lapsed() and self._leads(now))
 
-    def lapse_at_look(self, number: int) -> None:
-        """Lapse for one look, the so many-th from now."""
-        looks = iter(range(number + 1))
+    def lapse_at_check(self, index: int) -> None:
+        """Lapse for a single check, the one with this index from now on."""
+        checks = iter(range(index + 1))
 
         def lapsed() -> bool:
-            return next(looks, -1) == number
+            return next(checks, -1) == index
 
         self.lapsed = lapsed
 
 
-async def holds(sidecar: Sidecar, item: str) -> None:
+async def wait_for_item(sidecar: Sidecar, item: str) -> None:
     await until(lambda: item in sidecar.admission.calls, f"{item} at a sidecar")
 
 
-def test_item_given_back_while_a_session_opens_is_run_again(tmp_path: Path) -> None:
-    """The sidecar has announced the item; the primary's answer is on its way when the attempt fails."""
+def test_item_returned_while_a_session_opens_is_run_again(tmp_path: Path) -> None:
+    """The sidecar has announced the item; its attempt fails before the answer of the primary arrives."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            sidecar = await made.sidecar("edge-0")
+        async with running_harness(tmp_path) as harness:
+            sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
-            await until(lambda: "a" in sidecar.admission.calls, "the item at the sidecar")
-            sidecar.wire.open.clear()
-            before = sidecar.wire.sessions
-            sidecar.wire.cut()
-            await until(lambda: sidecar.wire.sessions > before, "another session opens")
-            await until(lambda: made.storage.service._connections, "the primary has taken it")
-            sidecar.admission.refuse("a")
-            sidecar.wire.open.set()
-            await until(lambda: "a" in sidecar.admission.calls, "the item is given out again")
-            sidecar.admission.finish("a")
-            await listed(sidecar, "job", "a")
+            await until(lambda: "a" in sidecar.admission.calls, "the item is at the sidecar")
+            sidecar.proxy.forwarding.clear()
+            before = sidecar.proxy.session_count
+            sidecar.proxy.disconnect()
+            await until(lambda: sidecar.proxy.session_count > before, "another session opens")
+            await until(lambda: harness.storage.service._connections, "the primary has accepted it")
+            sidecar.admission.fail_item("a")
+            sidecar.proxy.forwarding.set()
+            await until(lambda: "a" in sidecar.admission.calls, "the item is assigned again")
+            sidecar.admission.finish_item("a")
+            await wait_for_results(sidecar, "job", "a")
 
     asyncio.run(test())
 
 
-def test_items_of_a_sidecar_that_goes_while_the_lease_lapses_are_run_elsewhere(
+def test_items_of_a_sidecar_lost_while_the_lease_lapses_are_run_elsewhere(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It never comes back, and in the moment in which that is judged the primary may not judge."""
+    """It never reconnects, and when its items are due to be reclaimed the lease of the primary has lapsed."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            sidecar, other = await made.sidecar("edge-0"), await made.sidecar("edge-1")
-            lease = LeaseThatLapses(made, monkeypatch)
+        async with running_harness(tmp_path) as harness:
+            sidecar, other = await harness.add_sidecar("edge-0"), await harness.add_sidecar("edge-1")
+            lease = LapsingLease(harness, monkeypatch)
             assert await sidecar.submit("job", "a", "b") == 202
             await until(lambda: len(sidecar.admission.calls | other.admission.calls) == 2, "both run")
             sidecar.runner.stop()
-            sidecar.wire.close()
+            sidecar.proxy.close()
             loop = asyncio.get_running_loop()
-            until_s = loop.time() + 2 * RETURN_S
+            until_s = loop.time() + 2 * RECONNECT_GRACE_S
             lease.lapsed = lambda: loop.time() < until_s
             first, last = ("a", "b") if "a" in other.admission.calls else ("b", "a")
-            await holds(other, first)
-            other.admission.begin(first)  # one that is not tested gets no more until then
-            await holds(other, last)
+            await wait_for_item(other, first)
+            other.admission.start_item(first)  # an unproven sidecar gets no more until then
+            await wait_for_item(other, last)
             for item in "ab":
-                other.admission.finish(item)
-            await listed(other, "job", "a", "b")
+                other.admission.finish_item(item)
+            await wait_for_results(other, "job", "a", "b")
 
     asyncio.run(test())
 
 
-@pytest.mark.parametrize("look", range(8))
-def test_result_is_listed_though_the_lease_lapses_while_it_is_taken(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, look: int
+@pytest.mark.parametrize("check", range(8))
+def test_result_is_committed_although_the_lease_lapses_on_its_arrival(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, check: int
 ) -> None:
-    """Whichever look at the lease says no: the table is never ahead of the store in an epoch that goes on."""
+    """Whichever lease check fails, the table is never ahead of the store in an epoch that continues."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            sidecar = await made.sidecar("edge-0")
-            lease = LeaseThatLapses(made, monkeypatch)
+        async with running_harness(tmp_path) as harness:
+            sidecar = await harness.add_sidecar("edge-0")
+            lease = LapsingLease(harness, monkeypatch)
             assert await sidecar.submit("job", "a", "b") == 202
-            await holds(sidecar, "a")
-            sidecar.admission.begin("a")  # a sidecar of which nothing is known gets one item until one moves
-            await holds(sidecar, "b")
-            taken = asyncio.Event()
-            on_message = made.storage.service.on_message
-
-            def told(connection: object, message: object) -> None:
-                if type(message).__name__ == "ItemFinished" and not taken.is_set():
-                    taken.set()
-                    lease.lapse_at_look(look)
+            await wait_for_item(sidecar, "a")
+            sidecar.admission.start_item("a")  # an unproven sidecar gets one item until one starts
+            await wait_for_item(sidecar, "b")
+            result_received = asyncio.Event()
+            on_message = harness.storage.service.on_message
+
+            def record_message(connection: object, message: object) -> None:
+                if type(message).__name__ == "ItemFinished" and not result_received.is_set():
+                    result_received.set()
+                    lease.lapse_at_check(check)
                 on_message(connection, message)  # type: ignore[arg-type]
 
-            monkeypatch.setattr(made.storage.service, "on_message", told)
-            sidecar.admission.finish("a")
-            await taken.wait()
-            await holds(sidecar, "b")
-            sidecar.admission.finish("b")
-            async with asyncio.timeout(BOUND_S):
+            monkeypatch.setattr(harness.storage.service, "on_message", record_message)
+            sidecar.admission.finish_item("a")
+            await result_received.wait()
+            await wait_for_item(sidecar, "b")
+            sidecar.admission.finish_item("b")
+            async with asyncio.timeout(TIMEOUT_S):
                 while sorted(await sidecar.results("job")) != ["a", "b"]:
-                    for item in list(sidecar.admission.calls):  # another epoch may run them again
-                        sidecar.admission.finish(item)
+                    for item in list(sidecar.admission.calls):  # a new epoch may run them again
+                        sidecar.admission.finish_item(item)
                     await asyncio.sleep(0.01)
 
     asyncio.run(test())
 
 
-def test_item_whose_attempt_does_not_move_is_given_to_another(tmp_path: Path) -> None:
-    """An endpoint whose machine has lost its power says nothing: nobody but us ends the attempt."""
+def test_item_whose_attempt_makes_no_progress_is_reassigned(tmp_path: Path) -> None:
+    """An endpoint whose machine has lost power sends nothing: only the sidecar can end the attempt."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            sidecar = await made.sidecar("edge-0")
+        async with running_harness(tmp_path) as harness:
+            sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
-            await until(lambda: len(sidecar.admission.begun) > 1, "the item is given out again")
-            sidecar.admission.finish("a")
-            await listed(sidecar, "job", "a")
+            await until(lambda: len(sidecar.admission.ordered) > 1, "the item is assigned again")
+            sidecar.admission.finish_item("a")
+            await wait_for_results(sidecar, "job", "a")
 
     asyncio.run(test())
 
 
-def test_job_of_an_earlier_epoch_does_not_touch_the_one_that_is_sent_again(
+def test_submission_of_an_earlier_epoch_does_not_affect_the_resubmitted_job(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The first call is still being paid for when another epoch begins, and its client asks again."""
+    """A new epoch begins while the tokens of the first call are being charged, and its client resubmits."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            service = made.storage.service
-            sidecar, other = await made.sidecar("edge-0"), await made.sidecar("edge-1")
+        async with running_harness(tmp_path) as harness:
+            service = harness.storage.service
+            sidecar, other = await harness.add_sidecar("edge-0"), await harness.add_sidecar("edge-1")
             gates = [asyncio.Event(), asyncio.Event()]
             paying: list[int] = []
 
@@ -195,55 +203,57 @@
     asyncio.run(test())
 
 
-def test_item_at_a_sidecar_that_reaches_no_endpoint_is_run_elsewhere(tmp_path: Path) -> None:
-    """Nothing answers that sidecar, live calls neither: it gives its items back long before one is silent."""
+def test_item_at_a_sidecar_without_reachable_endpoints_is_run_elsewhere(tmp_path: Path) -> None:
+    """Not even live calls are answered there: it returns its items long before the silence timeout."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            stuck, other = await made.sidecar("edge-0"), await made.sidecar("edge-1")
-            stuck.admission.reaches_others = False
+        async with running_harness(tmp_path) as harness:
+            stuck, other = await harness.add_sidecar("edge-0"), await harness.add_sidecar("edge-1")
+            stuck.admission.endpoints_answer = False
             assert await stuck.submit("job", "a", "b") == 202
             await until(lambda: len(stuck.admission.calls | other.admission.calls) == 2, "both run")
-            taken = list(stuck.admission.calls)
-            assert taken, "the test wants an item at the sidecar that is stuck"
-            other.admission.begin(*other.admission.calls)
-            await holds(other, taken[0])
-            worker = made.storage.service._dispatch.scheduler.workers["edge-0"]
-            assert worker.free(0.0, 0, wanted=True) <= LEAST_WINDOW
-            assert worker.standing is Standing.STUCK
+            held = list(stuck.admission.calls)
+            assert held, "the stuck sidecar has an item"
+            other.admission.start_item(*other.admission.calls)
+            await wait_for_item(other, held[0])
+            worker = harness.storage.service._dispatch.scheduler.workers["edge-0"]
+            assert worker.free_slots(0.0, 0, ignore_stuck_pause=True) <= MIN_WINDOW
+            assert worker.health is WorkerHealth.STUCK
             for item in "ab":
-                other.admission.finish(item)
-            await listed(other, "job", "a", "b")
+                other.admission.finish_item(item)
+            await wait_for_results(other, "job", "a", "b")
 
     asyncio.run(test())
 
 
-def test_item_out_of_attempts_is_listed_though_there_is_no_control_session(tmp_path: Path) -> None:
-    """Nobody runs it any more: were it not listed, it would wait with nobody. Here is no such session."""
+def test_item_out_of_attempts_ends_without_a_control_session(tmp_path: Path) -> None:
+    """No sidecar runs it any more: without a result it would wait forever. No control session exists here."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            sidecar = await made.sidecar("edge-0")
+        async with running_harness(tmp_path) as harness:
+            sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
-            await holds(sidecar, "a")
-            sidecar.admission.calls["a"].errors = made.storage.service._jobs.jobs["job"].record.max_attempts
-            sidecar.admission.refuse("a")
-            await listed(sidecar, "job", "a")
+            await wait_for_item(sidecar, "a")
+            sidecar.admission.calls["a"].errors = harness.storage.service._jobs.jobs[
+                "job"
+            ].record.max_attempts
+            sidecar.admission.fail_item("a")
+            await wait_for_results(sidecar, "job", "a")
 
     asyncio.run(test())
 
 
-def test_items_are_given_out_while_dead_letters_wait_for_their_commit(
+def test_items_are_assigned_while_dead_letters_wait_for_their_commit(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A commit may take as long as a backup is away: nothing else waits for it."""
+    """A commit may take as long as a backup is unavailable; nothing else waits for it."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            service = made.storage.service
-            sidecar = await made.sidecar("edge-0")
+        async with running_harness(tmp_path) as harness:
+            service = harness.storage.service
+            sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
-            await holds(sidecar, "a")
+            await wait_for_item(sidecar, "a")
             group_commit = service.group.commit
             held_up = asyncio.Event()
 
@@ -252,49 +262,51 @@
                 held_up.set()
                 await asyncio.Event().wait()
 
-            sidecar.admission.calls["a"].errors = made.storage.service._jobs.jobs["job"].record.max_attempts
+            sidecar.admission.calls["a"].errors = harness.storage.service._jobs.jobs[
+                "job"
+            ].record.max_attempts
             monkeypatch.setattr(service.group, "commit", commit)
-            sidecar.admission.refuse("a")
-            async with asyncio.timeout(BOUND_S):
+            sidecar.admission.fail_item("a")
+            async with asyncio.timeout(TIMEOUT_S):
                 await held_up.wait()
             monkeypatch.setattr(service.group, "commit", group_commit)
             assert await sidecar.submit("next", "b") == 202
-            await holds(sidecar, "b")
-            sidecar.admission.refuse("b")
-            await holds(sidecar, "b")
+            await wait_for_item(sidecar, "b")
+            sidecar.admission.fail_item("b")
+            await wait_for_item(sidecar, "b")
 
     asyncio.run(test())
 
 
-def test_store_that_is_nearly_full_takes_no_job_and_lists_all_that_it_took(tmp_path: Path) -> None:
-    """Room is kept for the results of what was taken; a job that is sent again is known."""
+def test_nearly_full_store_rejects_jobs_and_completes_accepted_ones(tmp_path: Path) -> None:
+    """Space is reserved for the results of accepted jobs; a resubmitted job is recognised."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            sidecar = await made.sidecar("edge-0")
-            store = made.storage.store
-            store.limit_bytes = int((store.used_bytes + 4.5 * FIRST_RESULT_BYTES) / SPACE_SHARE)
+        async with running_harness(tmp_path) as harness:
+            sidecar = await harness.add_sidecar("edge-0")
+            store = harness.storage.store
+            store.limit_bytes = int((store.used_bytes + 4.5 * INITIAL_RESULT_BYTES) / SPACE_SHARE)
             assert await sidecar.submit("job", "a", "b", "c", "d") == 202
             assert await sidecar.submit("next", "e") == 429
             assert await sidecar.submit("job", "a", "b", "c", "d") == 202
             for item in "abcd":
-                await holds(sidecar, item)
-                sidecar.admission.finish(item)
-            await listed(sidecar, "job", "a", "b", "c", "d")
+                await wait_for_item(sidecar, item)
+                sidecar.admission.finish_item(item)
+            await wait_for_results(sidecar, "job", "a", "b", "c", "d")
             assert store.get("body/job") is None
             assert await sidecar.submit("next", "e") == 202
 
     asyncio.run(test())
 
 
-def test_routes_are_judged_once_what_is_known_is_newer_than_the_epoch(
+def test_routes_are_checked_once_the_configuration_is_newer_than_the_epoch(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A job may have been taken for a route that the last primary knew, and this one does not know yet."""
+    """The last primary may have accepted a job for a route that this primary does not know yet."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            service = made.storage.service
+        async with running_harness(tmp_path) as harness:
+            service = harness.storage.service
             monkeypatch.setattr(service._session, "fresh", lambda: True)
             service._led_since = service._now()
             assert service._known_routes() is None
@@ -304,11 +316,11 @@
     asyncio.run(test())
 
 
-def running_item(objective_ms: int, tries: int = 0) -> RunningItem:
-    """An item that waits in the queue of a sidecar, by a route with that objective."""
-    made = document(1)
-    made["routes"][1]["slo_ms"] = objective_ms
-    route = RouteTable(1, made).by_name[ROUTE]
+def running_item(slo_ms: int, tries: int = 0) -> RunningItem:
+    """An item that waits in the queue of a sidecar, with a route of that objective."""
+    configuration = document(1)
+    configuration["routes"][1]["slo_ms"] = slo_ms
+    route = RouteTable(1, configuration).by_name[ROUTE]
     order = RunItem(ItemKey("job", "a"), ROUTE, "/", {}, b"", 0, None, tries)
     runner = mock.Mock(spec=ItemRunner)
     runner.now.return_value = 0.0
@@ -318,82 +330,82 @@
 
 
 @pytest.mark.parametrize(
-    ("objective_ms", "tries", "looks"), [(100, 0, 4), (616, 0, 5), (616, 1, 10), (616, 5, 16), (3_000, 0, 16)]
+    ("slo_ms", "tries", "checks"), [(100, 0, 4), (616, 0, 5), (616, 1, 10), (616, 5, 16), (3_000, 0, 16)]
 )
-def test_item_that_was_sent_is_given_back_by_its_objective_where_endpoints_say_nothing(
-    objective_ms: int, tries: int, looks: int
+def test_sent_item_is_returned_by_its_objective_while_endpoints_are_silent(
+    slo_ms: int, tries: int, checks: int
 ) -> None:
-    item = running_item(objective_ms, tries)
+    item = running_item(slo_ms, tries)
     assert item.call is not None
     item.call.current = mock.Mock(spec=Attempt)
-    assert [item.looked_at(still=True) for _ in range(looks + 1)] == [False] * looks + [True]
+    assert [item.looked_at(still=True) for _ in range(checks + 1)] == [False] * checks + [True]
     assert not item.looked_at(still=False)
     assert not item.looked_at(still=True)
 
 
 @pytest.mark.parametrize(
-    ("objective_ms", "tries", "looks"), [(100, 0, 3), (616, 0, 3), (757, 5, 3), (1_200, 0, 4), (9_000, 0, 16)]
+    ("slo_ms", "tries", "checks"), [(100, 0, 3), (616, 0, 3), (757, 5, 3), (1_200, 0, 4), (9_000, 0, 16)]
 )
 @pytest.mark.parametrize("still", [False, True])
-def test_item_that_no_endpoint_takes_is_given_back_by_its_objective(
-    objective_ms: int, tries: int, looks: int, still: bool
+def test_item_that_no_endpoint_accepts_is_returned_by_its_objective(
+    slo_ms: int, tries: int, checks: int, still: bool
 ) -> None:
-    """Whatever other calls do here, and however often the item has been given back before."""
-    item = running_item(objective_ms, tries)
-    assert [item.looked_at(still) for _ in range(looks + 1)] == [False] * looks + [True]
+    """Regardless of other calls at the sidecar and of earlier returns of the item."""
+    item = running_item(slo_ms, tries)
+    assert [item.looked_at(still) for _ in range(checks + 1)] == [False] * checks + [True]
 
 
-def test_item_that_has_begun_is_not_given_back_for_what_other_calls_do() -> None:
+def test_started_item_is_not_returned_because_of_other_calls() -> None:
     item = running_item(100)
     item.event(Event(b"", 0, "text"))
     assert not any(item.looked_at(still=True) for _ in range(20))
 
 
 @pytest.mark.parametrize("sent", [False, True])
-def test_item_whose_route_has_moved_is_not_sent_to_the_service_of_before(tmp_path: Path, sent: bool) -> None:
-    """It reaches endpoints by what is in force then, not by what was when it came."""
+def test_item_of_a_moved_route_is_not_sent_to_the_previous_service(tmp_path: Path, sent: bool) -> None:
+    """It is sent by the configuration in force at that time, not by that of its arrival."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            sidecar = await made.sidecar("edge-0")
-            before = sidecar.admission
-            before.reaches_others = sent  # whether an endpoint has it
+        async with running_harness(tmp_path) as harness:
+            sidecar = await harness.add_sidecar("edge-0")
+            previous = sidecar.admission
+            previous.endpoints_answer = sent  # whether the call is at an endpoint
             assert await sidecar.submit("job", "a") == 202
-            await holds(sidecar, "a")
-            call = before.calls["a"]
-            sidecar.admission = HandAdmission()
+            await wait_for_item(sidecar, "a")
+            call = previous.calls["a"]
+            sidecar.admission = ManualAdmission()
             sidecar.runner.routes_changed(2)
             assert call.final == sent
             if sent:
-                assert list(before.calls) == ["a"]
-                before.refuse("a")  # its attempt has failed: nothing follows it there
-            await holds(sidecar, "a")
-            assert before.calls == {}
-            assert before.begun == ["a"]
-            sidecar.admission.finish("a")
-            await listed(sidecar, "job", "a")
+                assert list(previous.calls) == ["a"]
+                previous.fail_item("a")  # its attempt has failed: no other follows there
+            await wait_for_item(sidecar, "a")
+            assert previous.calls == {}
+            assert previous.ordered == ["a"]
+            sidecar.admission.finish_item("a")
+            await wait_for_results(sidecar, "job", "a")
 
     asyncio.run(test())
 
 
-def test_attempts_that_an_item_has_had_elsewhere_count_at_the_next_sidecar(tmp_path: Path) -> None:
-    """Its route allows so many in all, not at each sidecar."""
+def test_attempts_at_other_sidecars_count_at_the_next_one(tmp_path: Path) -> None:
+    """The attempts that its route allows are counted in total, not per sidecar."""
 
     async def test() -> None:
-        async with bench(tmp_path) as made:
-            sidecar = await made.sidecar("edge-0")
+        async with running_harness(tmp_path) as harness:
+            sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
-            await holds(sidecar, "a")
+            await wait_for_item(sidecar, "a")
             assert sidecar.admission.calls["a"].ran == 0
-            had = made.storage.service._jobs.jobs["job"].record.max_attempts - 1
-            assert had > 0
-            sidecar.admission.calls["a"].errors = had
-            sidecar.admission.refuse("a")
-            await holds(sidecar, "a")
-            assert sidecar.admission.calls["a"].ran == had
-            await until(lambda: made.storage.store.get("errors/job"), "the count is stored")
-            sidecar.admission.finish("a")
-            await listed(sidecar, "job", "a")
-            assert made.storage.store.get("errors/job") is None
+            failed_attempts = harness.storage.service._jobs.jobs["job"].record.max_attempts - 1
+            assert failed_attempts > 0
+            sidecar.admission.calls["a"].errors = failed_attempts
+            sidecar.admission.fail_item("a")
+            await wait_for_item(sidecar, "a")
+            assert sidecar.admission.calls["a"].ran == failed_attempts
+            await until(lambda: harness.storage.store.get("errors/job"), "the count is stored")
+            sidecar.admission.finish_item("a")
+            await wait_for_results(sidecar, "job", "a")
+            assert harness.storage.store.get("errors/job") is None
 
     asyncio.run(test())
--- a/tests/test_items_model.py
+++ b/tests/test_items_model.py
@@ -1,6 +1,6 @@
-"""Every accepted item is listed once, whatever happens to sessions, sidecars, leases and primaries.
+"""Every accepted item gets exactly one result, under faults of sessions, sidecars, leases and primaries.
 
-`OTTERCLEAT_ITEM_SCHEDULES` says how many schedules are played; each is drawn from its seed alone.
+`OTTERCLEAT_ITEM_SCHEDULES` sets the number of random schedules; each depends on its seed alone.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from eiderhub.batch.dispatch import Dispatcher
 from eiderhub.batch.ledger import ItemLedger
 from eiderhub.batch.messages import ItemFinished, ItemReturned, WorkerReport
-from eiderhub.batch.scheduler import Round, Scheduler
+from eiderhub.batch.scheduler import AssignmentRound, Scheduler
 from eiderhub.batch.workers import Worker
 from tests.model.items import Broken, StorageGroup, World
 from tests.model.seeds import Patch, broken_by, first_seed_that_breaks
 
-COUNT = int(os.environ.get("OTTERCLEAT_ITEM_SCHEDULES", "1000"))
-FIRST = int(os.environ.get("OTTERCLEAT_FIRST_ITEM_SEED", "0"))
-BLOCK = 50
-MOST_SEEDS = 150  # in which a planted fault is to be found
+SCHEDULES = int(os.environ.get("OTTERCLEAT_ITEM_SCHEDULES", "1000"))
+FIRST_SEED = int(os.environ.get("OTTERCLEAT_FIRST_ITEM_SEED", "0"))
+SEEDS_PER_BLOCK = 50
+MAX_FAULT_SEEDS = 150  # within which each injected fault must be detected
 
 
 def play(seed: int, standstills: bool = False) -> None:
@@ -31,17 +31,17 @@
 
 
 def test_no_schedule_loses_an_item() -> None:
-    found = broken_by(play, FIRST, COUNT, BLOCK)
-    assert not found, "\n".join(found[:5])
+    failures = broken_by(play, FIRST_SEED, SCHEDULES, SEEDS_PER_BLOCK)
+    assert not failures, "\n".join(failures[:5])
 
 
-def test_no_schedule_leaves_an_item_lying_though_sidecars_move_nothing() -> None:
-    """An item that some sidecar can run is worked on within the bound, whichever sidecars move nothing."""
-    found = broken_by(partial(play, standstills=True), FIRST, COUNT, BLOCK)
-    assert not found, "\n".join(found[:5])
+def test_no_schedule_leaves_an_item_idle_while_sidecars_make_no_progress() -> None:
+    """An item that some sidecar can run is run within the bound, whichever sidecars make no progress."""
+    failures = broken_by(partial(play, standstills=True), FIRST_SEED, SCHEDULES, SEEDS_PER_BLOCK)
+    assert not failures, "\n".join(failures[:5])
 
 
-def test_schedule_is_the_same_each_time() -> None:
+def test_schedule_is_reproducible() -> None:
     first, second = World(3), World(3)
     first.play()
     second.play()
@@ -49,7 +49,7 @@
     assert first.group.store.data == second.group.store.data
 
 
-# --- planted faults ---
+# --- injected faults ---
 
 
 class Fault(NamedTuple):
@@ -58,13 +58,15 @@
     standstills: bool = False
 
 
-def _change_before_the_look(self: StorageGroup, change: Callable[[], Any], done: Callable[[], None]) -> None:
+def _commit_changing_before_the_lease_check(
+    self: StorageGroup, change: Callable[[], Any], done: Callable[[], None]
+) -> None:
     writes = change()
     if self.leads_still():
         self.gather(writes, done)
 
 
-def _ended_is_told_or_forgotten(
+def _ended_dropping_unsent_outcomes(
     self: ItemLedger, now: float, outcome: ItemFinished | ItemReturned
 ) -> list[Any]:
     held = self._held.get(outcome.key)
@@ -74,99 +76,109 @@
     if isinstance(outcome, ItemReturned) and not self.accepted:
         del self._held[outcome.key]
         return []
-    return self._tell(now, outcome.key)
+    return self._send_outcome(now, outcome.key)
 
 
-def _compare_nothing(self: Dispatcher, now: float, session: Any, message: WorkerReport) -> None:
-    session.heard_at = now
+def _report_without_reconciling(self: Dispatcher, now: float, session: Any, message: WorkerReport) -> None:
+    session.last_message_at = now
 
 
-def _compare_ignoring_orders(self: Dispatcher, session: Any, received: int, named: list[Any]) -> None:
-    COMPARE(self, session, 1 << 30, named)
+def _reconcile_counting_unread_orders(
+    self: Dispatcher, session: Any, received: int, announced: list[Any]
+) -> None:
+    RECONCILE(self, session, 1 << 30, announced)
 
 
-def _judge_departures_once(self: Dispatcher, now: float) -> None:
-    due = [node for node, until in self._gone.items() if now >= until]
+def _tick_reclaiming_only_once(self: Dispatcher, now: float) -> None:
+    due = [node for node, until in self._disconnected.items() if now >= until]
     for node in due:
-        until = self._gone.pop(node)
-        if now - until < 0.05:  # it led at just that moment
+        until = self._disconnected.pop(node)
+        if now - until < 0.05:  # only if the node leads at that moment
             for item in self.table.running_at(node):
-                self._release(item)
+                self._requeue(item)
 
 
-def _never_again(self: ItemLedger, now: float) -> list[Any]:
-    return [self._report(now)] if self.accepted and now >= self._next_report else []
+def _tick_without_resending(self: ItemLedger, now: float) -> list[Any]:
+    return [self._report(now)] if self.accepted and now >= self._next_report_at else []
 
 
 def _begin_without_loading(self: Dispatcher, now: float, epoch: int) -> None:
     self._epoch = epoch
-    self._give_from = now
+    self._assign_from = now
 
 
-def _cancel_nothing(self: Dispatcher, job_id: str) -> None:
-    """The end of a job is told to nobody."""
+def _cancel_no_items(self: Dispatcher, job_id: str) -> None:
+    """Does not tell sidecars that a job has ended."""
 
 
-def _release_nothing(self: Dispatcher, now: float) -> None:
-    """Sidecars that have gone keep their items."""
+def _tick_without_reclaiming(self: Dispatcher, now: float) -> None:
+    """Never reclaims items of disconnected sidecars."""
 
 
-def _take_the_roomiest(self: Round, route: str, failures: Any, safe: bool) -> Any:
-    return max(self._room, key=lambda worker: self._room[worker], default=None)
+def _choose_by_free_slots(self: AssignmentRound, route: str, returns: Any, job_progresses: bool) -> Any:
+    return max(self._free_slots, key=lambda worker: self._free_slots[worker], default=None)
 
 
-def _return_says_nothing(self: Scheduler, now: float, node: str, key: Any, route: str, reason: Any) -> None:
-    self.released(key)
+def _item_returned_without_effect(
+    self: Scheduler, now: float, node: str, key: Any, route: str, reason: Any
+) -> None:
+    self.item_unassigned(key)
 
 
-COMPARE = Dispatcher._compare
+RECONCILE = Dispatcher._reconcile
 
 FAULTS = [
     Fault(
-        "a table changes before the look at the lease", ((StorageGroup, "commit", _change_before_the_look),)
+        "a table changes before the lease is checked",
+        ((StorageGroup, "commit", _commit_changing_before_the_lease_check),),
     ),
     Fault(
-        "an end is forgotten while a session opens, and nothing is compared",
-        ((ItemLedger, "ended", _ended_is_told_or_forgotten), (Dispatcher, "report", _compare_nothing)),
+        "an outcome is dropped while a session opens, and reports are not reconciled",
+        (
+            (ItemLedger, "ended", _ended_dropping_unsent_outcomes),
+            (Dispatcher, "report", _report_without_reconciling),
+        ),
+    ),
+    Fault("unread orders count as read", ((Dispatcher, "_reconcile", _reconcile_counting_unread_orders),)),
+    Fault("a disconnected sidecar is checked only once", ((Dispatcher, "tick", _tick_reclaiming_only_once),)),
+    Fault(
+        "items of disconnected sidecars are not reclaimed", ((Dispatcher, "tick", _tick_without_reclaiming),)
     ),
-    Fault("orders that were not read count as read", ((Dispatcher, "_compare", _compare_ignoring_orders),)),
-    Fault("a departure is judged once", ((Dispatcher, "tick", _judge_departures_once),)),
-    Fault("items of those that have gone are not taken back", ((Dispatcher, "tick", _release_nothing),)),
-    Fault("a primary keeps silent sessions", ((Dispatcher, "silent", lambda self, now: []),)),
-    Fault("a sidecar keeps a silent session", ((ItemLedger, "is_silent", lambda self, now: False),)),
-    Fault("a result is told once a session", ((ItemLedger, "tick", _never_again),)),
-    Fault("a table of an earlier epoch is kept", ((Dispatcher, "begin", _begin_without_loading),)),
+    Fault("a primary keeps timed-out sessions", ((Dispatcher, "silent", lambda self, now: []),)),
+    Fault("a sidecar keeps a timed-out session", ((ItemLedger, "is_silent", lambda self, now: False),)),
+    Fault("a result is sent only once per session", ((ItemLedger, "tick", _tick_without_resending),)),
+    Fault("the table of an earlier epoch is kept", ((Dispatcher, "begin", _begin_without_loading),)),
     Fault(
-        "an ended job's items go on, and nothing is compared",
-        ((Dispatcher, "cancel_job", _cancel_nothing), (Dispatcher, "report", _compare_nothing)),
+        "items of an ended job continue, and reports are not reconciled",
+        ((Dispatcher, "cancel_job", _cancel_no_items), (Dispatcher, "report", _report_without_reconciling)),
     ),
     Fault(
-        "placement looks at room alone, and a sidecar that is stuck keeps its window",
+        "placement uses free slots alone, and a stuck sidecar keeps its window",
         (
-            (Round, "choose", _take_the_roomiest),
-            (Worker, "stuck", lambda self, now: None),
-            (Worker, "is_tested", lambda self, now: True),
+            (AssignmentRound, "choose", _choose_by_free_slots),
+            (Worker, "record_stall", lambda self, now: None),
+            (Worker, "is_proven", lambda self, now: True),
         ),
         standstills=True,
     ),
     Fault(
-        "a return says nothing, placement looks at room alone, and all sidecars count as tested",
+        "returns have no effect, placement uses free slots alone, and all sidecars count as proven",
         (
-            (Scheduler, "returned", _return_says_nothing),
-            (Round, "choose", _take_the_roomiest),
-            (Worker, "is_tested", lambda self, now: True),
+            (Scheduler, "item_returned", _item_returned_without_effect),
+            (AssignmentRound, "choose", _choose_by_free_slots),
+            (Worker, "is_proven", lambda self, now: True),
         ),
         standstills=True,
     ),
 ]
 
 
-def found_in(fault: Fault) -> int | None:
-    """The first seed whose schedule finds the fault."""
-    play_it = partial(play, standstills=fault.standstills)
-    return first_seed_that_breaks(play_it, fault.patches, MOST_SEEDS, (Broken, KeyError))
+def first_failing_seed(fault: Fault) -> int | None:
+    """The first seed whose schedule detects the fault."""
+    play_fault = partial(play, standstills=fault.standstills)
+    return first_seed_that_breaks(play_fault, fault.patches, MAX_FAULT_SEEDS, (Broken, KeyError))
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_planted_fault_is_found(fault: Fault) -> None:
-    assert found_in(fault) is not None
+def test_injected_fault_is_detected(fault: Fault) -> None:
+    assert first_failing_seed(fault) is not None
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -1,6 +1,6 @@
-"""Every open lot is served as soon as any sidecar reaches endpoints, whatever the others meet.
+"""Every open job is served as soon as any sidecar reaches endpoints, whatever faults the others have.
 
-`OTTERCLEAT_PLACEMENT_SCHEDULES` says how many plans are drawn and played; each is drawn from its seed alone.
+`OTTERCLEAT_PLACEMENT_SCHEDULES` sets the number of random plans; each depends on its seed alone.
 """
 
 from __future__ import annotations
@@ -12,89 +12,100 @@
 
 from eiderhub.batch import workers
 from eiderhub.batch.dispatch import Dispatcher
-from eiderhub.batch.scheduler import Round, Scheduler
-from eiderhub.batch.turns import Turns
-from eiderhub.batch.workers import Standing, Worker
+from eiderhub.batch.scheduler import AssignmentRound, Scheduler
+from eiderhub.batch.turns import JobOrder
+from eiderhub.batch.workers import Worker, WorkerHealth
 from tests.model.placement import PlacementWorld
 from tests.model.placement_plan import FOR_GOOD, NEW_ROUTE, Failing, Lot, Plan, SidecarPlan, Span, draw
 from tests.model.placement_sidecar import QUEUE_SILENCE_S
 from tests.model.seeds import Patch, broken_by, first_seed_that_breaks
 
-COUNT = int(os.environ.get("OTTERCLEAT_PLACEMENT_SCHEDULES", "400"))
-FIRST = int(os.environ.get("OTTERCLEAT_FIRST_PLACEMENT_SEED", "0"))
-BLOCK = 25
-MOST_SEEDS = 150  # in which a planted fault is to be found
+PLAN_COUNT = int(os.environ.get("OTTERCLEAT_PLACEMENT_SCHEDULES", "400"))
+FIRST_SEED = int(os.environ.get("OTTERCLEAT_FIRST_PLACEMENT_SEED", "0"))
+SEEDS_PER_BLOCK = 25
+MAX_FAULT_SEEDS = 150  # within which each injected fault must be detected
 
 
 def play(seed: int) -> None:
     PlacementWorld(draw(seed), seed).play()
 
 
-def test_no_drawn_plan_leaves_a_lot_without_an_endpoint() -> None:
-    found = broken_by(play, FIRST, COUNT, BLOCK)
-    assert not found, f"{len(found)} of {COUNT}:\n" + "\n".join(found[:5])
+def test_no_random_plan_leaves_a_job_without_an_endpoint() -> None:
+    failures = broken_by(play, FIRST_SEED, PLAN_COUNT, SEEDS_PER_BLOCK)
+    assert not failures, f"{len(failures)} of {PLAN_COUNT}:\n" + "\n".join(failures[:5])
 
 
-def test_plan_is_played_the_same_each_time() -> None:
+def test_plan_is_reproducible() -> None:
     first, second = PlacementWorld(draw(3), 3), PlacementWorld(draw(3), 3)
     first.play()
     second.play()
     assert (first.given, first.listed) == (second.given, second.listed)
 
 
-# --- plans of the incident ---
+# --- plans modelled on an incident ---
 
-THREE_LOTS = tuple(Lot(f"j{number}", 49, 0.1) for number in range(3))
-DARK = Span(0.5, 20.5)
+THREE_JOBS = tuple(Lot(f"j{number}", 49, 0.1) for number in range(3))
+OUTAGE = Span(0.5, 20.5)
 
 
-def fleet(sidecars: int, *first: SidecarPlan, others: SidecarPlan | None = None, **terms: Any) -> Plan:
-    """So many sidecars with three lots of 49 items, the first ones as given, over twelve places each."""
-    rest = (others or SidecarPlan(),) * (sidecars - len(first))
-    plan = Plan((*first, *rest), THREE_LOTS, 12 * sidecars, 2 * sidecars)
-    return plan._replace(**terms)
+def fleet(sidecars: int, *leading: SidecarPlan, others: SidecarPlan | None = None, **overrides: Any) -> Plan:
+    """Sidecars with capacity for twelve items each and three jobs of 49 items; `leading` come first."""
+    rest = (others or SidecarPlan(),) * (sidecars - len(leading))
+    plan = Plan((*leading, *rest), THREE_JOBS, 12 * sidecars, 2 * sidecars)
+    return plan._replace(**overrides)
 
 
-def dark(end: float, **terms: Any) -> SidecarPlan:
-    return SidecarPlan((Span(DARK.start, end),), **terms)
+def unreachable_until(end: float, **overrides: Any) -> SidecarPlan:
+    return SidecarPlan((Span(OUTAGE.start, end),), **overrides)
 
 
-LIVE = 40.0  # live calls go on for longer than a plan takes
+LIVE_UNTIL = 40.0  # longer than any plan takes
 
 PLANS = {
-    "all dark, then all well": fleet(12, others=dark(DARK.end)),
-    "all dark for a second": fleet(18, others=dark(DARK.start + 1.0)),
-    "live calls go on once endpoints are back": fleet(12, others=dark(DARK.end, live_until=LIVE)),
-    "connections fail": fleet(18, others=dark(DARK.end, failing=Failing.FAILED)),
-    "the decisions refuse": fleet(18, others=dark(DARK.end, failing=Failing.REFUSED)),
-    "one sees endpoints first": fleet(12, dark(DARK.end), others=dark(DARK.end + 4.0)),
-    "nine of twelve never": fleet(12, *[dark(DARK.end, room=24)] * 3, others=dark(FOR_GOOD)),
-    "one by one": fleet(30, *(dark(DARK.end + 0.25 * n) for n in range(30))),
-    "170 sidecars": fleet(170, others=dark(DARK.end)),
-    "170 sidecars, one sees endpoints first": fleet(170, dark(DARK.end), others=dark(DARK.end + 5.0)),
-    "one refuses for long": fleet(
+    "no endpoint reachable, then all at once": fleet(12, others=unreachable_until(OUTAGE.end)),
+    "no endpoint reachable for a second": fleet(18, others=unreachable_until(OUTAGE.start + 1.0)),
+    "live calls continue once endpoints are reachable again": fleet(
+        12, others=unreachable_until(OUTAGE.end, live_until=LIVE_UNTIL)
+    ),
+    "connections fail": fleet(18, others=unreachable_until(OUTAGE.end, failing=Failing.FAILED)),
+    "admission refuses": fleet(18, others=unreachable_until(OUTAGE.end, failing=Failing.REFUSED)),
+    "one sidecar reaches endpoints first": fleet(
+        12, unreachable_until(OUTAGE.end), others=unreachable_until(OUTAGE.end + 4.0)
+    ),
+    "nine of twelve never recover": fleet(
+        12, *[unreachable_until(OUTAGE.end, room=24)] * 3, others=unreachable_until(FOR_GOOD)
+    ),
+    "sidecars recover one by one": fleet(30, *(unreachable_until(OUTAGE.end + 0.25 * n) for n in range(30))),
+    "170 sidecars": fleet(170, others=unreachable_until(OUTAGE.end)),
+    "170 sidecars, one reaches endpoints first": fleet(
+        170, unreachable_until(OUTAGE.end), others=unreachable_until(OUTAGE.end + 5.0)
+    ),
+    "one sidecar refuses for a long time": fleet(
         4, SidecarPlan(refusing=(Span(1.0, 30.0),), refuses_after_s=QUEUE_SILENCE_S), lots=(Lot("j", 1, 5.0),)
     ),
-    "most do not know a new route": fleet(
+    "most sidecars do not know a new route": fleet(
         12,
         SidecarPlan(),
         others=SidecarPlan(knows_new_route_from=FOR_GOOD),
-        lots=(*THREE_LOTS, Lot("new", 9, 3.0, route=NEW_ROUTE)),
+        lots=(*THREE_JOBS, Lot("new", 9, 3.0, route=NEW_ROUTE)),
     ),
-    "primaries change while all are dark": fleet(
-        12, dark(DARK.end), others=dark(FOR_GOOD), new_primaries=(6.0, 9.0, 12.0, 20.0)
+    "primaries change while no endpoint is reachable": fleet(
+        12,
+        unreachable_until(OUTAGE.end),
+        others=unreachable_until(FOR_GOOD),
+        new_primaries=(6.0, 9.0, 12.0, 20.0),
     ),
 }
 
 
 @pytest.mark.parametrize("name", PLANS)
-def test_plan_of_the_incident_keeps_the_bound(name: str) -> None:
+def test_incident_plan_keeps_the_bound(name: str) -> None:
     for seed in range(5):
         PlacementWorld(PLANS[name], seed).play()
 
 
-def test_late_lot_is_served_though_others_that_are_in_time_fill_the_windows() -> None:
-    """It used to stand behind all of these, for as long as there are any, with endpoints under half full."""
+def test_late_job_is_served_while_jobs_in_time_fill_the_windows() -> None:
+    """By deadline order alone it would wait for all jobs in time, with endpoints less than half used."""
     stream = tuple(Lot(f"new{number}", 60, 1.0 + 0.2 * number) for number in range(60))
     late = Lot("late", 40, 3.0, window_s=0.1)
     world = PlacementWorld(fleet(12, lots=(late, *stream), places=10_000))
@@ -105,31 +116,31 @@
     assert world.table.jobs["late"].positions > 3
 
 
-def test_late_lot_is_not_served_where_idle_lots_have_no_turn_of_their_own(
+def test_late_job_is_not_served_without_priority_for_idle_jobs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The turn is what the test before rests on."""
-    monkeypatch.setattr(Turns, "idle", lambda self, starts: iter(()))
+    """Shows that the test above depends on the priority for idle jobs."""
+    monkeypatch.setattr(JobOrder, "idle_jobs", lambda self, starts: iter(()))
     with pytest.raises(AssertionError):
-        test_late_lot_is_served_though_others_that_are_in_time_fill_the_windows()
+        test_late_job_is_served_while_jobs_in_time_fill_the_windows()
 
 
-def test_late_lots_take_a_part_of_the_starts_alone() -> None:
-    """What is in time goes first: were late lots served first, all would be late."""
+def test_late_jobs_take_only_a_part_of_the_starts() -> None:
+    """Jobs in time go first: if late jobs were served first, all jobs would become late."""
     late = tuple(Lot(f"late{number}", 60, 0.1, window_s=0.1) for number in range(40))
     stream = tuple(Lot(f"new{number}", 60, 3.0 + 0.1 * number, window_s=30.0) for number in range(100))
     world = PlacementWorld(fleet(12, lots=(*late, *stream), places=96))
     world.timeline.run_until(4.0)
 
-    def listed(prefix: str) -> int:
+    def result_count(prefix: str) -> int:
         return sum(job.positions for name, job in world.table.jobs.items() if name.startswith(prefix))
 
-    before = listed("late")
+    before = result_count("late")
     world.timeline.run_until(14.0)
-    assert listed("new") > 1.5 * (listed("late") - before) > 0
+    assert result_count("new") > 1.5 * (result_count("late") - before) > 0
 
 
-# --- planted faults ---
+# --- injected faults ---
 
 
 class Fault(NamedTuple):
@@ -137,80 +148,90 @@
     patches: tuple[Patch, ...]
 
 
-def _answered_without_ending_the_pause(self: Worker, now: float) -> None:
-    until = self._stuck_until
-    ANSWERED(self, now)
-    self._stuck_until = until
+def _record_answer_without_ending_the_pause(self: Worker, now: float) -> None:
+    until = self._stuck_pause_until
+    RECORD_ANSWER(self, now)
+    self._stuck_pause_until = until
 
 
-def _every_refusal_shrinks_the_window(self: Worker, now: float) -> None:
-    self.failed(now)
-    if now >= self._refused_until:
-        self.window = max(workers.LEAST_WINDOW, self.window * workers.SHRINK)
-        self._refused_until = now + workers.PAUSE_S
+def _record_refusal_always_shrinking_the_window(self: Worker, now: float) -> None:
+    self.record_return(now)
+    if now >= self._refusal_pause_until:
+        self.window = max(workers.MIN_WINDOW, self.window * workers.WINDOW_DECREASE_FACTOR)
+        self._refusal_pause_until = now + workers.REFUSAL_PAUSE_S
 
 
-def _only_to_sidecars_that_move(self: Round, route: str, failures: Any, safe: bool) -> Any:
-    found = CHOOSE(self, route, failures, safe)
-    depends = failures and self._worst is Standing.ANSWERED
-    return None if depends and found is not None and found.standing is not Standing.MOVING else found
+def _choose_progressing_for_returned_items(
+    self: AssignmentRound, route: str, returns: Any, job_progresses: bool
+) -> Any:
+    worker = CHOOSE(self, route, returns, job_progresses)
+    depends = returns and self._worst_allowed is WorkerHealth.REACHABLE
+    return (
+        None if depends and worker is not None and worker.health is not WorkerHealth.PROGRESSING else worker
+    )
 
 
-def _by_room_alone(self: Round, route: str, failures: Any, safe: bool) -> Any:
-    known = [worker for worker in self._room if worker.knows(route)]
-    return max(known, key=lambda worker: self._room[worker], default=None)
+def _choose_by_free_slots(self: AssignmentRound, route: str, returns: Any, job_progresses: bool) -> Any:
+    known = [worker for worker in self._free_slots if worker.may_know_route(route)]
+    return max(known, key=lambda worker: self._free_slots[worker], default=None)
 
 
-def _returns_are_forgotten(self: Scheduler, now: float, node: str, key: Any, route: str, reason: Any) -> None:
-    self.released(key)
+def _item_returned_without_effect(
+    self: Scheduler, now: float, node: str, key: Any, route: str, reason: Any
+) -> None:
+    self.item_unassigned(key)
 
 
-def _full_windows_for_all(self: Worker, now: float) -> bool:
+def _is_always_proven(self: Worker, now: float) -> bool:
     return True
 
 
-def _pause_as_if_others_moved(self: Worker, now: float, wanted: bool = False) -> bool:
-    return PAUSED(self, now, False)
+def _is_paused_despite_no_progress(self: Worker, now: float, ignore_stuck_pause: bool = False) -> bool:
+    return IS_PAUSED(self, now, False)
 
 
-ANSWERED, PAUSED, CHOOSE = Worker.answered, Worker.is_paused, Round.choose
+RECORD_ANSWER, IS_PAUSED, CHOOSE = Worker.record_answer, Worker.is_paused, AssignmentRound.choose
 
 FAULTS = [
     Fault(
-        "a pause counts in time alone",
+        "a stuck pause ends by time alone",
         (
-            (Worker, "answered", _answered_without_ending_the_pause),
-            (Worker, "is_paused", _pause_as_if_others_moved),
-            (workers, "STUCK_PAUSE_S", 1.0),
-            (workers, "MOST_STUCK_PAUSE_S", 8.0),
+            (Worker, "record_answer", _record_answer_without_ending_the_pause),
+            (Worker, "is_paused", _is_paused_despite_no_progress),
+            (workers, "INITIAL_STUCK_PAUSE_S", 1.0),
+            (workers, "MAX_STUCK_PAUSE_S", 8.0),
         ),
     ),
     Fault(
-        "items that came back wait for sidecars that move", ((Round, "choose", _only_to_sidecars_that_move),)
+        "returned items wait for sidecars that make progress",
+        ((AssignmentRound, "choose", _choose_progressing_for_returned_items),),
     ),
     Fault(
-        "what came back while nothing could be reached shrinks windows, and nobody has the others' share",
+        "returns without reachable endpoints shrink windows, and unreachable sidecars leave no share",
         (
-            (Worker, "refused", _every_refusal_shrinks_the_window),
-            (Scheduler, "_share", lambda self, sidecars: workers.START_WINDOW),
+            (Worker, "record_refusal", _record_refusal_always_shrinking_the_window),
+            (Scheduler, "_even_share", lambda self, sidecars: workers.INITIAL_WINDOW),
         ),
     ),
-    Fault("sidecars get full windows untested", ((Worker, "is_tested", _full_windows_for_all),)),
-    Fault("nobody is asked to probe", ((Dispatcher, "_ask_for_probes", lambda self, now: None),)),
+    Fault("unproven sidecars get full windows", ((Worker, "is_proven", _is_always_proven),)),
+    Fault("no probes are requested", ((Dispatcher, "_request_probes", lambda self, now: None),)),
+    Fault(
+        "placement uses free slots alone, and unproven sidecars get full windows",
+        ((AssignmentRound, "choose", _choose_by_free_slots), (Worker, "is_proven", _is_always_proven)),
+    ),
     Fault(
-        "placement looks at room alone, and sidecars get full windows untested",
-        ((Round, "choose", _by_room_alone), (Worker, "is_tested", _full_windows_for_all)),
+        "returns do not affect the health of the sidecar",
+        ((Scheduler, "item_returned", _item_returned_without_effect),),
     ),
-    Fault("a return says nothing of the sidecar", ((Scheduler, "returned", _returns_are_forgotten),)),
-    Fault("each lot may be given to any sidecar", ((Turns, "is_safe", lambda self, job: True),)),
+    Fault("each job may use any sidecar", ((JobOrder, "is_progressing", lambda self, job: True),)),
 ]  # fmt: skip
 
 
-def found_in(fault: Fault) -> int | None:
-    """The first seed whose plan finds the fault."""
-    return first_seed_that_breaks(play, fault.patches, MOST_SEEDS)
+def first_failing_seed(fault: Fault) -> int | None:
+    """The first seed whose plan detects the fault."""
+    return first_seed_that_breaks(play, fault.patches, MAX_FAULT_SEEDS)
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_planted_fault_is_found(fault: Fault) -> None:
-    assert found_in(fault) is not None
+def test_injected_fault_is_detected(fault: Fault) -> None:
+    assert first_failing_seed(fault) is not None
