--- a/eiderhub/dataplane/__init__.py
+++ b/eiderhub/dataplane/__init__.py
@@ -1,1 +1,1 @@
-"""The tier's data plane: routes, admission through the decisions, streams with resumption, batch items."""
+"""The edge data plane: routing, admission control, resumable streams and batch items."""
--- a/eiderhub/dataplane/activity.py
+++ b/eiderhub/dataplane/activity.py
@@ -1,58 +1,61 @@
-"""What a sidecar's own streams show of the endpoints' work at this moment.
+"""Estimates each endpoint's current load from the calls that this sidecar has in flight.
 
-An endpoint reads prompts between the tokens of the requests that it runs: while it reads many, its streams
-pause. A sidecar sees that in its own streams, live ones and batch items alike, and in the prompts that it has
-sent and that have not begun to answer.
+An endpoint processes prompts (prefill) between the tokens of the requests that it is already running, so a
+long prefill queue delays the events of its streams. A sidecar observes this as gaps in its own streams, both
+live requests and batch items, and as prompts that it has sent and that have not produced a first event.
 """
 
 from __future__ import annotations
 
-USUAL_PAUSE_US = 50_000  # between two events of a stream at an endpoint that reads little
-PAUSE_LOAD_US = 12_000  # so long a pause beyond that weighs as much as one call
-PROMPT_LOAD_TOKENS = 1_200  # so do so many tokens of prompts that wait to be read
-STREAM_LOAD = 0.04  # and a stream that runs weighs so much
-# Calls of others weigh as streams while places are free; from a share of the places on all calls weigh more,
-# by so much for all places.
-CROWDED_SHARE, CROWDED_LOAD = 0.5, 8.0
+TYPICAL_EVENT_GAP_US = 50_000  # between two events of a stream while few prompts are processed
+GAP_US_PER_CALL = 12_000  # a gap longer than that by this much counts as one call
+PROMPT_TOKENS_PER_CALL = 1_200  # prompt tokens without a first event that count as one call
+LOAD_PER_STREAM = 0.04  # in calls, for each running stream
+# Calls of other sidecars count like running streams until the endpoint's utilization passes the threshold.
+# Beyond it all calls add load in proportion to the excess; CONGESTION_LOAD is the load per full capacity.
+CONGESTION_UTILIZATION, CONGESTION_LOAD = 0.5, 8.0
 
 
 class EndpointActivity:
-    """One endpoint, as this sidecar's calls show it."""
+    """The state of one endpoint as observed through this sidecar's calls."""
 
-    __slots__ = ("calls", "last_event_us", "prompt_tokens", "streams")
+    __slots__ = ("active_streams", "calls_in_flight", "last_event_us", "pending_prompt_tokens")
 
     def __init__(self) -> None:
-        self.calls = 0  # sent, not ended
-        self.prompt_tokens = 0  # sent, first event not come
-        self.streams = 0  # begun, not ended
+        self.calls_in_flight = 0  # sent and not ended
+        self.pending_prompt_tokens = 0  # of calls sent that have no event yet
+        self.active_streams = 0  # calls with a first event that have not ended
         self.last_event_us = 0
 
-    def sent(self, tokens: int) -> None:
-        self.calls += 1
-        self.prompt_tokens += tokens
+    def on_sent(self, tokens: int) -> None:
+        self.calls_in_flight += 1
+        self.pending_prompt_tokens += tokens
 
-    def began(self, now_us: int, tokens: int) -> None:
-        self.prompt_tokens -= tokens
-        self.streams += 1
+    def on_first_event(self, now_us: int, tokens: int) -> None:
+        self.pending_prompt_tokens -= tokens
+        self.active_streams += 1
         self.last_event_us = now_us
 
-    def event(self, now_us: int) -> None:
+    def on_event(self, now_us: int) -> None:
         self.last_event_us = now_us
 
-    def ended(self, tokens: int, begun: bool) -> None:
-        self.calls -= 1
-        if begun:
-            self.streams -= 1
+    def on_ended(self, tokens: int, started: bool) -> None:
+        self.calls_in_flight -= 1
+        if started:
+            self.active_streams -= 1
         else:
-            self.prompt_tokens -= tokens
+            self.pending_prompt_tokens -= tokens
 
-    def load(self, now_us: int, others: int = 0, places: int = 0) -> float:
-        """How busy it looks, in calls.
+    def load(self, now_us: int, peer_calls: int = 0, capacity: int = 0) -> float:
+        """The estimated load, in units of one call.
 
-        `others`: calls that other sidecars have out to it. `places`: that it works on at once; 0: not known.
+        `peer_calls`: calls that other sidecars have in flight to this endpoint. `capacity`: calls that it
+        processes concurrently, 0 if unknown.
         """
-        pause = now_us - self.last_event_us - USUAL_PAUSE_US if self.streams else 0
-        reading = max(0, pause) / PAUSE_LOAD_US + self.prompt_tokens / PROMPT_LOAD_TOKENS
-        taken = (others + self.calls) / places if places > 0 else 0.0
-        crowded = CROWDED_LOAD * max(0.0, taken - CROWDED_SHARE)
-        return 1.0 + reading + STREAM_LOAD * (self.streams + others) + crowded
+        excess_gap_us = now_us - self.last_event_us - TYPICAL_EVENT_GAP_US if self.active_streams else 0
+        prefill_load = (
+            max(0, excess_gap_us) / GAP_US_PER_CALL + self.pending_prompt_tokens / PROMPT_TOKENS_PER_CALL
+        )
+        utilization = (peer_calls + self.calls_in_flight) / capacity if capacity > 0 else 0.0
+        congestion_load = CONGESTION_LOAD * max(0.0, utilization - CONGESTION_UTILIZATION)
+        return 1.0 + prefill_load + LOAD_PER_STREAM * (self.active_streams + peer_calls) + congestion_load
--- a/eiderhub/dataplane/admission.py
+++ b/eiderhub/dataplane/admission.py
@@ -1,6 +1,7 @@
-"""Admission of one service: carries out what the decisions ask for, and tells them what became of it.
+"""Admission control of one service: executes the actions of the balancer and reports their outcomes to it.
 
-It decides nothing itself but what PROTOCOL bounds: the time a call may take, and the endpoints it may run on.
+The balancer makes the load-balancing decisions. This module only enforces what the protocol limits: a call's
+deadline, and the endpoints on which it may run.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from eiderhub.control.errors import ErrorKind
 from eiderhub.control.messages import EndpointRecord
 from eiderhub.dataplane.activity import EndpointActivity
-from eiderhub.dataplane.engine import EnginePool, Exchange, Headers
+from eiderhub.dataplane.engine import EndpointPool, Exchange, Headers
 from eiderhub.dataplane.events import Event, EventParser
 from eiderhub.dataplane.routes import Route
 from eiderhub.interface import (
@@ -38,37 +39,39 @@
 from eiderhub.sidecar.clock import Alarm, now_us
 from eiderhub.transport.traffic import TRAFFIC
 
-NO_EVENT = -1
-LOWEST_CREDIT, PRIORITY_STEP = 0.1, 0.35  # worth of a class by its priority, against the highest
-# What the decisions take to be the latency aimed at, against the objective: they see stress from half of it
-# on, and a first event takes that much of its objective where prompts are long and nothing is amiss.
+NO_EVENT_ID = -1
+MIN_CREDIT, CREDIT_PER_PRIORITY = 0.1, 0.35  # credit of a class, 1.0 at the highest priority (0)
+# Target latency given to the balancer, relative to the objective. The balancer infers stress from half of its
+# target on, and with long prompts a first event takes that much of its objective even on a healthy endpoint.
 AIM_FACTOR = 1.6
-LATE_SHARE = 0.3  # what a late answer is taken to be worth: it is served, if room is left
-MOST_RETRY_AFTER_US = 400_000
-START_SHARE = 1.0  # of an endpoint's places that all sidecars together begin with
-START_MEDIAN = 0.12  # latency as a share of the objective that a new sidecar takes to be usual
-REMOTE_PART = 1.0  # of other zones' capacity: what all sidecars have out is known, and decides who crosses
-# Ready endpoints in the own zone from which on they are a ring of their own. Danger: fewer read all prompts
-# of the zone's clumps of arrivals, while those of other zones have none to read.
-LEAST_NEAR = 5
-MAX_ATTEMPTS = 3  # sends of one call, those that were turned away included
-MOST_BODY = 1 << 20  # of an answer that is no stream
+LATE_SHARE = 0.3  # value of a late response relative to one in time: late calls are served if there is room
+MAX_RETRY_AFTER_US = 400_000
+INITIAL_CAPACITY_SHARE = 1.0  # initial concurrency limit of all sidecars together, of an endpoint's capacity
+INITIAL_LATENCY_SHARE = 0.12  # initial estimate of the median latency, as a share of the target
+# Share of other zones' capacity that this zone may use: all of it, because the calls in flight of all
+# sidecars are known and decide which calls go to another zone.
+REMOTE_PART = 1.0
+# With fewer ready endpoints in its own zone, a sidecar treats the endpoints of all zones as one zone.
+# Otherwise too few endpoints would process all prompts of a burst in this zone, while others process none.
+MIN_LOCAL_ENDPOINTS = 5
+MAX_ATTEMPTS = 3  # per call, including attempts that an endpoint rejected
+MAX_BODY_BYTES = 1 << 20  # of a response that is not a stream
 DEFAULT_TENANT = "default"
 BATCH_TENANT = "batch"
-ITEM_TOKENS = 1_000  # of a batch item, where a quota in tokens is turned into calls
-NOT_EXECUTED = b"not-executed"
-OTHERS_KEPT_US = 1_000_000  # what other sidecars have out counts for so long after it was told
+TOKENS_PER_ITEM = 1_000  # for converting a token quota to a rate of items
+NOT_EXECUTED_HEADER = b"not-executed"
+PEER_CALLS_TTL_US = 1_000_000  # age at which a report of other sidecars' calls is ignored
 
 log = logging.getLogger("admission")
 
 
 def class_name(route: Route) -> str:
-    """Routes of one name are one class to the decisions."""
+    """The balancer's class of this route; routes that differ in nothing else share a class."""
     return f"{route.kind}/{route.priority}/{route.slo_ms:g}/{route.timeout_ms:g}/{route.repeatable:d}"
 
 
 def request_class(route: Route) -> RequestClass:
-    credit = max(LOWEST_CREDIT, 1.0 - PRIORITY_STEP * route.priority)
+    credit = max(MIN_CREDIT, 1.0 - CREDIT_PER_PRIORITY * route.priority)
     return RequestClass(
         name=class_name(route),
         aim_us=max(1, int(route.slo_ms * 1000 * AIM_FACTOR)),
@@ -81,36 +84,40 @@
 
 
 def batch_tenant(route: Route) -> Tenant:
-    """The bucket of a batch route's items: what may wait there has to be served within its window."""
-    per_s = route.max_queued_tokens / ITEM_TOKENS / (route.window_ms / 1000)
+    """The rate limit of a batch route's items: a full queue has to be served within its completion window."""
+    per_s = route.max_queued_tokens / TOKENS_PER_ITEM / (route.window_ms / 1000)
     return Tenant(f"{BATCH_TENANT} {route.name}", quota_per_s=per_s)
 
 
-class Sink(Protocol):
-    """Who wants a call's answer: told of exactly one end."""
+class ResponseSink(Protocol):
+    """Receives the response to a call.
+
+    Exactly one of `finish`, `abort` (the stream ended early), `answer` and `refuse` is called, as its end.
+    """
 
     def begin(self, headers: Headers) -> None:
-        """A stream begins; its events follow, then `finish` or `break_off`."""
+        """A stream starts; its events follow, then `finish` or `abort`."""
 
     def event(self, event: Event) -> None: ...
 
     def finish(self) -> None: ...
 
-    def break_off(self) -> None: ...
+    def abort(self) -> None: ...
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """An endpoint's own answer that is no stream."""
+        """An endpoint's response that is not a stream."""
 
     def refuse(self, kind: ErrorKind, retry_after_us: int) -> None:
-        """None came; NOT_READY: the call has not run and never will."""
+        """No endpoint gave a response; NOT_READY guarantees that the call has not run and will not run."""
 
 
 class Call:
-    """One request that admission owes an end for."""
+    """One request that has not ended yet."""
 
     __slots__ = (
-        "alarm", "attempts", "balancer", "begun", "current", "due_us", "errors", "exchange", "final", "head",
-        "key", "last_event", "ran", "request_id", "response", "route", "sink", "tenant", "tokens",
+        "attempt_count", "balancer", "current", "deadline_timer", "deadline_us", "errors", "exchange",
+        "final", "key", "last_event", "ran", "request", "request_id", "response", "response_started",
+        "route", "sink", "tenant", "tokens",
     )  # fmt: skip
 
     def __init__(
@@ -118,40 +125,40 @@
         key: str,
         route: Route,
         request_id: bytes,
-        head: tuple[bytes, bytes],
-        due_us: int,
+        request: tuple[bytes, bytes],
+        deadline_us: int,
         tenant: str,
         tokens: tuple[int, int],
-        sink: Sink,
+        sink: ResponseSink,
     ) -> None:
         self.key = key
         self.route = route
         self.request_id = request_id
-        self.head = head  # request line and headers; body
-        self.due_us = due_us
+        self.request = request  # request line and headers; body
+        self.deadline_us = deadline_us
         self.tenant = tenant
-        self.tokens = tokens  # of the prompt, and the most out
+        self.tokens = tokens  # of the prompt, and the output limit
         self.sink = sink
         self.balancer: Balancer | None = None
-        self.alarm: asyncio.TimerHandle | None = None
-        self.attempts = 0
-        self.current: Attempt | None = None  # the attempt that is under way
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.attempt_count = 0
+        self.current: Attempt | None = None  # the attempt in progress
         self.exchange: Exchange | None = None
-        self.last_event = NO_EVENT
-        self.begun = False
-        self.ran = 0  # attempts that may have run
-        self.errors = 0  # answers of 500
-        self.final = False  # no attempt may follow the one under way: its route leads elsewhere now
-        self.response: tuple[int, Headers, bytes] | None = None  # an endpoint's failure, to be passed on
+        self.last_event = NO_EVENT_ID
+        self.response_started = False
+        self.ran = 0  # attempts that an endpoint may have executed
+        self.errors = 0  # responses with status 500
+        self.final = False  # the route now leads to another service
+        self.response: tuple[int, Headers, bytes] | None = None  # the last one that was not a stream
 
     @property
     def traffic_kind(self) -> str:
-        """What its bytes to and from endpoints are counted as."""
+        """The label under which traffic with endpoints is counted."""
         return "item" if self.route.kind == "batch" else "request"
 
 
 class Attempt:
-    """One send of a call; listens to its exchange."""
+    """One attempt of a call; the listener of its exchange."""
 
     def __init__(self, admission: Admission, call: Call, number: int, endpoint: str, now_us: int) -> None:
         self._admission = admission
@@ -159,132 +166,132 @@
         self.number = number
         self.endpoint = endpoint
         self.started_us = now_us
-        self._first_us = 0
+        self._first_event_us = 0
         self._status = 0
         self._headers: Headers = ()
         self._body: list[bytes] = []
-        self._size = 0
+        self._body_size = 0
         self._parser: EventParser | None = None
-        self.over = False
+        self.finished = False
         self._activity = admission.activity(endpoint)
-        self._activity.sent(call.tokens[0])
-        self._crosses = admission.crosses_to(endpoint)
+        self._activity.on_sent(call.tokens[0])
+        self._is_cross_zone = admission.is_cross_zone(endpoint)
 
     def on_head(self, status: int, headers: Headers, reused: bool) -> None:
         self._count_received(sum(len(name) + len(value) for name, value in headers))
-        named = {name.lower(): value for name, value in headers}
-        if not self._is_ours(named.get(b"request-id"), status, reused):
-            self._broken()
+        headers_by_name = {name.lower(): value for name, value in headers}
+        if not self._matches_request(headers_by_name.get(b"request-id"), status, reused):
+            self._abort_exchange()
             return
         self._status, self._headers = status, headers
-        if status == 200 and named.get(b"content-type", b"").startswith(b"text/event-stream"):
+        if status == 200 and headers_by_name.get(b"content-type", b"").startswith(b"text/event-stream"):
             self._parser = EventParser()
 
     def _count_received(self, size: int) -> None:
-        if self._crosses:
+        if self._is_cross_zone:
             TRAFFIC.received(self._call.traffic_kind, size)
 
     def count_sent(self, size: int) -> None:
-        """The request has been written; it is counted where it goes to another zone."""
-        if self._crosses:
+        """Count the bytes of the request if it goes to another zone."""
+        if self._is_cross_zone:
             TRAFFIC.sent(self._call.traffic_kind, size)
 
-    def _is_ours(self, answered: bytes | None, status: int, reused: bool) -> bool:
-        """Whether the answer is to this request: endpoints echo its id.
+    def _matches_request(self, response_id: bytes | None, status: int, reused: bool) -> bool:
+        """Whether the response belongs to this request: endpoints echo its id.
 
-        A failure without an id is ours where nothing else was ever asked on its connection; anywhere else it
-        may be the late second answer to the request before.
+        An error without an id is accepted only on a connection that has carried no other request. On a reused
+        connection it may be a late second response to the previous request.
         """
-        if answered is None:
+        if response_id is None:
             return not self._call.request_id or (status >= 300 and not reused)
-        return answered == self._call.request_id
+        return response_id == self._call.request_id
 
     def on_data(self, data: bytes) -> None:
-        if self.over:
+        if self.finished:
             return
         self._count_received(len(data))
         if self._parser is None:
-            self._size += len(data)
-            if self._size > MOST_BODY:
-                self._broken()
+            self._body_size += len(data)
+            if self._body_size > MAX_BODY_BYTES:
+                self._abort_exchange()
                 return
             self._body.append(data)
             return
         for event in self._parser.feed(data):
-            if not self._take(event):
-                self._broken()
+            if not self._accept_event(event):
+                self._abort_exchange()
                 return
 
-    def _take(self, event: Event) -> bool:
+    def _accept_event(self, event: Event) -> bool:
         call = self._call
         self._admission.answers += 1
-        if call.last_event != NO_EVENT and event.id >= 0 and event.id != call.last_event + 1:
+        if call.last_event != NO_EVENT_ID and event.id >= 0 and event.id != call.last_event + 1:
             return False
         if event.id >= 0:
             call.last_event = event.id
         now = self._admission.now_us()
-        if self._first_us:
-            self._activity.event(now)
+        if self._first_event_us:
+            self._activity.on_event(now)
         else:
-            self._first_us = now
-            self._activity.began(now, call.tokens[0])
-        if not call.begun:
-            call.begun = True
+            self._first_event_us = now
+            self._activity.on_first_event(now, call.tokens[0])
+        if not call.response_started:
+            call.response_started = True
             call.sink.begin(self._headers)
         call.sink.event(event)
         return True
 
     def on_end(self) -> None:
-        if self.over:
+        if self.finished:
             return
         self._admission.answers += 1
-        named = {name.lower(): value for name, value in self._headers}
+        headers_by_name = {name.lower(): value for name, value in self._headers}
         if self._parser is not None:
-            if self._parser.partial or not self._call.begun:
-                self._broken()
+            if self._parser.has_partial_event or not self._call.response_started:
+                self._abort_exchange()
             else:
                 self._end(Outcome.OK, True)
-        elif NOT_EXECUTED in named:
+        elif NOT_EXECUTED_HEADER in headers_by_name:
             self._end(Outcome.FULL, False)
         elif self._status == 421:
             self._end(Outcome.CONNECT_FAILED, False)
         else:
-            self._answered(b"response-signature" in named)
+            self._complete_response(b"response-signature" in headers_by_name)
 
-    def _answered(self, signed: bool) -> None:
+    def _complete_response(self, signed: bool) -> None:
         call = self._call
         body = b"".join(self._body)
-        if self._status < 300 and (call.begun or not signed):
-            self._broken()
+        if self._status < 300 and (call.response_started or not signed):
+            self._abort_exchange()
             return
         call.response = (self._status, self._headers, body)
         call.errors += self._status == 500
         final = self._status < 500
         self._end(Outcome.OK if final else Outcome.ERROR, True, final)
 
-    def on_lost(self, written: bool) -> None:
-        if not self.over:
-            self._end(Outcome.RESET if written else Outcome.CONNECT_FAILED, written)
+    def on_failed(self, may_have_been_sent: bool) -> None:
+        if not self.finished:
+            self._end(Outcome.RESET if may_have_been_sent else Outcome.CONNECT_FAILED, may_have_been_sent)
 
-    def _broken(self) -> None:
+    def _abort_exchange(self) -> None:
         exchange = self._call.exchange
         if exchange is not None:
-            exchange.drop()
-        self.on_lost(True)
+            exchange.cancel()
+        self.on_failed(True)
 
-    def left(self) -> None:
-        """The endpoint works on it no more, as far as we know."""
-        self._activity.ended(self._call.tokens[0], self._first_us > 0)
+    def release_load(self) -> None:
+        """Remove this attempt from the endpoint's estimated load."""
+        self._activity.on_ended(self._call.tokens[0], self._first_event_us > 0)
 
-    def _end(self, outcome: Outcome, ran: bool, final: bool = True) -> None:
-        self.over = True
-        self.left()
-        latency = max(1, (self._first_us or self._admission.now_us()) - self.started_us)
-        self._admission.attempt_ended(self._call, self, outcome, ran, latency, final)
+    def _end(self, outcome: Outcome, may_have_run: bool, final: bool = True) -> None:
+        self.finished = True
+        self.release_load()
+        latency_us = max(1, (self._first_event_us or self._admission.now_us()) - self.started_us)
+        self._admission.on_attempt_ended(self._call, self, outcome, may_have_run, latency_us, final)
 
 
 class Admission:
-    """Implements the decisions' `Actions` for one service."""
+    """Implements the balancer's `Actions` for one service."""
 
     def __init__(
         self, service: str, capacity: int, zone: str, rng: random.Random, regions: Mapping[str, str]
@@ -296,33 +303,33 @@
         self._rng = rng
         self._loop = asyncio.get_running_loop()
         self._calls: dict[str, Call] = {}
-        self._pools: dict[str, EnginePool] = {}
+        self._pools: dict[str, EndpointPool] = {}
         self._activities: dict[str, EndpointActivity] = {}
         self._records: list[EndpointRecord] = []
         self._zones: dict[str, str] = {}  # by endpoint
-        self._places: dict[str, int] = {}  # that each endpoint works on at once; 0: not known
-        self._others: Mapping[str, int] = {}  # calls that other sidecars have out, by endpoint
-        self._others_at = -OTHERS_KEPT_US
+        self._capacities: dict[str, int] = {}  # concurrent calls by endpoint; 0 if unknown
+        self._peer_calls: Mapping[str, int] = {}  # calls in flight of other sidecars, by endpoint
+        self._peer_calls_at_us = -PEER_CALLS_TTL_US
         self._classes: dict[str, RequestClass] = {}
         self._tenants: dict[str, Tenant] = {}  # of batch routes
         self._fleet = (0, 1)  # rank, sidecars
-        self._primed = False
-        self._balancer: Balancer | None = None  # that decides on new calls
-        self._balancers: list[Balancer] = []  # that one, and earlier ones for as long as they have calls
-        self.refused = 0
-        self.answers = 0  # events and answers of endpoints
+        self._seeded = False
+        self._balancer: Balancer | None = None  # used for new calls
+        self._balancers: list[Balancer] = []  # the current one, and earlier ones that still have calls
+        self.refused_count = 0
+        self.answers = 0  # events and responses received from endpoints
 
     @staticmethod
     def now_us() -> int:
-        return now_us()  # the loop's own clock stands still while a callback runs
+        return now_us()  # not loop.time(), which does not advance while a callback runs
 
     @property
     def busy(self) -> bool:
-        """Whether it owes anybody an end."""
+        """Whether any call has not ended."""
         return bool(self._calls)
 
     def figures(self) -> list[tuple[str, int]]:
-        """Calls that are owed an end, and the instances of the decisions that still decide on some."""
+        """Metrics of this service; `instances` counts the balancers in use."""
         return [
             ("calls", len(self._calls)),
             ("calls_held", sum(balancer.queue.count for balancer in self._balancers)),
@@ -331,59 +338,63 @@
             ("sweep_overdue_ms", self._sweep_overdue_us(self.now_us()) // 1000),
         ]
 
-    def _sweep_overdue_us(self, now: int) -> int:
-        """For how long the look at held calls that is due longest has been due; 0: none is."""
-        return max((max(0, now - b.sweep_at) for b in self._balancers if b.sweep_at >= 0), default=0)
+    def _sweep_overdue_us(self, now_us: int) -> int:
+        """How late the most overdue sweep of a hold queue is; 0 if none is overdue."""
+        return max((max(0, now_us - b.sweep_at) for b in self._balancers if b.sweep_at >= 0), default=0)
 
-    def crosses_to(self, endpoint: str) -> bool:
-        """Whether what is sent to the endpoint leaves this zone."""
+    def is_cross_zone(self, endpoint: str) -> bool:
+        """Whether traffic to the endpoint leaves this zone."""
         return TRAFFIC.crosses(self._zones.get(endpoint, ""))
 
     def activity(self, endpoint: str) -> EndpointActivity:
         return self._activities.setdefault(endpoint, EndpointActivity())
 
-    def _weigh(self, balancer: Balancer, now: int) -> None:
-        """Have the two draws compare what the endpoints look like now, not only how many calls are out."""
-        others = self._others if now - self._others_at <= OTHERS_KEPT_US else {}
+    def _update_weights(self, balancer: Balancer, now_us: int) -> None:
+        """Make the balancer compare two candidates by estimated load, not only by its calls in flight."""
+        peer_calls = self._peer_calls if now_us - self._peer_calls_at_us <= PEER_CALLS_TTL_US else {}
         for identity, state in balancer.endpoints.items():
             activity = self._activities.get(identity)
             if activity is not None:
-                places = self._places.get(identity, 0)
-                elsewhere = others.get(identity, 0)
-                state.weight = (state.in_flight + 1) / activity.load(now, elsewhere, places)
-                state.taken = (elsewhere + activity.calls + 1) / places if places else 0.0
+                capacity = self._capacities.get(identity, 0)
+                calls_from_peers = peer_calls.get(identity, 0)
+                state.weight = (state.in_flight + 1) / activity.load(now_us, calls_from_peers, capacity)
+                state.taken = (
+                    (calls_from_peers + activity.calls_in_flight + 1) / capacity if capacity else 0.0
+                )
 
     def calls_out(self) -> dict[str, int]:
-        """Calls that are out now, by endpoint; those that have none are left out."""
-        return {identity: a.calls for identity, a in self._activities.items() if a.calls > 0}
+        """This sidecar's calls in flight by endpoint, without endpoints that have none."""
+        return {
+            identity: a.calls_in_flight for identity, a in self._activities.items() if a.calls_in_flight > 0
+        }
 
     def follow_others(self, calls: Mapping[str, int]) -> None:
-        """The calls that all other sidecars have out, by endpoint."""
-        self._others = calls
-        self._others_at = self.now_us()
-        for balancer in self._deciding():
+        """Set the calls in flight of all other sidecars, by endpoint."""
+        self._peer_calls = calls
+        self._peer_calls_at_us = self.now_us()
+        for balancer in self._active_balancers():
             if balancer.queue.count:
-                self._weigh(balancer, self._others_at)
+                self._update_weights(balancer, self._peer_calls_at_us)
 
-    # --- what is told to it ---
+    # --- updates from the control plane ---
 
     def follow_routes(self, routes: Sequence[Route], capacity: int) -> None:
-        """The routes that lead here now: new classes need a new instance of the decisions."""
+        """Set the routes to this service; new request classes or tenants need a new balancer."""
         self._capacity = capacity
-        one_of_each = {class_name(route): route for route in routes}
-        classes = {name: request_class(route) for name, route in one_of_each.items()}
+        routes_by_class = {class_name(route): route for route in routes}
+        classes = {name: request_class(route) for name, route in routes_by_class.items()}
         tenants = {route.name: batch_tenant(route) for route in routes if route.kind == "batch"}
         if classes.items() <= self._classes.items() and tenants.items() <= self._tenants.items():
             return
         self._classes = classes
         self._tenants = tenants
-        self._rebuild()
+        self._replace_balancer()
 
     def follow_fleet(self, rank: int, sidecars: int) -> None:
         if (rank, sidecars) == self._fleet:
             return
         self._fleet = (rank, sidecars)
-        for balancer in self._deciding():
+        for balancer in self._active_balancers():
             balancer.settings = dataclasses.replace(balancer.settings, rank=rank, balancers=sidecars)
             balancer.discovery(self.now_us(), ListForm.DELTA, [])
 
@@ -391,35 +402,35 @@
         if records == self._records:
             return
         self._records = records
-        known = {record.id: record for record in records}
+        listed = {record.id: record for record in records}
         self._zones = {record.id: record.zone for record in records}
-        self._places = {record.id: record.capacity or self._capacity for record in records}
-        for identity in [i for i in self._pools if i not in known]:
+        self._capacities = {record.id: record.capacity or self._capacity for record in records}
+        for identity in [i for i in self._pools if i not in listed]:
             self._pools.pop(identity).close()
             self._activities.pop(identity, None)
         for record in records:
             if record.id not in self._pools:
-                self._pools[record.id] = EnginePool(record.address)
-                self.activity(record.id)  # known before the first call: others may have some out
-        for balancer in self._deciding():
-            balancer.discovery(self.now_us(), ListForm.FULL, self._entries())
-        self._prime()
+                self._pools[record.id] = EndpointPool(record.address)
+                self.activity(record.id)  # before the first call: other sidecars may have calls in flight
+        for balancer in self._active_balancers():
+            balancer.discovery(self.now_us(), ListForm.FULL, self._balancer_endpoints())
+        self._seed_balancer()
 
-    def _deciding(self) -> list[Balancer]:
-        """The instances that decide on any call, the newest last; earlier ones go once they have none.
+    def _active_balancers(self) -> list[Balancer]:
+        """The balancers in use, the newest last; an earlier one is dropped once it has no calls.
 
-        Danger: one that is not told of endpoints, or gets no timers, keeps the calls that it holds for good.
+        Each of them must receive endpoint updates and timers, or the calls in its hold queue would never end.
         """
         self._balancers = [b for b in self._balancers if b.calls or b is self._balancer]
         return self._balancers
 
-    def _entries(self) -> list[Endpoint]:
-        near = sum(r.ready and r.zone == self._zone for r in self._records)
-        by_zone = near >= LEAST_NEAR
+    def _balancer_endpoints(self) -> list[Endpoint]:
+        local_ready = sum(r.ready and r.zone == self._zone for r in self._records)
+        separate_zones = local_ready >= MIN_LOCAL_ENDPOINTS
         return [
             Endpoint(
                 r.id,
-                r.zone if by_zone else self._zone,
+                r.zone if separate_zones else self._zone,
                 "",
                 0,
                 Readiness.READY if r.ready else Readiness.DRAINING,
@@ -427,7 +438,7 @@
             for r in self._records
         ]
 
-    def _rebuild(self) -> None:
+    def _replace_balancer(self) -> None:
         rank, sidecars = self._fleet
         settings = Settings(
             classes=tuple(self._classes.values()),
@@ -440,7 +451,7 @@
             tenants=(Tenant(DEFAULT_TENANT), *self._tenants.values()),
             limits=Limits(
                 max_attempts=MAX_ATTEMPTS,
-                max_retry_after_us=MOST_RETRY_AFTER_US,
+                max_retry_after_us=MAX_RETRY_AFTER_US,
                 may_cancel=True,
                 retry_after=True,
             ),
@@ -448,175 +459,185 @@
         now = self.now_us()
         old, new = self._balancer, Balancer(settings, self._rng.randrange(1 << 30), self)
         new.start(now)
-        new.discovery(now, ListForm.FULL, self._entries())
+        new.discovery(now, ListForm.FULL, self._balancer_endpoints())
         if old is not None:
             new.recall(now, old.learned(now))
         self._balancer = new
-        self._balancers = [*self._deciding(), new]
-        self._prime()
+        self._balancers = [*self._active_balancers(), new]
+        self._seed_balancer()
 
-    def _prime(self) -> None:
-        """Begin with the places that the configuration says the endpoints have, and learn from there."""
-        if self._balancer is None or self._primed or not self._records:
+    def _seed_balancer(self) -> None:
+        """Seed the first balancer's concurrency limits from the configured endpoint capacity."""
+        if self._balancer is None or self._seeded or not self._records:
             return
-        self._primed = True
-        start = PoolMemory(1.0, self._capacity * START_SHARE, START_MEDIAN, START_MEDIAN)
-        self._balancer.recall(self.now_us(), Memory([start] * len(Ring), []))
+        self._seeded = True
+        initial = PoolMemory(
+            1.0, self._capacity * INITIAL_CAPACITY_SHARE, INITIAL_LATENCY_SHARE, INITIAL_LATENCY_SHARE
+        )
+        self._balancer.recall(self.now_us(), Memory([initial] * len(Ring), []))
 
     async def reaches_endpoint(self) -> bool:
-        """Whether an endpoint, drawn by chance, takes a connection."""
+        """Whether a randomly chosen endpoint accepts a connection."""
         pools = list(self._pools.values())
-        return bool(pools) and await self._rng.choice(pools).reach()
+        return bool(pools) and await self._rng.choice(pools).can_connect()
 
     def order(self, call: Call) -> None:
-        """Take a call; its sink hears of its end, perhaps within this call."""
+        """Admit a call; its sink is notified of the end, possibly before this returns."""
         if self._balancer is None:
-            call.sink.refuse(ErrorKind.NOT_READY, MOST_RETRY_AFTER_US)
+            call.sink.refuse(ErrorKind.NOT_READY, MAX_RETRY_AFTER_US)
             return
         now = self.now_us()
         self._calls[call.key] = call
         call.balancer = self._balancer
-        call.alarm = self._loop.call_later(max(0.0, (call.due_us - now) / 1e6), self.time_out, call)
-        self._weigh(self._balancer, now)
-        prompt, out = call.tokens
-        hint = prompt * 10 + out * 100
-        self._balancer.order(now, call.key, class_name(call.route), call.tenant, call.due_us - now, hint)
+        call.deadline_timer = self._loop.call_later(
+            max(0.0, (call.deadline_us - now) / 1e6), self.time_out, call
+        )
+        self._update_weights(self._balancer, now)
+        prompt, max_output = call.tokens
+        hint_us = prompt * 10 + max_output * 100
+        self._balancer.order(
+            now, call.key, class_name(call.route), call.tenant, call.deadline_us - now, hint_us
+        )
 
     def abandon(self, call: Call) -> None:
-        """Its client has gone: nobody hears of its end."""
-        if self._close(call):
+        """Cancel a call whose client has gone, without notifying the sink."""
+        if self._close_call(call):
             assert call.balancer is not None
             call.balancer.expired(self.now_us(), call.key)
             self._drop_attempt(call, Outcome.CANCELLED)
 
     def time_out(self, call: Call) -> None:
-        """Its time is up: an attempt that is under way counts as one that its endpoint has not answered."""
-        if not self._close(call):
+        """End a call at its deadline; an attempt in progress counts as unanswered by its endpoint."""
+        if not self._close_call(call):
             return
         assert call.balancer is not None
         may_have_run = call.ran > 0 or call.current is not None
         call.balancer.expired(self.now_us(), call.key)
         self._drop_attempt(call, Outcome.TIMEOUT)
-        if call.begun:
-            call.sink.break_off()
+        if call.response_started:
+            call.sink.abort()
         else:
             call.sink.refuse(ErrorKind.UNCERTAIN if may_have_run else ErrorKind.NOT_READY, 0)
 
     def end_all(self) -> None:
-        """The process ends: whoever waits is told so, rather than find the connection closed."""
+        """End all calls as the process exits: clients get a response instead of a closed connection."""
         for call in list(self._calls.values()):
             self.time_out(call)
 
     def _drop_attempt(self, call: Call, outcome: Outcome) -> None:
-        """Nobody waits for the attempt that is under way any more."""
+        """Cancel the attempt in progress and report its outcome to the balancer."""
         attempt, call.current = call.current, None
         if attempt is None or call.balancer is None:
             return
-        attempt.over = True
-        attempt.left()
+        attempt.finished = True
+        attempt.release_load()
         if call.exchange is not None:
-            call.exchange.drop()
+            call.exchange.cancel()
         now = self.now_us()
-        spent = max(1, now - attempt.started_us)
-        call.balancer.reply(now, call.key, attempt.number, attempt.endpoint, spent, True, outcome)
+        spent_us = max(1, now - attempt.started_us)
+        call.balancer.reply(now, call.key, attempt.number, attempt.endpoint, spent_us, True, outcome)
 
-    def _close(self, call: Call) -> bool:
-        """The call has its end; false where it has had one."""
+    def _close_call(self, call: Call) -> bool:
+        """Mark a call as ended; returns False if it had ended already."""
         if self._calls.pop(call.key, None) is None:
             return False
-        if call.alarm is not None:
-            call.alarm.cancel()
+        if call.deadline_timer is not None:
+            call.deadline_timer.cancel()
         return True
 
-    # --- what an attempt tells ---
+    # --- outcomes of attempts ---
 
-    def attempt_ended(
-        self, call: Call, attempt: Attempt, outcome: Outcome, ran: bool, latency_us: int, final: bool
+    def on_attempt_ended(
+        self, call: Call, attempt: Attempt, outcome: Outcome, may_have_run: bool, latency_us: int, final: bool
     ) -> None:
         balancer = call.balancer
         assert balancer is not None
         call.current = None
-        call.ran += ran
-        done = outcome is Outcome.OK
-        if done and self._close(call):
-            if call.begun:
+        call.ran += may_have_run
+        succeeded = outcome is Outcome.OK
+        if succeeded and self._close_call(call):
+            if call.response_started:
                 call.sink.finish()
             elif call.response is not None:
                 call.sink.answer(*call.response)
-        spent = call.final or (ran and call.ran >= call.route.max_attempts)
-        if not done and spent and call.key in self._calls:
-            self._give_up(call)
-        open_still = call.key in self._calls
+        attempts_exhausted = call.final or (may_have_run and call.ran >= call.route.max_attempts)
+        if not succeeded and attempts_exhausted and call.key in self._calls:
+            self._fail_call(call)
+        still_open = call.key in self._calls
         balancer.reply(
-            self.now_us(), call.key, attempt.number, attempt.endpoint, latency_us, not open_still, outcome
+            self.now_us(), call.key, attempt.number, attempt.endpoint, latency_us, not still_open, outcome
         )
 
-    def _give_up(self, call: Call) -> None:
-        """No further attempt is allowed."""
-        if not self._close(call):
+    def _fail_call(self, call: Call) -> None:
+        """End a call that may not be attempted again."""
+        if not self._close_call(call):
             return
-        if call.begun:
-            call.sink.break_off()
+        if call.response_started:
+            call.sink.abort()
         elif call.response is not None:
             call.sink.answer(*call.response)
         else:
             call.sink.refuse(ErrorKind.FAILED, 0)
 
-    # --- the decisions' actions ---
+    # --- the balancer's actions ---
 
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        made = self._calls.get(call)
-        if made is None:
+        pending = self._calls.get(call)
+        if pending is None:
             return
         now = self.now_us()
-        attempt = Attempt(self, made, made.attempts, endpoint, now)
-        made.attempts += 1
-        made.current = attempt
+        attempt = Attempt(self, pending, pending.attempt_count, endpoint, now)
+        pending.attempt_count += 1
+        pending.current = attempt
         pool = self._pools.get(endpoint)
         if pool is None:
-            self._loop.call_soon(attempt.on_lost, False)
+            self._loop.call_soon(attempt.on_failed, False)
             return
-        head, body = made.head
-        lines = [head, b"Expect-Instance: %s\r\n" % endpoint.encode()]
-        lines.append(b"Timeout-Ms: %d\r\n" % max(1, (made.due_us - now) // 1000))
-        if made.last_event != NO_EVENT:
-            lines.append(b"Last-Event-Id: %d\r\n" % made.last_event)
-        lines.append(b"\r\n")
-        lines.append(body)
-        data = b"".join(lines)
+        head, body = pending.request
+        parts = [head, b"Expect-Instance: %s\r\n" % endpoint.encode()]
+        parts.append(b"Timeout-Ms: %d\r\n" % max(1, (pending.deadline_us - now) // 1000))
+        if pending.last_event != NO_EVENT_ID:
+            parts.append(b"Last-Event-Id: %d\r\n" % pending.last_event)
+        parts.append(b"\r\n")
+        parts.append(body)
+        data = b"".join(parts)
         attempt.count_sent(len(data))
-        made.exchange = pool.ask(data, attempt)
+        pending.exchange = pool.send(data, attempt)
 
     def cancel(self, call: str, attempt: int) -> None:
-        """Nothing: the exchange of a call that has ended is dropped with it."""
+        """Does nothing: the exchange is cancelled when its call ends."""
 
     def shed(self, call: str, wait_us: int) -> None:
-        made = self._calls.get(call)
-        if made is None:
+        pending = self._calls.get(call)
+        if pending is None:
             return
-        self.refused += 1
-        # Danger: a refusal promises that the call never ran; one that may have run is given up.
-        if made.begun or made.response is not None or (made.ran and not made.route.repeatable):
-            self._give_up(made)
-        elif self._close(made):
-            made.sink.refuse(ErrorKind.NOT_READY, wait_us)
+        self.refused_count += 1
+        # A refusal guarantees that the call has not run, so a call that may have run is failed instead.
+        if (
+            pending.response_started
+            or pending.response is not None
+            or (pending.ran and not pending.route.repeatable)
+        ):
+            self._fail_call(pending)
+        elif self._close_call(pending):
+            pending.sink.refuse(ErrorKind.NOT_READY, wait_us)
 
     def surrender(self, call: str) -> None:
-        made = self._calls.get(call)
-        if made is not None:
-            self._give_up(made)
+        pending = self._calls.get(call)
+        if pending is not None:
+            self._fail_call(pending)
 
     def timer(self, delay_us: int, mark: str) -> None:
-        # Danger: the loop's own timers may come up to a millisecond early. The decisions look at nothing
-        # before their time and ask only once: a timer that comes early would be their last.
+        # Event loop timers may fire up to one millisecond early. The balancer ignores a wake-up before the
+        # requested time and does not request another, so an early timer would stop it for good.
         Alarm(self.now_us() + delay_us, partial(self._wake, mark))
 
     def _wake(self, mark: str) -> None:
-        for balancer in self._deciding():
+        for balancer in self._active_balancers():
             balancer.wake(self.now_us(), mark)
 
     def watch(self, on: bool) -> None:
-        """Nothing: the list is told by the control plane."""
+        """Does nothing: the control plane pushes the endpoint list."""
 
     def close_idle(self, endpoint: str) -> None:
         pool = self._pools.get(endpoint)
@@ -624,7 +645,7 @@
             pool.close_idle()
 
     def write_log(self, text: str, **fields: str | int | float) -> None:
-        """What bears on calls' fates, every few seconds."""
+        """Log the balancer's periodic state; other lines are dropped."""
         if text == "state":
             fields |= {"sweep_overdue_ms": self._sweep_overdue_us(self.now_us()) // 1000}
             log.info("%s: %s", self._service, ", ".join(f"{k} {v}" for k, v in fields.items()))
--- a/eiderhub/dataplane/drain.py
+++ b/eiderhub/dataplane/drain.py
@@ -1,28 +1,28 @@
-"""Which requests a sidecar that stops still takes: those that it can end before it has to go.
+"""Decides which requests a draining sidecar still accepts: those that can finish before the process exits.
 
-Pure: it is told the time. Clients go on using the connections that they have until the process is gone, so
-that requests come for as long as it lives.
+Free of I/O: callers pass the time in. Clients keep using their open connections until the process exits, so
+requests arrive during the whole drain.
 """
 
 from __future__ import annotations
 
-LEAST_DRAIN_S = 2.6  # the platform sends no new connections after two missed looks, a second apart
-END_MARGIN_S = 1.2  # before the platform kills what has not stopped
-QUIET_S = 0.3  # a sidecar that drains ends once no request has come for so long
+MIN_DRAIN_S = 2.6  # new connections stop after two failed readiness checks, one second apart
+EXIT_MARGIN_S = 1.2  # the process exits this long before the platform kills it
+IDLE_PERIOD_S = 0.3  # without requests or pending work, after which a draining sidecar exits
 
 
 class Drain:
-    """One sidecar's way to its end, from SIGTERM on; times in seconds of one clock."""
+    """The drain of one sidecar, started by SIGTERM; all times are in seconds on one monotonic clock."""
 
-    def __init__(self, began: float, grace_s: float) -> None:
-        self._serves_until = began + min(LEAST_DRAIN_S, grace_s / 2)
-        self._ends_at = began + grace_s - END_MARGIN_S
+    def __init__(self, started_at: float, grace_s: float) -> None:
+        self._accepts_all_until = started_at + min(MIN_DRAIN_S, grace_s / 2)
+        self._exits_at = started_at + grace_s - EXIT_MARGIN_S
 
-    def takes(self, now: float, most_s: float) -> bool:
-        """Whether a request that may take so long is taken; any other is promised not to have run."""
-        return now < self._serves_until or now + most_s <= self._ends_at
+    def takes(self, now: float, max_duration_s: float) -> bool:
+        """Whether to accept a request that may take `max_duration_s`; a rejected one is never executed."""
+        return now < self._accepts_all_until or now + max_duration_s <= self._exits_at
 
-    def is_over(self, now: float, quiet: bool, last_request: float) -> bool:
-        """Whether the process ends now."""
-        idle = quiet and now > self._serves_until and now - last_request > QUIET_S
-        return idle or now >= self._ends_at
+    def is_over(self, now: float, nothing_pending: bool, last_request_at: float) -> bool:
+        """Whether the process should exit now."""
+        idle = nothing_pending and now > self._accepts_all_until and now - last_request_at > IDLE_PERIOD_S
+        return idle or now >= self._exits_at
--- a/eiderhub/dataplane/early.py
+++ b/eiderhub/dataplane/early.py
@@ -1,69 +1,69 @@
-"""Requests that reach a sidecar before it knows any route: held for a bounded time, number and size.
+"""Buffer for requests that arrive before the first configuration, bounded in time, count and size.
 
-Pure: it is told the time. A request is decided on as soon as the first configuration and list are there; past
-its bound it is refused at once, with the promise that it has not run.
+Free of I/O: callers pass the time in. Requests are processed as soon as the first configuration and endpoint
+list have arrived. A request held longer than its limit is refused as not executed, so that clients can retry.
 """
 
 from __future__ import annotations
 
 from typing import Generic, NamedTuple, TypeVar
 
-HOLD_S = 1.0  # at most
-HOLD_SHARE = 1 / 3  # of the time that the request's client allows
-MOST_REQUESTS = 400
-MOST_BYTES = 8 << 20
+MAX_HOLD_S = 1.0
+HOLD_TIMEOUT_SHARE = 1 / 3  # of the client's timeout
+MAX_REQUESTS = 400
+MAX_BYTES = 8 << 20
 
 T = TypeVar("T")
 
 
-class Held(NamedTuple, Generic[T]):
+class HeldRequest(NamedTuple, Generic[T]):
     request: T
-    since: float  # seconds, of the caller's clock
-    until: float
-    size: int  # bytes
+    since: float  # seconds, on the caller's clock
+    expires_at: float
+    size_bytes: int
 
 
 class EarlyRequests(Generic[T]):
-    """Of one sidecar, in the order in which they came."""
+    """The held requests of one sidecar, in order of arrival."""
 
     def __init__(self) -> None:
-        self._held: dict[int, Held[T]] = {}  # by the request's identity
+        self._held: dict[int, HeldRequest[T]] = {}  # keyed by id(request)
         self._bytes = 0
-        self.total = 0  # that were ever held
-        self.refused = 0  # of them, past their bound
+        self.total = 0  # requests held since the start
+        self.refused = 0  # of these, requests that reached their time limit
 
     def __len__(self) -> int:
         return len(self._held)
 
-    def hold(self, now: float, request: T, size: int, allowed_s: float) -> bool:
-        """Keep a request whose client allows so much time; false: there is no room for it."""
-        if len(self._held) >= MOST_REQUESTS or self._bytes + size > MOST_BYTES:
+    def hold(self, now: float, request: T, size_bytes: int, timeout_s: float) -> bool:
+        """Hold a request whose client allows `timeout_s`; returns False if there is no room for it."""
+        if len(self._held) >= MAX_REQUESTS or self._bytes + size_bytes > MAX_BYTES:
             return False
-        until = now + min(HOLD_S, HOLD_SHARE * allowed_s)
-        self._held[id(request)] = Held(request, now, until, size)
-        self._bytes += size
+        expires_at = now + min(MAX_HOLD_S, HOLD_TIMEOUT_SHARE * timeout_s)
+        self._held[id(request)] = HeldRequest(request, now, expires_at, size_bytes)
+        self._bytes += size_bytes
         self.total += 1
         return True
 
     def remove(self, request: T) -> bool:
-        """Its client has gone, or it is decided on; false: it is not held."""
+        """Stop holding a request; returns False if it was not held."""
         held = self._held.pop(id(request), None)
         if held is None:
             return False
-        self._bytes -= held.size
+        self._bytes -= held.size_bytes
         return True
 
     def overdue(self, now: float) -> list[T]:
-        """Those past their bound, which are held no more: they are to be refused."""
-        found = [held.request for held in self._held.values() if now >= held.until]
-        for request in found:
+        """Remove and return the requests past their time limit; the caller refuses them."""
+        expired = [held.request for held in self._held.values() if now >= held.expires_at]
+        for request in expired:
             self.remove(request)
-        self.refused += len(found)
-        return found
+        self.refused += len(expired)
+        return expired
 
-    def release(self) -> list[Held[T]]:
-        """All, which are held no more: they are to be decided on."""
-        found = list(self._held.values())
+    def release(self) -> list[HeldRequest[T]]:
+        """Remove and return all held requests; the caller processes them."""
+        requests = list(self._held.values())
         self._held.clear()
         self._bytes = 0
-        return found
+        return requests
--- a/eiderhub/dataplane/engine.py
+++ b/eiderhub/dataplane/engine.py
@@ -1,10 +1,10 @@
-"""Connections to endpoints: kept ones, new ones, one exchange at a time on each, and how each ended.
+"""HTTP/1.1 client connections to endpoints: a keep-alive pool with one exchange at a time per connection.
 
-A request is written once, to one connection. What is told of its end is as fine as the socket allows: a
-request that has surely not left may be sent elsewhere.
+A request is written once, to one connection. A failure reports whether the request may have been sent, as
+precisely as the socket allows: a request that was certainly not sent may be retried on another endpoint.
 
-An answer's head is handed over whole and never changes afterwards. Bytes that follow a whole answer belong to
-no request: they are never parsed, and their connection is closed.
+The status and headers of a response are delivered together and never change afterwards. Bytes after the end
+of a response belong to no request: they are not parsed, and the connection is closed.
 """
 
 from __future__ import annotations
@@ -17,80 +17,80 @@
 
 from eiderhub import address
 
-KEEP_SHARE = 0.6  # of the time that an endpoint keeps an idle connection, how long we use it
-KEEP_S = 2.0  # that time, where it is not told
-CONNECT_S = 0.3
-MOST_HEAD = 64 << 10
-MOST_IDLE = 64  # idle connections kept to one endpoint
+KEEP_ALIVE_SHARE = 0.6  # of the endpoint's keep-alive timeout for which we reuse an idle connection
+DEFAULT_KEEP_ALIVE_S = 2.0  # keep-alive timeout of an endpoint that does not send one
+CONNECT_TIMEOUT_S = 0.3
+MAX_HEAD_BYTES = 64 << 10
+MAX_IDLE_CONNECTIONS = 64  # per endpoint
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
 
-class Listener(Protocol):
-    """Who made a request of an endpoint."""
+class ResponseListener(Protocol):
+    """Receives the response to one request."""
 
     def on_head(self, status: int, headers: Headers, reused: bool) -> None:
-        """`reused`: the connection has carried another request before."""
+        """`reused`: the connection has carried an earlier request."""
 
     def on_data(self, data: bytes) -> None: ...
 
     def on_end(self) -> None:
-        """The whole answer has come."""
+        """The response is complete."""
 
-    def on_lost(self, written: bool) -> None:
-        """No whole answer will come; `written`: the request may have reached the endpoint."""
+    def on_failed(self, may_have_been_sent: bool) -> None:
+        """The response will not complete; `may_have_been_sent`: the endpoint may have the request."""
 
 
-class EngineConnection(asyncio.Protocol):
-    def __init__(self, pool: EnginePool) -> None:
+class EndpointConnection(asyncio.Protocol):
+    def __init__(self, pool: EndpointPool) -> None:
         self._pool = pool
-        self._listener: Listener | None = None
+        self._listener: ResponseListener | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._reset()
-        self.exchanges = 0  # requests written to it
-        self.idle_until = 0.0
-        self.lost = False
+        self._reset_response()
+        self.request_count = 0  # requests written to this connection
+        self.reusable_until = 0.0
+        self.closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
         self._poll = select.poll()
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
-    def usable(self, now: float) -> bool:
-        """Whether a request may be written: nothing has come that nobody asked for, its end included."""
-        return not self.lost and now < self.idle_until and not self._poll.poll(0)
+    def is_usable(self, now: float) -> bool:
+        """Whether a request may be written: the socket has no unexpected data and no end of file to read."""
+        return not self.closed and now < self.reusable_until and not self._poll.poll(0)
 
-    def ask(self, data: bytes, listener: Listener) -> None:
+    def send(self, request: bytes, listener: ResponseListener) -> None:
         self._listener = listener
-        self._reset()
-        self.exchanges += 1
-        self._transport.write(data)
+        self._reset_response()
+        self.request_count += 1
+        self._transport.write(request)
 
-    def _reset(self) -> None:
+    def _reset_response(self) -> None:
         self._headers: list[tuple[bytes, bytes]] = []
         self._head_bytes = 0
-        self._head_whole = False
-        self._has_end = False  # whether the answer's framing tells where it ends
+        self._head_complete = False
+        self._is_framed = False  # the response has a Content-Length or Transfer-Encoding
         self._finished = False
-        self._keep = False
-        self._keep_s = KEEP_S
+        self._keep_alive = False
+        self._keep_alive_s = DEFAULT_KEEP_ALIVE_S
 
     def close(self) -> None:
-        """Give the exchange up; its listener hears no more."""
+        """Close the connection without notifying the listener of its exchange."""
         self._listener = None
-        if not self.lost:
-            self.lost = True
+        if not self.closed:
+            self.closed = True
             self._transport.abort()
-            self._pool.forget(self)
+            self._pool.discard(self)
 
     def _fail(self) -> None:
         listener, self._listener = self._listener, None
         self.close()
         if listener is not None:
-            listener.on_lost(True)
+            listener.on_failed(True)
 
     def data_received(self, data: bytes) -> None:
-        if self.lost:
+        if self.closed:
             return
         if self._listener is None or self._finished:
             self.close()
@@ -101,50 +101,52 @@
             if not self._finished:
                 self._fail()
                 return
-            self._keep = False
+            self._keep_alive = False
         if self._finished:
-            self._complete()
+            self._finish_exchange()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if not self.lost:
+        if not self.closed:
             self._fail()
 
-    def _complete(self) -> None:
+    def _finish_exchange(self) -> None:
         listener, self._listener = self._listener, None
-        keep = self._keep and self._keep_s > 0
-        self._reset()
-        if keep and not self.lost:
-            self._pool.release(self, self._keep_s * KEEP_SHARE)
+        keep_alive = self._keep_alive and self._keep_alive_s > 0
+        self._reset_response()
+        if keep_alive and not self.closed:
+            self._pool.release(self, self._keep_alive_s * KEEP_ALIVE_SHARE)
         else:
             self.close()
         if listener is not None:
             listener.on_end()
 
-    # --- the parser's calls ---
+    # --- httptools parser callbacks ---
 
     def on_message_begin(self) -> None:
         if self._finished:
-            raise ValueError("bytes after a whole answer")
+            raise ValueError("bytes after the end of the response")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._head_bytes += len(name) + len(value)
-        if self._head_bytes > MOST_HEAD:
-            raise ValueError("the head is too long")
-        if self._head_whole:
-            return  # a trailer
+        if self._head_bytes > MAX_HEAD_BYTES:
+            raise ValueError("response headers exceed the size limit")
+        if self._head_complete:
+            return  # a trailer field
         self._headers.append((name, value))
         lower = name.lower()
         if lower in (b"content-length", b"transfer-encoding"):
-            self._has_end = True
+            self._is_framed = True
         elif lower == b"keep-alive":
-            self._keep_s = _keep_alive(value)
+            self._keep_alive_s = _keep_alive_timeout_s(value)
 
     def on_headers_complete(self) -> None:
         if self._is_interim():
             return
-        self._head_whole = True
+        self._head_complete = True
         if self._listener is not None:
-            self._listener.on_head(self._parser.get_status_code(), tuple(self._headers), self.exchanges > 1)
+            self._listener.on_head(
+                self._parser.get_status_code(), tuple(self._headers), self.request_count > 1
+            )
 
     def on_body(self, body: bytes) -> None:
         if self._listener is not None:
@@ -152,150 +154,150 @@
 
     def on_message_complete(self) -> None:
         if self._is_interim():
-            self._reset()
+            self._reset_response()
             return
-        if not self._has_end and self._parser.get_status_code() not in (204, 304):
-            raise ValueError("an answer without an end")
+        if not self._is_framed and self._parser.get_status_code() not in (204, 304):
+            raise ValueError("response has neither Content-Length nor Transfer-Encoding")
         self._finished = True
-        self._keep = self._parser.should_keep_alive()
+        self._keep_alive = self._parser.should_keep_alive()
 
     def _is_interim(self) -> bool:
-        """Whether it is a 1xx answer: the final one follows."""
+        """Whether this is a 1xx response, which the final response follows."""
         return bool(self._parser.get_status_code() < 200)
 
 
-def _keep_alive(value: bytes) -> float:
+def _keep_alive_timeout_s(value: bytes) -> float:
     for part in value.split(b","):
         name, _, text = part.strip().partition(b"=")
         if name.lower() == b"timeout" and text.isdigit():
             return float(text)
-    return KEEP_S
+    return DEFAULT_KEEP_ALIVE_S
 
 
 class Exchange:
-    """A request that was made of an endpoint; it may be given up."""
+    """Handle of a request to an endpoint, for cancelling it."""
 
     def __init__(self) -> None:
-        self._connection: EngineConnection | None = None
-        self.dropped = False
+        self._connection: EndpointConnection | None = None
+        self.cancelled = False
 
-    def attach(self, connection: EngineConnection) -> None:
+    def attach(self, connection: EndpointConnection) -> None:
         self._connection = connection
 
-    def drop(self) -> None:
-        if self.dropped:
+    def cancel(self) -> None:
+        if self.cancelled:
             return
-        self.dropped = True
+        self.cancelled = True
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
 
-class EnginePool:
-    """Connections to one endpoint."""
+class EndpointPool:
+    """The connections to one endpoint."""
 
     def __init__(self, target: str) -> None:
         host, port = address.parse(target)
         self._host, self._port = host, port
-        self._idle: list[EngineConnection] = []
+        self._idle_connections: list[EndpointConnection] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self._closed = False
-        self.opened = 0
+        self.connect_attempts = 0
 
-    def ask(self, data: bytes, listener: Listener) -> Exchange:
-        """Send a request; the listener hears nothing within this call."""
+    def send(self, request: bytes, listener: ResponseListener) -> Exchange:
+        """Send a request; the listener is never called before this returns."""
         exchange = Exchange()
         now = asyncio.get_running_loop().time()
-        while self._idle:
-            connection = self._idle.pop()
-            if connection.usable(now):
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
+            if connection.is_usable(now):
                 exchange.attach(connection)
-                connection.ask(data, _Once(listener, exchange))
+                connection.send(request, _CancellableListener(listener, exchange))
                 return exchange
             connection.close()
-        task = asyncio.get_running_loop().create_task(self._connect(data, listener, exchange))
+        task = asyncio.get_running_loop().create_task(self._connect_and_send(request, listener, exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return exchange
 
-    async def reach(self) -> bool:
-        """Whether the endpoint takes a connection; it is kept for the next request."""
-        connection = await self._open()
+    async def can_connect(self) -> bool:
+        """Whether the endpoint accepts a connection, which is kept for the next request."""
+        connection = await self._open_connection()
         if connection is None:
             return False
-        self.release(connection, KEEP_S * KEEP_SHARE)
+        self.release(connection, DEFAULT_KEEP_ALIVE_S * KEEP_ALIVE_SHARE)
         return True
 
-    async def _open(self) -> EngineConnection | None:
-        """A new connection; None: none has come up in time."""
-        self.opened += 1
+    async def _open_connection(self) -> EndpointConnection | None:
+        """Open a connection; None on an error or after CONNECT_TIMEOUT_S."""
+        self.connect_attempts += 1
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await loop.create_connection(
-                    lambda: EngineConnection(self), self._host, self._port
+                    lambda: EndpointConnection(self), self._host, self._port
                 )
         except (OSError, TimeoutError):
             return None
         return connection
 
-    async def _connect(self, data: bytes, listener: Listener, exchange: Exchange) -> None:
-        connection = await self._open()
+    async def _connect_and_send(self, request: bytes, listener: ResponseListener, exchange: Exchange) -> None:
+        connection = await self._open_connection()
         if connection is None:
-            if not exchange.dropped:
-                listener.on_lost(False)
-        elif exchange.dropped:
-            self.release(connection, KEEP_S * KEEP_SHARE)
-        elif connection.lost:
-            listener.on_lost(False)
+            if not exchange.cancelled:
+                listener.on_failed(False)
+        elif exchange.cancelled:
+            self.release(connection, DEFAULT_KEEP_ALIVE_S * KEEP_ALIVE_SHARE)
+        elif connection.closed:
+            listener.on_failed(False)
         else:
             exchange.attach(connection)
-            connection.ask(data, _Once(listener, exchange))
+            connection.send(request, _CancellableListener(listener, exchange))
 
-    def release(self, connection: EngineConnection, keep_s: float) -> None:
-        if self._closed or len(self._idle) >= MOST_IDLE or connection.lost:
+    def release(self, connection: EndpointConnection, reuse_for_s: float) -> None:
+        if self._closed or len(self._idle_connections) >= MAX_IDLE_CONNECTIONS or connection.closed:
             connection.close()
             return
-        connection.idle_until = asyncio.get_running_loop().time() + keep_s
-        self._idle.append(connection)
+        connection.reusable_until = asyncio.get_running_loop().time() + reuse_for_s
+        self._idle_connections.append(connection)
 
-    def forget(self, connection: EngineConnection) -> None:
-        if connection in self._idle:
-            self._idle.remove(connection)
+    def discard(self, connection: EndpointConnection) -> None:
+        if connection in self._idle_connections:
+            self._idle_connections.remove(connection)
 
     def close_idle(self) -> None:
-        for connection in list(self._idle):
+        for connection in list(self._idle_connections):
             connection.close()
 
     def close(self) -> None:
-        """The endpoint has left: exchanges under way go on, none is kept."""
+        """Stop keeping connections, once the endpoint was removed; exchanges in progress continue."""
         self._closed = True
         self.close_idle()
 
 
-class _Once:
-    """Passes an exchange's events on until it is given up or has ended."""
+class _CancellableListener:
+    """Forwards the callbacks of an exchange until it has ended or was cancelled."""
 
     __slots__ = ("_exchange", "_listener")
 
-    def __init__(self, listener: Listener, exchange: Exchange) -> None:
+    def __init__(self, listener: ResponseListener, exchange: Exchange) -> None:
         self._listener = listener
         self._exchange = exchange
 
     def on_head(self, status: int, headers: Headers, reused: bool) -> None:
-        if not self._exchange.dropped:
+        if not self._exchange.cancelled:
             self._listener.on_head(status, headers, reused)
 
     def on_data(self, data: bytes) -> None:
-        if not self._exchange.dropped:
+        if not self._exchange.cancelled:
             self._listener.on_data(data)
 
     def on_end(self) -> None:
-        if not self._exchange.dropped:
-            self._exchange.dropped = True
+        if not self._exchange.cancelled:
+            self._exchange.cancelled = True
             self._listener.on_end()
 
-    def on_lost(self, written: bool) -> None:
-        if not self._exchange.dropped:
-            self._exchange.dropped = True
-            self._listener.on_lost(written)
+    def on_failed(self, may_have_been_sent: bool) -> None:
+        if not self._exchange.cancelled:
+            self._exchange.cancelled = True
+            self._listener.on_failed(may_have_been_sent)
--- a/eiderhub/dataplane/events.py
+++ b/eiderhub/dataplane/events.py
@@ -1,4 +1,4 @@
-"""Splits a body of text/event-stream into whole events, as it comes."""
+"""Incremental parser for server-sent events (text/event-stream)."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class Event(NamedTuple):
-    raw: bytes  # with the blank line that ends it
-    id: int  # -1: it has none
-    data: str  # its data lines, joined by line feeds
+    raw_bytes: bytes  # including the terminating blank line
+    id: int  # -1 if the event has none
+    data: str  # the data lines joined with line feeds
 
 
 class EventParser:
@@ -16,41 +16,41 @@
         self._buffer = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """The events that are whole now."""
+        """Add bytes and return the events that they complete."""
         buffer = self._buffer + data
         events = []
         start = 0
         while True:
-            end, size = _blank_line(buffer, start)
+            end, size = _find_event_end(buffer, start)
             if end < 0:
                 break
-            events.append(_parse(buffer[start : end + size]))
+            events.append(_parse_event(buffer[start : end + size]))
             start = end + size
         self._buffer = buffer[start:]
         return events
 
     @property
-    def partial(self) -> bool:
-        """Whether an event has begun and is not whole."""
+    def has_partial_event(self) -> bool:
+        """Whether the buffer holds an incomplete event."""
         return bool(self._buffer)
 
 
-def _blank_line(buffer: bytes, start: int) -> tuple[int, int]:
-    """Where the next event's end begins, and how long that is; -1: it has not come."""
-    plain = buffer.find(b"\n\n", start)
-    carriage = buffer.find(b"\r\n\r\n", start)
-    if carriage >= 0 and (plain < 0 or carriage < plain):
-        return carriage, 4
-    return plain, 2
+def _find_event_end(buffer: bytes, start: int) -> tuple[int, int]:
+    """Offset and length of the next blank-line terminator; the offset is -1 if there is none."""
+    lf_end = buffer.find(b"\n\n", start)
+    crlf_end = buffer.find(b"\r\n\r\n", start)
+    if crlf_end >= 0 and (lf_end < 0 or crlf_end < lf_end):
+        return crlf_end, 4
+    return lf_end, 2
 
 
-def _parse(raw: bytes) -> Event:
-    number, data = -1, []
+def _parse_event(raw: bytes) -> Event:
+    event_id, data_lines = -1, []
     for line in raw.replace(b"\r\n", b"\n").split(b"\n"):
         name, _, value = line.partition(b":")
         value = value[1:] if value.startswith(b" ") else value
         if name == b"id" and value.isdigit():
-            number = int(value)
+            event_id = int(value)
         elif name == b"data":
-            data.append(value.decode("utf-8", "replace"))
-    return Event(raw, number, "\n".join(data))
+            data_lines.append(value.decode("utf-8", "replace"))
+    return Event(raw, event_id, "\n".join(data_lines))
--- a/eiderhub/dataplane/frontend.py
+++ b/eiderhub/dataplane/frontend.py
@@ -1,4 +1,4 @@
-"""The sidecar's listener for clients: each request is routed, taken by admission, and answered once."""
+"""The sidecar's HTTP front end: client connections, client exchanges and the readiness endpoint."""
 
 from __future__ import annotations
 
@@ -11,44 +11,46 @@
 from eiderhub.dataplane.events import Event
 from eiderhub.http1 import REASONS, Bounds, Exchange, ServerConnection
 
-# Headers that belong to one connection (RFC 9110, 7.6.1), and those that the sidecar writes itself.
-NOT_PASSED_ON = frozenset(
+# Request headers for one connection only (RFC 9110, section 7.6.1), and those that the sidecar sets itself.
+NOT_FORWARDED = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
         b"upgrade", b"content-length", b"expect", b"timeout-ms", b"expect-instance",
     )
 )  # fmt: skip
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (b"connection", b"keep-alive", b"transfer-encoding", b"content-length", b"trailer", b"upgrade")
 )
 LAST_CHUNK = b"0\r\n\r\n"
-UNSENT_BYTES = 1 << 20  # of answers that a client may leave unread
-READER_S = 5.0  # for so long
-MOST_REQUEST = 8 << 20
+MAX_UNSENT_BYTES = 1 << 20  # of responses that a client has not read yet
+SLOW_READER_TIMEOUT_S = 5.0  # the connection is closed if the client stays above that limit for this long
+MAX_REQUEST_BODY_BYTES = 8 << 20
 
 
 class ClientExchange(Exchange):
-    """A client's request; implements admission's `Sink`."""
+    """A client's request and the response to it; `ClientSink` adapts it to admission's `ResponseSink`."""
 
-    __slots__ = ("begun", "client", "held_s")
+    __slots__ = ("client", "held_s", "response_started")
 
-    def __init__(self, connection: FrontendConnection, first: bool, first_us: int, client: str) -> None:
+    def __init__(
+        self, connection: FrontendConnection, first: bool, first_us: int, client_address: str
+    ) -> None:
         super().__init__(connection, first, first_us)
-        self.client = client
-        self.begun = False
-        self.held_s = 0.0  # before anything could be decided on it
+        self.client = client_address
+        self.response_started = False
+        self.held_s = 0.0  # time spent waiting before the request was submitted to admission
 
     def begin(self, headers: Headers) -> None:
-        self.begun = True
+        self.response_started = True
         lines = [b"HTTP/1.1 200 OK"]
-        lines += [b"%s: %s" % pair for pair in headers if pair[0].lower() not in HOP_BY_HOP]
+        lines += [b"%s: %s" % pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS]
         lines.append(b"Transfer-Encoding: chunked")
         if not self.keep:
             lines.append(b"Connection: close")
         self.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
     def event(self, event: Event) -> None:
-        self.write(b"%x\r\n%s\r\n" % (len(event.raw), event.raw))
+        self.write(b"%x\r\n%s\r\n" % (len(event.raw_bytes), event.raw_bytes))
 
     def finish(self) -> None:
         if not self.gone:
@@ -56,15 +58,15 @@
             self._connection.over(self)
 
     def break_off(self) -> None:
-        """The end of the connection tells that the answer is not whole."""
+        """Close the connection, which shows the client that the response is incomplete."""
         if not self.gone:
             self.gone = True
             self._connection.transport.close()
 
-    def answer_from(self, status: int, headers: Headers, body: bytes) -> None:
-        kept = [pair for pair in headers if pair[0].lower() not in HOP_BY_HOP]
+    def forward_response(self, status: int, headers: Headers, body: bytes) -> None:
+        forwarded = [pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS]
         if status in REASONS:
-            self.answer(status, body, *kept)
+            self.answer(status, body, *forwarded)
         else:
             self.refuse(ErrorKind.FAILED, 0)
 
@@ -76,7 +78,7 @@
 
 
 class ClientSink:
-    """Gives an exchange the shape of a sink, whose `answer` is an endpoint's."""
+    """Adapts a client exchange to `ResponseSink`, whose `answer` forwards an endpoint's response."""
 
     __slots__ = ("_exchange",)
 
@@ -92,18 +94,18 @@
     def finish(self) -> None:
         self._exchange.finish()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         self._exchange.break_off()
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        self._exchange.answer_from(status, headers, body)
+        self._exchange.forward_response(status, headers, body)
 
     def refuse(self, kind: ErrorKind, retry_after_us: int) -> None:
         self._exchange.refuse(kind, retry_after_us)
 
 
 class PaidSink(ClientSink):
-    """The sink of a call that was paid for: `refund` is called once if the call is refused and never runs."""
+    """The sink of a prepaid call: `refund` is called once if the call is refused and never runs."""
 
     __slots__ = ("_refund",)
 
@@ -117,8 +119,8 @@
         super().refuse(kind, retry_after_us)
 
 
-class Server(Protocol):
-    """What serves a client's requests."""
+class RequestHandler(Protocol):
+    """Processes client requests."""
 
     @property
     def draining(self) -> bool: ...
@@ -127,30 +129,32 @@
 
 
 class FrontendConnection(ServerConnection):
-    """A client's connection."""
+    """A client connection."""
 
-    def __init__(self, server: Server, connections: set[ServerConnection]) -> None:
+    def __init__(self, handler: RequestHandler, connections: set[ServerConnection]) -> None:
         loop = asyncio.get_running_loop()
-        bounds = Bounds(body_bytes=MOST_REQUEST, unsent_bytes=UNSENT_BYTES, reader_s=READER_S)
-        super().__init__(self._serve_one, lambda: int(loop.time() * 1e6), connections, bounds=bounds)
-        self._server = server
-        self._client = ""
+        bounds = Bounds(
+            body_bytes=MAX_REQUEST_BODY_BYTES, unsent_bytes=MAX_UNSENT_BYTES, reader_s=SLOW_READER_TIMEOUT_S
+        )
+        super().__init__(self._serve_request, lambda: int(loop.time() * 1e6), connections, bounds=bounds)
+        self._handler = handler
+        self._client_address = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         peer = transport.get_extra_info("peername")
-        self._client = str(peer[0]) if peer else ""
+        self._client_address = str(peer[0]) if peer else ""
 
     def on_message_begin(self) -> None:
-        self._reading = ClientExchange(self, self._count == 0, self._clock(), self._client)
+        self._reading = ClientExchange(self, self._count == 0, self._clock(), self._client_address)
         self._count += 1
         self._head = 0
 
-    def _serve_one(self, exchange: Exchange) -> None:
+    def _serve_request(self, exchange: Exchange) -> None:
         assert isinstance(exchange, ClientExchange)
-        if self._server.draining:
+        if self._handler.draining:
             exchange.keep = False
-        self._server.serve(exchange)
+        self._handler.serve(exchange)
 
     @property
     def idle(self) -> bool:
@@ -158,20 +162,20 @@
 
 
 class ReadinessConnection(ServerConnection):
-    """Answers the platform's question whether this sidecar takes requests."""
+    """Answers the platform's readiness checks."""
 
-    def __init__(self, ready: Callable[[], bool], connections: set[ServerConnection]) -> None:
+    def __init__(self, is_ready: Callable[[], bool], connections: set[ServerConnection]) -> None:
         super().__init__(self._answer, lambda: 0, connections)
-        self._ready = ready
+        self._is_ready = is_ready
 
     def _answer(self, exchange: Exchange) -> None:
-        exchange.answer(200 if self._ready() else 503)
+        exchange.answer(200 if self._is_ready() else 503)
 
 
 def request_head(method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes) -> bytes:
-    """Request line and headers for an endpoint, but for those that differ by attempt."""
+    """Request line and headers to send to an endpoint, except the headers that differ between attempts."""
     lines = [b"%s %s HTTP/1.1\r\n" % (method, target)]
-    lines += [b"%s: %s\r\n" % pair for pair in headers.items() if pair[0].lower() not in NOT_PASSED_ON]
+    lines += [b"%s: %s\r\n" % pair for pair in headers.items() if pair[0].lower() not in NOT_FORWARDED]
     if body or method in (b"POST", b"PUT", b"PATCH"):
         lines.append(b"Content-Length: %d\r\n" % len(body))
     return b"".join(lines)
--- a/eiderhub/dataplane/items.py
+++ b/eiderhub/dataplane/items.py
@@ -1,4 +1,4 @@
-"""Batch items on a sidecar: the session with the storage group's primary, items run through admission."""
+"""Runs batch items on a sidecar: the session with the storage group's primary, and the items' execution."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     WorkerReported,
 )
 from eiderhub.control.errors import STATUS, ErrorKind
-from eiderhub.dataplane.admission import BATCH_TENANT, NO_EVENT, Admission, Call
+from eiderhub.dataplane.admission import BATCH_TENANT, NO_EVENT_ID, Admission, Call
 from eiderhub.dataplane.engine import Headers
 from eiderhub.dataplane.events import Event
 from eiderhub.dataplane.frontend import request_head
@@ -43,137 +43,144 @@
 from eiderhub.transport.framing import Connection, connect
 from eiderhub.transport.tasks import TaskSet
 
-RETRY_S = 0.1
-ACCEPT_S = 0.6  # a storage node that has not taken the session by then does not lead
-CALL_S = 1.6  # a call that no primary has answered by then is uncertain
-STUCK_S = 4.0  # an item that has not moved for so long is named among the figures
-NEVER_DONE = 422
-ITEM_TIME_S = 60.0  # an item's attempt on this sidecar takes no longer
-TEND_S = 0.25  # how often items and the session are looked at
-# An item that has not moved for so long is given back. Danger: an endpoint whose machine has lost its power
-# says nothing, and would hold the item for the time above.
-ITEM_SILENCE_S = 4.0
-# So is one that no endpoint has taken at so many looks in a row, or for its objective, if that is more: the
-# decisions hold a call for a part of it. Looks, not seconds: a process that was frozen has answers to read.
-LEAST_QUEUE_LOOKS = 3
-# So are those that have been sent and not begun, once no endpoint has said anything to this sidecar for so
-# many objectives, at so many looks in a row: it reaches none, and others may. For twice as long with each
-# time that the item has failed to move before: where endpoints are slow everywhere, one has to wait.
-STILL_OBJECTIVES, LEAST_STILL_LOOKS, MOST_STILL_LOOKS = 2.0, 4, int(ITEM_SILENCE_S / TEND_S)
+RECONNECT_DELAY_S = 0.1
+ACCEPT_TIMEOUT_S = 0.6  # a storage node that has not accepted the session by then is not the primary
+CALL_S = 1.6  # for a session, and then for the primary's response, whose absence is UNCERTAIN
+IDLE_METRIC_AFTER_S = 4.0  # items without progress for this long get a metric of their own
+UNPROCESSABLE_STATUS = 422
+ITEM_TIMEOUT_S = 60.0  # limit of an item's execution on this sidecar
+CHECK_INTERVAL_S = 0.25  # of items and the session
+# An item without progress for this long is returned. An endpoint whose machine has lost power sends neither
+# data nor a reset, and would otherwise hold the item for ITEM_TIMEOUT_S.
+ITEM_IDLE_TIMEOUT_S = 4.0
+# An item that no endpoint has accepted is returned after more than this many consecutive checks, or after its
+# latency objective if that is longer: the balancer may hold a call for a part of the objective. Checks are
+# counted instead of seconds because a process that was suspended has responses to read before it can judge.
+MIN_QUEUED_CHECKS = 3
+# An item that was sent and has no event yet is returned once this sidecar has received nothing from any
+# endpoint for this many latency objectives, counted in consecutive checks: the sidecar is probably cut off
+# from endpoints that others can reach. The limit doubles with each earlier try of the item without progress,
+# because waiting is the only choice where all endpoints are slow.
+NO_DATA_OBJECTIVES, MIN_NO_DATA_CHECKS, MAX_CHECKS = 2.0, 4, int(ITEM_IDLE_TIMEOUT_S / CHECK_INTERVAL_S)
 
 
 log = logging.getLogger("items")
 
 
 class Router(Protocol):
-    """Where an item is run."""
+    """Gives the service that executes an item."""
 
     def route_for(self, name: str) -> tuple[Route, Admission] | None: ...
 
     def leads_to(self, name: str, admission: Admission) -> bool:
-        """Whether the route, as it is in force now, leads to that service."""
+        """Whether the route currently leads to that service."""
 
     def answers(self) -> int:
-        """How often any endpoint has said anything to this sidecar."""
+        """Events and responses that this sidecar has received from endpoints."""
 
     async def reaches_endpoint(self) -> bool:
-        """Whether an endpoint, drawn by chance, takes a connection."""
+        """Whether a randomly chosen endpoint accepts a connection."""
 
 
 class RunningItem:
-    """One item that this sidecar runs; implements admission's `Sink`."""
+    """One item that this sidecar runs; implements admission's `ResponseSink`."""
 
     def __init__(self, runner: ItemRunner, order: RunItem) -> None:
         self._runner = runner
         self.key = order.key
         self.texts: list[str] = list(order.progress.texts) if order.progress else []
         self._started = False
-        self.moved_at = runner.now()
-        self._still_looks = 0  # in a row, at which endpoints had said nothing to this sidecar
-        self._queue_looks = 0  # in a row, at which no endpoint had it
+        self.last_progress_at = runner.now()
+        self._no_data_checks = 0  # consecutive checks without data from any endpoint
+        self._queued_checks = 0  # consecutive checks at which no endpoint had the item
         self._tries = order.tries
         self.call: Call | None = None
         self.admission: Admission | None = None
 
     def begin(self, headers: Headers) -> None:
-        """Nothing: texts are collected."""
+        """Does nothing: only the events' data is collected."""
 
     def event(self, event: Event) -> None:
-        self.moved_at = self._runner.now()
+        self.last_progress_at = self._runner.now()
         if not self._started:
             self._started = True
-            self._runner.started(self)
+            self._runner.on_item_started(self)
         self.texts.append(event.data)
 
     def finish(self) -> None:
-        self._runner.ended(ItemFinished(self.key, True, "\n".join(self.texts)))
+        self._runner.on_item_ended(ItemFinished(self.key, True, "\n".join(self.texts)))
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        if status == NEVER_DONE:
-            self._runner.ended(ItemFinished(self.key, False, ""))
+        if status == UNPROCESSABLE_STATUS:
+            self._runner.on_item_ended(ItemFinished(self.key, False, ""))
         else:
-            self._runner.give_back(self, ReturnReason.FAILED)
+            self._runner.return_item(self, ReturnReason.FAILED)
 
-    def break_off(self) -> None:
-        self._runner.give_back(self, ReturnReason.FAILED)
+    def abort(self) -> None:
+        self._runner.return_item(self, ReturnReason.FAILED)
 
     def refuse(self, kind: ErrorKind, retry_after_us: int) -> None:
         refused = kind is ErrorKind.NOT_READY
-        self._runner.give_back(self, ReturnReason.REFUSED if refused else ReturnReason.FAILED)
+        self._runner.return_item(self, ReturnReason.REFUSED if refused else ReturnReason.FAILED)
 
     @property
-    def begun(self) -> bool:
-        """Whether an endpoint has said anything of it to this sidecar."""
+    def started(self) -> bool:
+        """Whether this sidecar has received an event of the item."""
         return self._started
 
     def looked_at(self, still: bool) -> bool:
-        """Count a look; whether the item is to be given up.
+        """Count a check; returns whether the item is stalled and has to be returned.
 
-        `still`: endpoints have said nothing to this sidecar since the look before.
+        `no_data`: this sidecar has received nothing from any endpoint since the last check.
         """
         if self._started:
             return False
-        self._still_looks = self._still_looks + 1 if still else 0
-        self._queue_looks = 0 if self.at_endpoint else self._queue_looks + 1
+        self._no_data_checks = self._no_data_checks + 1 if still else 0
+        self._queued_checks = 0 if self.at_endpoint else self._queued_checks + 1
         if self.at_endpoint:
-            return self._still_looks > self._most_still_looks()
-        return self._queue_looks > self._most_queue_looks()
+            return self._no_data_checks > self._max_no_data_checks()
+        return self._queued_checks > self._max_queued_checks()
 
     def _objective_s(self) -> float:
         return self.call.route.slo_ms / 1000 if self.call is not None else 0.0
 
-    def _most_still_looks(self) -> int:
-        first = max(LEAST_STILL_LOOKS, math.ceil(STILL_OBJECTIVES * self._objective_s() / TEND_S))
-        return min(first << self._tries, MOST_STILL_LOOKS)
+    def _max_no_data_checks(self) -> int:
+        base_checks = max(
+            MIN_NO_DATA_CHECKS, math.ceil(NO_DATA_OBJECTIVES * self._objective_s() / CHECK_INTERVAL_S)
+        )
+        return min(base_checks << self._tries, MAX_CHECKS)
 
-    def _most_queue_looks(self) -> int:
-        """At how many looks in a row no endpoint may have taken it."""
-        return min(max(LEAST_QUEUE_LOOKS, int(self._objective_s() / TEND_S)), MOST_STILL_LOOKS)
+    def _max_queued_checks(self) -> int:
+        """Consecutive checks at which no endpoint has the item before it counts as stalled."""
+        return min(max(MIN_QUEUED_CHECKS, int(self._objective_s() / CHECK_INTERVAL_S)), MAX_CHECKS)
 
     @property
     def at_endpoint(self) -> bool:
-        """Whether it has been sent to one."""
+        """Whether an endpoint has the item."""
         return self.call is not None and self.call.current is not None
 
     @property
-    def doing(self) -> str:
-        """What it waits for, as on-call staff would say it."""
+    def state_text(self) -> str:
+        """What the item waits for, for operators."""
         if self.call is None or self.call.current is None:
             return "waits for an endpoint"
         return f"at {self.call.current.endpoint}"
 
     def progress(self) -> Progress | None:
-        if self.call is None or self.call.last_event == NO_EVENT:
+        if self.call is None or self.call.last_event == NO_EVENT_ID:
             return None
         return Progress(self.call.last_event, self.texts)
 
-    def returned(self, reason: ReturnReason) -> ItemReturned:
+    def return_message(self, reason: ReturnReason) -> ItemReturned:
         errors = self.call.errors if self.call else 0
         return ItemReturned(self.key, reason, errors, self.progress())
 
 
 class ItemRunner:
-    """Keeps the session; `candidates` gives the addresses of storage nodes."""
+    """Keeps a session with the primary and runs its items.
+
+    `candidates` returns the addresses of storage nodes.
+    """
 
     def __init__(
         self,
@@ -185,33 +192,33 @@
     ) -> None:
         self._router = router
         self._candidates = candidates
-        self._zone_of = zone_of  # by address
-        self._items: dict[ItemKey, RunningItem] = {}  # that run
+        self._zone_of = zone_of  # of a node, by its address
+        self._items: dict[ItemKey, RunningItem] = {}  # running here
         self._ledger = ItemLedger(node, zone)
         self._connection: Connection | None = None
-        self._hint = ""
-        self._changed = asyncio.Event()
+        self._primary_hint = ""
+        self._session_changed = asyncio.Event()
         self._calls: dict[int, asyncio.Future[Answer]] = {}
-        self._numbers = itertools.count(1)
-        self._up = asyncio.Event()  # set while a primary has taken the session
-        self._answers = 0  # of endpoints, at the last look
+        self._call_numbers = itertools.count(1)
+        self._up = asyncio.Event()  # set while a primary has accepted the session
+        self._last_response_count = 0  # of the router, at the last check
         self._probes = TaskSet()
         self.stopping = False
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(self._run()), loop.create_task(self._tend_forever())]
+        self.tasks = [loop.create_task(self._run_forever()), loop.create_task(self._check_forever())]
 
     def stop(self) -> None:
-        """Open no more sessions."""
+        """Stop running the session and its checks."""
         for task in self.tasks:
             task.cancel()
 
     @staticmethod
     def now() -> float:
-        """Danger: the event loop's own clock stands still within a turn."""
+        """The current time; loop.time() does not advance while a callback runs."""
         return time.monotonic()
 
     def metrics(self) -> list[str]:
-        """What this sidecar holds, one figure a line; items without a move for long are named."""
+        """One metric per line: the items held here, and each item without progress for a long time."""
         now = self.now()
         lines = [
             f"session {self._ledger.accepted:d}",
@@ -219,44 +226,44 @@
             f"items_running {len(self._items)}",
         ]
         for item in self._items.values():
-            if now - item.moved_at >= STUCK_S:
+            if now - item.last_progress_at >= IDLE_METRIC_AFTER_S:
                 lines.append(
-                    f'item_idle_s{{job="{item.key.job}",item="{item.key.item}",doing="{item.doing}"}} '
-                    f"{now - item.moved_at:.1f}"
+                    f'item_idle_s{{job="{item.key.job}",item="{item.key.item}",doing="{item.state_text}"}} '
+                    f"{now - item.last_progress_at:.1f}"
                 )
         return lines
 
     # --- the session ---
 
-    async def _run(self) -> None:
+    async def _run_forever(self) -> None:
         while True:
             try:
-                await self._find_primary()
-            except Exception as error:  # Danger: without this task there would never be a session again
-                log.error("the session with the storage group failed: %r", error)
-                await asyncio.sleep(RETRY_S)
-
-    async def _find_primary(self) -> None:
-        """Try the storage nodes in turn, the one that was named as the primary first."""
-        hint, self._hint = self._hint, ""
+                await self._connect_to_primary()
+            except Exception as error:  # without this task no session would ever be opened again
+                log.error("session with the storage group failed: %r", error)
+                await asyncio.sleep(RECONNECT_DELAY_S)
+
+    async def _connect_to_primary(self) -> None:
+        """Try the storage nodes in turn, starting with the one that a redirect named as the primary."""
+        hint, self._primary_hint = self._primary_hint, ""
         targets = ([hint] if hint else []) + [t for t in self._candidates() if t != hint]
         for target in targets:
             host, port = address.parse(target)
             connection = await connect(self, host, port)
             if connection is not None:
                 connection.peer_zone = self._zone_of(target)
-                await self._keep(connection)
-            if self._hint:
+                await self._run_session(connection)
+            if self._primary_hint:
                 return
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RECONNECT_DELAY_S)
 
-    async def _keep(self, connection: Connection) -> None:
+    async def _run_session(self, connection: Connection) -> None:
         self._connection = connection
-        self._changed.clear()
+        self._session_changed.clear()
         connection.send(self._ledger.open())
         try:
-            async with asyncio.timeout(ACCEPT_S):
-                await self._changed.wait()
+            async with asyncio.timeout(ACCEPT_TIMEOUT_S):
+                await self._session_changed.wait()
         except TimeoutError:
             pass
         if self._ledger.accepted and not connection.closed:
@@ -270,8 +277,8 @@
 
     async def _until_closed(self, connection: Connection) -> None:
         while not connection.closed:
-            self._changed.clear()
-            await self._changed.wait()
+            self._session_changed.clear()
+            await self._session_changed.wait()
 
     def on_message(self, connection: Connection, message: Message) -> None:
         if connection is not self._connection:
@@ -279,14 +286,14 @@
         self._ledger.heard(self.now())
         if isinstance(message, WorkerAccepted):
             connection.support = message.support
-            self._accepted()
+            self._on_accepted()
         elif isinstance(message, Redirect):
-            self._hint = message.primary.partition("@")[2]
+            self._primary_hint = message.primary.partition("@")[2]
             connection.close()
         elif isinstance(message, RunItem):
-            self._start(message)
+            self._start_item(message)
         elif isinstance(message, CancelItem):
-            self._cancel(message.key)
+            self._cancel_item(message.key)
         elif isinstance(message, ItemStored):
             self._ledger.forget(message.key)
         elif isinstance(message, ProbeEndpoints):
@@ -299,37 +306,37 @@
         else:
             assert isinstance(message, WorkerReported)
 
-    def _accepted(self) -> None:
-        """A primary has taken the session."""
+    def _on_accepted(self) -> None:
+        """The primary has accepted the session."""
         self._send(self._ledger.accept(self.now()))
         self._up.set()
-        self._changed.set()
+        self._session_changed.set()
 
     def on_closed(self, connection: Connection) -> None:
         if connection is self._connection:
             self._ledger.end()
             self._up.clear()
-            self._changed.set()
+            self._session_changed.set()
 
     def _send(self, messages: Sequence[BatchMessage]) -> None:
         for message in messages:
             if self._connection is not None:
                 self._connection.send(message)
 
-    async def _tend_forever(self) -> None:
+    async def _check_forever(self) -> None:
         while True:
-            await asyncio.sleep(TEND_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             try:
-                self._tend()
-            except Exception as error:  # Danger: without this task nothing would bound what an item waits for
-                log.error("items could not be tended: %r", error)
+                self._check()
+            except Exception as error:  # without this task no limit on an item's waiting time would apply
+                log.error("check of items and session failed: %r", error)
 
-    def _tend(self) -> None:
-        """Report when it is due; end a session that is silent, and attempts in which nothing moves."""
+    def _check(self) -> None:
+        """Send a report when it is due, close a silent session, and return items without progress."""
         now = self.now()
-        answers = self._router.answers()
-        still, self._answers = answers == self._answers, answers
-        if not still:
+        responses = self._router.answers()
+        no_data, self._last_response_count = responses == self._last_response_count, responses
+        if not no_data:
             self._ledger.endpoints_answered()
         if self._connection is not None:
             if self._ledger.is_silent(now):
@@ -337,30 +344,35 @@
             else:
                 self._send(self._ledger.tick(now))
         for item in list(self._items.values()):
-            reason = self._why_to_give_back(now, item, still)
+            reason = self._return_reason(now, item, no_data)
             if reason is not None:
-                log.info("%s %s has not moved, %s; given back", item.key.job, item.key.item, item.doing)
-                self.give_back(item, reason)
+                log.info(
+                    "%s %s returned for lack of progress, %s", item.key.job, item.key.item, item.state_text
+                )
+                self.return_item(item, reason)
                 if item.call is not None and item.admission is not None:
                     item.admission.time_out(item.call)
 
     async def _probe(self) -> None:
-        """Find out whether endpoints can be reached."""
+        """Check whether an endpoint can be reached, and report it if so."""
         if await self._router.reaches_endpoint():
             self._send(self._ledger.probed(self.now()))
 
     @staticmethod
-    def _why_to_give_back(now: float, item: RunningItem, still: bool) -> ReturnReason | None:
-        """Why an item has been here for too long; None: it has not."""
-        idle_s = now - item.moved_at
-        if item.looked_at(still):
+    def _return_reason(now: float, item: RunningItem, no_data: bool) -> ReturnReason | None:
+        """Why an item without progress has to be returned; None if it does not."""
+        idle_s = now - item.last_progress_at
+        if item.looked_at(no_data):
             return ReturnReason.STUCK
-        return ReturnReason.SILENT if idle_s >= ITEM_SILENCE_S else None
+        return ReturnReason.SILENT if idle_s >= ITEM_IDLE_TIMEOUT_S else None
 
     # --- items ---
 
     def routes_changed(self, generation: int) -> None:
-        """Another configuration is in force: what has not been sent by the one before is not to be."""
+        """Apply a new configuration: items that its routes no longer send to the same service are returned.
+
+        An item that an endpoint has already finishes its attempt there, but gets no further one.
+        """
         self._send(self._ledger.routes_changed(self.now(), generation))
         for item in list(self._items.values()):
             if item.call is None or item.admission is None:
@@ -371,26 +383,26 @@
                 item.call.final = True
             else:
                 item.admission.abandon(item.call)
-                self.give_back(item, ReturnReason.ROUTE_MOVED)
+                self.return_item(item, ReturnReason.ROUTE_MOVED)
 
-    def _start(self, order: RunItem) -> None:
+    def _start_item(self, order: RunItem) -> None:
         if self._ledger.order(order.key) is Order.HELD:
-            return  # the next report tells that it is here, or its end is told again
+            return  # the next report lists the item, or its end is sent again
         item = RunningItem(self, order)
         self._items[order.key] = item
         if self.stopping:
-            self.give_back(item, ReturnReason.STOPPING)
+            self.return_item(item, ReturnReason.STOPPING)
             return
         found = self._router.route_for(order.route)
         if found is None:
-            self.give_back(item, ReturnReason.UNKNOWN_ROUTE)
+            self.return_item(item, ReturnReason.UNKNOWN_ROUTE)
             return
         route, admission = found
         headers = {name.encode(): value.encode() for name, value in order.headers.items()}
         headers[b"Host"] = route.host.encode()
         headers[b"Request-Id"] = order.key.item.encode()
         head = request_head(b"POST", order.path.encode(), headers, order.body)
-        due_us = admission.now_us() + int(ITEM_TIME_S * 1e6)
+        due_us = admission.now_us() + int(ITEM_TIMEOUT_S * 1e6)
         tenant = f"{BATCH_TENANT} {route.name}"
         tokens = token_usage(order.headers.get("Token-Usage", ""))
         request_id = order.key.item.encode()
@@ -398,42 +410,42 @@
         call = Call(name, route, request_id, (head, order.body), due_us, tenant, tokens, item)
         if order.progress is not None:
             call.last_event = order.progress.last_event
-            call.begun = True
+            call.response_started = True
         call.ran = order.errors
         item.call, item.admission = call, admission
         admission.order(call)
 
-    def _cancel(self, key: ItemKey) -> None:
+    def _cancel_item(self, key: ItemKey) -> None:
         self._ledger.forget(key)
         item = self._items.pop(key, None)
         if item is not None and item.call is not None and item.admission is not None:
             item.admission.abandon(item.call)
 
-    def started(self, item: RunningItem) -> None:
+    def on_item_started(self, item: RunningItem) -> None:
         self._send(self._ledger.began(item.key))
 
-    def ended(self, outcome: ItemFinished | ItemReturned) -> None:
-        """An item runs here no more."""
+    def on_item_ended(self, outcome: ItemFinished | ItemReturned) -> None:
+        """Record and report that an item has finished or is returned."""
         if self._items.pop(outcome.key, None) is not None:
             self._send(self._ledger.ended(self.now(), outcome))
 
-    def give_back(self, item: RunningItem, reason: ReturnReason) -> None:
-        self.ended(item.returned(reason))
+    def return_item(self, item: RunningItem, reason: ReturnReason) -> None:
+        self.on_item_ended(item.return_message(reason))
 
     def return_all(self) -> None:
-        """The sidecar stops: others go on with what has come so far."""
+        """Return all items as the sidecar stops, with their progress, so that other sidecars resume them."""
         self.stopping = True
         for item in list(self._items.values()):
             if item.call is not None and item.admission is not None:
                 item.admission.abandon(item.call)
-                self.give_back(item, ReturnReason.STOPPING)
+                self.return_item(item, ReturnReason.STOPPING)
 
     @property
     def unstored(self) -> int:
-        """Items whose end the primary has not taken."""
+        """Number of items whose end the primary has not stored."""
         return len(self._ledger)
 
-    # --- calls ---
+    # --- calls to the primary ---
 
     async def submit(self, job: str, route: str, body: bytes) -> Answer:
         return await self._call(lambda number: Submit(number, job, route, body), CALL_S)
@@ -450,22 +462,22 @@
         return await self._call(lambda number: EndJob(number, job), CALL_S)
 
     async def _call(
-        self, make: Callable[[int], Submit | ReadResults | ReadBody | EndJob], wait_s: float
+        self, make_message: Callable[[int], Submit | ReadResults | ReadBody | EndJob], timeout_s: float
     ) -> Answer:
-        """The primary's answer; NOT_READY where none was asked, UNCERTAIN where it did not answer."""
+        """The primary's answer; NOT_READY if the call was not sent, UNCERTAIN if it was not answered."""
         try:
-            async with asyncio.timeout(wait_s):
+            async with asyncio.timeout(timeout_s):
                 await self._up.wait()
         except TimeoutError:
             return Answer(0, STATUS[ErrorKind.NOT_READY])
         if self._connection is None:
             return Answer(0, STATUS[ErrorKind.NOT_READY])
-        number = next(self._numbers)
+        number = next(self._call_numbers)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._calls[number] = future
-        self._connection.send(make(number))
+        self._connection.send(make_message(number))
         try:
-            async with asyncio.timeout(wait_s):
+            async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
             return Answer(0, STATUS[ErrorKind.UNCERTAIN])
@@ -473,10 +485,10 @@
             self._calls.pop(number, None)
 
 
-def token_usage(text: str) -> tuple[int, int]:
-    """Tokens of the prompt and the most out; zeros where the header tells nothing."""
-    prompt, _, out = text.partition(",")
+def token_usage(header: str) -> tuple[int, int]:
+    """Prompt tokens and the output limit of a Token-Usage header; zeros if it is missing or invalid."""
+    prompt, _, max_output = header.partition(",")
     try:
-        return max(0, int(prompt)), max(0, int(out))
+        return max(0, int(prompt)), max(0, int(max_output))
     except ValueError:
         return 0, 0
--- a/eiderhub/dataplane/routes.py
+++ b/eiderhub/dataplane/routes.py
@@ -1,4 +1,4 @@
-"""The routes in force: an immutable snapshot of one configuration, swapped whole."""
+"""The active routes: an immutable snapshot of one configuration, replaced as a whole on each change."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 from eiderhub.control.configuration import services_of
 from eiderhub.control.spending import tenants_of
 
-DEFAULT_ATTEMPTS = 1
-DEFAULT_CAPACITY = 8  # requests at once, where a service does not tell its endpoints'
-# Numbers of a configuration are taken to lie within these bounds: its own may be any that a double holds, and
-# what is reckoned from them must not be infinite or 0.
-LEAST_NUMBER, MOST_NUMBER = 1e-6, 1e12
+DEFAULT_MAX_ATTEMPTS = 1
+DEFAULT_CAPACITY = 8  # concurrent requests per endpoint of a service that does not set it
+# Configured numbers are clamped to this range: a configuration may hold any double, and values derived from
+# them must be neither infinite nor 0.
+MIN_NUMBER, MAX_NUMBER = 1e-6, 1e12
 
 
 class Route(NamedTuple):
-    """One route; times in milliseconds."""
+    """One route of the configuration."""
 
     name: str
     host: str
@@ -28,13 +28,13 @@
     max_attempts: int
     resumable: bool
     services: tuple[tuple[str, float], ...]
-    window_ms: float  # batch: results are due by then
+    window_ms: float  # batch: completion window of a job
     retention_s: float
-    max_queued_tokens: float  # batch; 0: no limit
+    max_queued_tokens: float  # batch; 0 means no limit
 
     @property
     def repeatable(self) -> bool:
-        """Whether a request may run more than once."""
+        """Whether a request may be executed more than once."""
         return self.resumable or self.kind in ("idempotent", "batch")
 
     def draw_service(self, rng: random.Random) -> str:
@@ -45,67 +45,67 @@
 
 
 class Service(NamedTuple):
-    """An endpoint pool, as the configuration names it."""
+    """An endpoint pool (a `backends` entry of the configuration)."""
 
     name: str
-    capacity: int  # requests that one endpoint works on at once
+    capacity: int  # concurrent requests per endpoint
     max_connections: int
-    kv_tokens: int  # memory of one endpoint; 0: not told
+    kv_tokens: int  # KV cache of one endpoint in tokens; 0 if not configured
 
 
 class RouteTable:
-    """All routes and services of one generation."""
+    """All routes and services of one configuration generation."""
 
     def __init__(self, generation: int, document: dict[str, Any]) -> None:
         self.generation = generation
-        routes = [_route(each) for each in document["routes"]]
+        routes = [_parse_route(entry) for entry in document["routes"]]
         self.by_name = {route.name: route for route in routes}
-        self.services = {each["name"]: _service(each) for each in document["backends"]}
+        self.services = {each["name"]: _parse_service(each) for each in document["backends"]}
         self._by_host: dict[str, list[Route]] = {}
         for route in sorted(routes, key=lambda r: -len(r.prefix)):
             self._by_host.setdefault(route.host, []).append(route)
         self.tenants = tenants_of(document)
         limits = document.get("limits", {})
-        self.idle_timeout_s = bounded(limits.get("idle_timeout_ms", 15_000)) / 1000
-        self.max_body_bytes = int(bounded(limits.get("max_body_bytes", 4 << 20)))
+        self.idle_timeout_s = clamped(limits.get("idle_timeout_ms", 15_000)) / 1000
+        self.max_body_bytes = int(clamped(limits.get("max_body_bytes", 4 << 20)))
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix that begins the path."""
+        """The route of this host with the longest matching path prefix."""
         for route in self._by_host.get(host.lower(), ()):
             if path.startswith(route.prefix):
                 return route
         return None
 
 
-def bounded(value: float) -> float:
-    """A number of a configuration that can be reckoned with; 0 stays 0."""
-    return min(max(float(value), LEAST_NUMBER), MOST_NUMBER) if value > 0 else 0.0
+def clamped(value: float) -> float:
+    """A configured number clamped to the supported range; 0 and negative numbers become 0."""
+    return min(max(float(value), MIN_NUMBER), MAX_NUMBER) if value > 0 else 0.0
 
 
-def _route(item: dict[str, Any]) -> Route:
-    timeout = bounded(item["timeout_ms"])
+def _parse_route(entry: dict[str, Any]) -> Route:
+    route_timeout_ms = clamped(entry["timeout_ms"])
     return Route(
-        name=item["name"],
-        host=item["host"].lower(),
-        prefix=item["path_prefix"],
-        kind=item.get("route_kind", "non_idempotent"),
-        timeout_ms=timeout,
-        slo_ms=bounded(item.get("slo_ms", timeout)),
-        priority=int(bounded(item.get("priority", 0))),
-        max_attempts=int(bounded(item.get("max_attempts", DEFAULT_ATTEMPTS))),
-        resumable=bool(item.get("resumable", False)),
-        services=tuple((name, bounded(weight)) for name, weight in services_of(item) if weight > 0),
-        window_ms=bounded(item.get("completion_window_ms", timeout)),
-        retention_s=bounded(item.get("retention_s", 3600)),
-        max_queued_tokens=bounded(item.get("max_queued_tokens", 0)),
+        name=entry["name"],
+        host=entry["host"].lower(),
+        prefix=entry["path_prefix"],
+        kind=entry.get("route_kind", "non_idempotent"),
+        timeout_ms=route_timeout_ms,
+        slo_ms=clamped(entry.get("slo_ms", route_timeout_ms)),
+        priority=int(clamped(entry.get("priority", 0))),
+        max_attempts=int(clamped(entry.get("max_attempts", DEFAULT_MAX_ATTEMPTS))),
+        resumable=bool(entry.get("resumable", False)),
+        services=tuple((name, clamped(weight)) for name, weight in services_of(entry) if weight > 0),
+        window_ms=clamped(entry.get("completion_window_ms", route_timeout_ms)),
+        retention_s=clamped(entry.get("retention_s", 3600)),
+        max_queued_tokens=clamped(entry.get("max_queued_tokens", 0)),
     )
 
 
-def _service(item: dict[str, Any]) -> Service:
-    engine = item.get("engine") or {}
+def _parse_service(entry: dict[str, Any]) -> Service:
+    engine = entry.get("engine") or {}
     return Service(
-        name=item["name"],
-        capacity=int(bounded(engine.get("capacity", DEFAULT_CAPACITY))),
-        max_connections=int(bounded(item.get("max_connections", 0))),
-        kv_tokens=int(bounded(engine.get("kv_capacity_tokens", 0))),
+        name=entry["name"],
+        capacity=int(clamped(engine.get("capacity", DEFAULT_CAPACITY))),
+        max_connections=int(clamped(entry.get("max_connections", 0))),
+        kv_tokens=int(clamped(engine.get("kv_capacity_tokens", 0))),
     )
--- a/tests/engine_support.py
+++ b/tests/engine_support.py
@@ -15,11 +15,11 @@
 from eiderhub.dataplane.routes import Route
 from tests.http_reading import read_request
 
-BOUND_S = 20.0
+TIMEOUT_S = 20.0
 SERVICE = "svc"
 
 
-class Request:
+class EndpointRequest:
     """One request as an endpoint has read it, and the means to answer it."""
 
     def __init__(
@@ -48,36 +48,36 @@
         self.writer.transport.abort()
 
 
-Script = Callable[[Request], Awaitable[None]]
+Script = Callable[[EndpointRequest], Awaitable[None]]
 
 
-async def answer_whole(request: Request) -> None:
+async def answer_ok(request: EndpointRequest) -> None:
     request.send(request.answer())
 
 
 class ScriptedEndpoint:
     """Counts the requests that it has read whole; its script deals with each."""
 
-    def __init__(self, identity: str, script: Script = answer_whole, zone: str = "z") -> None:
+    def __init__(self, identity: str, script: Script = answer_ok, zone: str = "z") -> None:
         self.identity = identity
         self.zone = zone
         self.script = script
         self.requests: list[str] = []
-        self.connections = 0
-        self.arrived = asyncio.Event()
+        self.connection_count = 0
+        self.request_received = asyncio.Event()
 
     async def start(self) -> None:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
+        self.connection_count += 1
         try:
             while True:
                 headers = await read_request(reader)
                 self.requests.append(headers.get("request-id", ""))
-                self.arrived.set()
-                await self.script(Request(self, writer, headers))
+                self.request_received.set()
+                await self.script(EndpointRequest(self, writer, headers))
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -91,7 +91,7 @@
         return EndpointRecord(self.identity, SERVICE, self.address, self.zone, True, 8)
 
 
-class Recorder:
+class RecordingSink:
     """Implements admission's `Sink`: notes the one end of a call."""
 
     def __init__(self) -> None:
@@ -101,11 +101,11 @@
         self.body = b""
         self.events: list[Event] = []
         self.refusal: ErrorKind | None = None
-        self.whole = False
-        self.ends = 0
+        self.complete = False
+        self.end_count = 0
 
     def _end(self) -> None:
-        self.ends += 1
+        self.end_count += 1
         self.ended.set()
 
     def begin(self, headers: Headers) -> None:
@@ -115,15 +115,15 @@
         self.events.append(event)
 
     def finish(self) -> None:
-        self.whole = True
+        self.complete = True
         self._end()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         self._end()
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
         self.status, self.headers, self.body = status, headers, body
-        self.whole = True
+        self.complete = True
         self._end()
 
     def refuse(self, kind: ErrorKind, retry_after_us: int) -> None:
@@ -134,12 +134,14 @@
         return [value for name, value in self.headers if name.lower() == b"response-signature"]
 
 
-def route_of(kind: str, max_attempts: int = 3, resumable: bool = False, timeout_ms: float = 3000.0) -> Route:
+def make_route(
+    kind: str, max_attempts: int = 3, resumable: bool = False, timeout_ms: float = 3000.0
+) -> Route:
     services = ((SERVICE, 1.0),)
     return Route("r", "h", "/", kind, timeout_ms, 500.0, 0, max_attempts, resumable, services, 0.0, 0.0, 0.0)
 
 
-class Bench:
+class AdmissionHarness:
     """Admission of one service in front of scripted endpoints."""
 
     def __init__(self, *endpoints: ScriptedEndpoint) -> None:
@@ -153,8 +155,8 @@
         self.admission.follow_endpoints([endpoint.record for endpoint in self.endpoints])
         self.admission.follow_routes([route], 8)
 
-    def send(self, request_id: str) -> Recorder:
-        sink = Recorder()
+    def send(self, request_id: str) -> RecordingSink:
+        sink = RecordingSink()
         headers = {b"host": b"h", b"request-id": request_id.encode()}
         head = request_head(b"POST", b"/x", headers, b"body")
         due_us = self.admission.now_us() + int(self.route.timeout_ms * 1000)
@@ -162,14 +164,14 @@
         self.admission.order(call)
         return sink
 
-    async def ask(self, request_id: str) -> Recorder:
+    async def request(self, request_id: str) -> RecordingSink:
         """One request, to its end."""
         sink = self.send(request_id)
-        async with asyncio.timeout(BOUND_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         return sink
 
-    def runs(self, request_id: str) -> int:
+    def run_count(self, request_id: str) -> int:
         """How many endpoints have read the request."""
         return sum(endpoint.requests.count(request_id) for endpoint in self.endpoints)
 
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,13 +12,20 @@
 
 from eiderhub.control.errors import ErrorKind
 from eiderhub.http1 import Pool, Reply
-from tests.engine_support import Bench, Request, Script, ScriptedEndpoint, answer_whole, route_of
-
-UNSAFE = route_of("non_idempotent")
+from tests.engine_support import (
+    AdmissionHarness,
+    EndpointRequest,
+    Script,
+    ScriptedEndpoint,
+    answer_ok,
+    make_route,
+)
+
+NON_IDEMPOTENT = make_route("non_idempotent")
 STREAM = "text/event-stream"
 
 
-def play(test: Callable[[], Awaitable[None]]) -> None:
+def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
     async def bounded() -> None:
         async with asyncio.timeout(30.0):
             await test()
@@ -30,54 +37,54 @@
 def test_second_answer_in_the_same_read_adds_nothing_to_the_first(cut: int) -> None:
     """Recorded: `garble` with `how = extra`. The second answer's headers came to stand in the first's."""
 
-    async def twice(request: Request) -> None:
+    async def twice(request: EndpointRequest) -> None:
         extra = request.answer(b"second", Response_Signature="other", Request_Id="another")
         request.send(request.answer(b"first") + extra[: cut or len(extra)])
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", twice))
-        await bench.start(UNSAFE)
+        bench = AdmissionHarness(ScriptedEndpoint("e1", twice))
+        await bench.start(NON_IDEMPOTENT)
         for number in range(4):
-            sink = await bench.ask(f"q{number}")
+            sink = await bench.request(f"q{number}")
             assert (sink.status, sink.body) == (200, b"first")
             assert sink.signatures() == [f"e1.q{number}".encode()]
-        assert bench.endpoints[0].connections == 4  # none that brought more was used again
+        assert bench.endpoints[0].connection_count == 4  # none that brought more was used again
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_headers_after_the_head_belong_to_no_answer() -> None:
     """Trailers of a chunked answer are no part of its head."""
 
-    async def trailing(request: Request) -> None:
+    async def trailing(request: EndpointRequest) -> None:
         head = request.answer(b"").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
         request.send(head + b"2\r\nok\r\n0\r\nResponse-Signature: other\r\nKeep-Alive: timeout=0\r\n\r\n")
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", trailing))
-        await bench.start(UNSAFE)
-        sink = await bench.ask("q1")
+        bench = AdmissionHarness(ScriptedEndpoint("e1", trailing))
+        await bench.start(NON_IDEMPOTENT)
+        sink = await bench.request("q1")
         assert (sink.body, sink.signatures()) == (b"ok", [b"e1.q1"])
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_interim_answer_is_not_taken_for_the_final_one() -> None:
-    async def interim(request: Request) -> None:
+    async def interim(request: EndpointRequest) -> None:
         request.send(
             b"HTTP/1.1 103 Early Hints\r\nResponse-Signature: early\r\n\r\n" + request.answer(b"final")
         )
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", interim))
-        await bench.start(UNSAFE)
-        sink = await bench.ask("q1")
+        bench = AdmissionHarness(ScriptedEndpoint("e1", interim))
+        await bench.start(NON_IDEMPOTENT)
+        sink = await bench.request("q1")
         assert (sink.body, sink.signatures()) == (b"final", [b"e1.q1"])
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 @pytest.mark.parametrize("stray", ["other id", "no id", "no id, failure", "no id, not executed"])
@@ -91,156 +98,156 @@
     }[stray]
     status = 503 if "failure" in stray or "executed" in stray else 200
 
-    async def script(request: Request) -> None:
+    async def script(request: EndpointRequest) -> None:
         if request.id == "q0":
             request.send(request.answer(b"first", Keep_Alive="timeout=60"))
         else:
             request.send(request.answer(b"stray", status=status, **fields))
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
-        await bench.start(UNSAFE)
-        assert (await bench.ask("q0")).body == b"first"
+        bench = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
+        await bench.start(NON_IDEMPOTENT)
+        assert (await bench.request("q0")).body == b"first"
         used = next(e for e in bench.endpoints if e.requests)
         bench.admission.follow_endpoints([used.record])  # so that its kept connection carries the next
-        sink = await bench.ask("q1")
+        sink = await bench.request("q1")
         assert sink.body != b"stray"
         assert sink.refusal is ErrorKind.FAILED
-        assert bench.runs("q1") == 1
-        assert used.connections == 1
+        assert bench.run_count("q1") == 1
+        assert used.connection_count == 1
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_failure_without_an_id_on_a_new_connection_is_the_endpoints() -> None:
-    async def script(request: Request) -> None:
+    async def script(request: EndpointRequest) -> None:
         request.send(request.answer(b"bad", status=400, Request_Id=""))
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", script))
-        await bench.start(UNSAFE)
-        assert (await bench.ask("q1")).status == 400
+        bench = AdmissionHarness(ScriptedEndpoint("e1", script))
+        await bench.start(NON_IDEMPOTENT)
+        assert (await bench.request("q1")).status == 400
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
-async def reset(request: Request) -> None:
+async def reset(request: EndpointRequest) -> None:
     request.reset()
 
 
-async def cut_in_the_head(request: Request) -> None:
+async def reset_in_headers(request: EndpointRequest) -> None:
     request.send(b"HTTP/1.1 200 OK\r\nRequest-")
     await request.writer.drain()
     request.reset()
 
 
-async def cut_in_the_body(request: Request) -> None:
+async def reset_in_body(request: EndpointRequest) -> None:
     request.send(request.answer(b"whole")[:-2])
     await request.writer.drain()
     request.reset()
 
 
-async def no_http(request: Request) -> None:
+async def send_invalid_http(request: EndpointRequest) -> None:
     request.send(b"\x00\x01 this is no answer\r\n\r\n")
 
 
-async def server_error(request: Request) -> None:
+async def answer_500(request: EndpointRequest) -> None:
     request.send(request.answer(b"", status=500))
 
 
-async def mute(request: Request) -> None:
+async def never_answer(request: EndpointRequest) -> None:
     await asyncio.Event().wait()
 
 
-@pytest.mark.parametrize("script", [reset, cut_in_the_head, cut_in_the_body, no_http, server_error])
+@pytest.mark.parametrize("script", [reset, reset_in_headers, reset_in_body, send_invalid_http, answer_500])
 def test_what_may_not_be_repeated_reaches_one_endpoint_whatever_it_does(script: Script) -> None:
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
-        await bench.start(UNSAFE)
+        bench = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
+        await bench.start(NON_IDEMPOTENT)
         for number in range(6):
-            sink = await bench.ask(f"q{number}")
-            assert bench.runs(f"q{number}") == 1
+            sink = await bench.request(f"q{number}")
+            assert bench.run_count(f"q{number}") == 1
             assert sink.refusal is ErrorKind.FAILED or sink.status == 500  # neither is a promise
-            assert sink.ends == 1
+            assert sink.end_count == 1
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_mute_endpoint_is_not_replaced_by_another_for_what_may_not_be_repeated() -> None:
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", mute), ScriptedEndpoint("e2", mute))
-        await bench.start(route_of("non_idempotent", timeout_ms=300.0))
-        sink = await bench.ask("q1")
+        bench = AdmissionHarness(ScriptedEndpoint("e1", never_answer), ScriptedEndpoint("e2", never_answer))
+        await bench.start(make_route("non_idempotent", timeout_ms=300.0))
+        sink = await bench.request("q1")
         assert sink.refusal is ErrorKind.UNCERTAIN
-        assert bench.runs("q1") == 1
+        assert bench.run_count("q1") == 1
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_timer_that_crosses_the_answer_gives_one_end() -> None:
     """The answer leaves as the time runs out, in either order; nothing is sent again."""
 
-    async def late(request: Request) -> None:
+    async def late(request: EndpointRequest) -> None:
         await asyncio.sleep(0.15)
         request.send(request.answer())
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", late), ScriptedEndpoint("e2", late))
-        await bench.start(route_of("non_idempotent", timeout_ms=150.0))
+        bench = AdmissionHarness(ScriptedEndpoint("e1", late), ScriptedEndpoint("e2", late))
+        await bench.start(make_route("non_idempotent", timeout_ms=150.0))
         for number in range(10):
-            sink = await bench.ask(f"q{number}")
-            assert sink.ends == 1
-            assert bench.runs(f"q{number}") == 1
+            sink = await bench.request(f"q{number}")
+            assert sink.end_count == 1
+            assert bench.run_count(f"q{number}") == 1
             assert sink.body == b"ok" or sink.refusal is ErrorKind.UNCERTAIN
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 @pytest.mark.parametrize(("status", "fields"), [(503, {"Not_Executed": "full"}), (421, {})])
 def test_request_that_surely_did_not_run_goes_to_another_endpoint(
     status: int, fields: dict[str, str]
 ) -> None:
-    async def turn_away(request: Request) -> None:
+    async def turn_away(request: EndpointRequest) -> None:
         request.send(request.answer(b"", status=status, Response_Signature="", **fields))
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", turn_away), ScriptedEndpoint("e2", answer_whole))
-        await bench.start(UNSAFE)
+        bench = AdmissionHarness(ScriptedEndpoint("e1", turn_away), ScriptedEndpoint("e2", answer_ok))
+        await bench.start(NON_IDEMPOTENT)
         for number in range(6):
-            sink = await bench.ask(f"q{number}")
+            sink = await bench.request(f"q{number}")
             assert sink.body == b"ok" or sink.refusal is ErrorKind.NOT_READY
             assert bench.endpoints[1].requests.count(f"q{number}") <= 1
         assert bench.endpoints[1].requests
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_kept_connection_that_closes_as_the_request_leaves_is_no_reason_to_send_it_again() -> None:
     """The endpoint reads the request and closes: to the sender it looks like a close that crossed it."""
 
-    async def script(request: Request) -> None:
+    async def script(request: EndpointRequest) -> None:
         if request.id.startswith("first"):
             request.send(request.answer(b"first", Keep_Alive="timeout=60"))
         else:
             request.writer.close()
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
-        await bench.start(UNSAFE)
+        bench = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
+        await bench.start(NON_IDEMPOTENT)
         for number in range(6):
-            await bench.ask(f"first{number}")
-            sink = await bench.ask(f"q{number}")
+            await bench.request(f"first{number}")
+            sink = await bench.request(f"q{number}")
             assert sink.refusal is ErrorKind.FAILED
-            assert bench.runs(f"q{number}") == 1
+            assert bench.run_count(f"q{number}") == 1
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_kept_connection_that_has_closed_is_not_written_to() -> None:
@@ -249,7 +256,7 @@
     async def test() -> None:
         closed = asyncio.Event()
 
-        async def script(request: Request) -> None:
+        async def script(request: EndpointRequest) -> None:
             if request.id == "q0":
                 request.send(request.answer(b"first", Keep_Alive="timeout=60"))
                 closer.append(request.writer)
@@ -258,21 +265,21 @@
             closed.set()
 
         closer: list[asyncio.StreamWriter] = []
-        bench = Bench(ScriptedEndpoint("e1", script))
-        await bench.start(UNSAFE)
-        await bench.ask("q0")
+        bench = AdmissionHarness(ScriptedEndpoint("e1", script))
+        await bench.start(NON_IDEMPOTENT)
+        await bench.request("q0")
         sock = closer[0].get_extra_info("socket")
         sock.shutdown(2)  # no turn of the loop between this and the next request
-        sink = await bench.ask("q1")
+        sink = await bench.request("q1")
         assert sink.body == b"ok"
-        assert bench.runs("q1") == 1
+        assert bench.run_count("q1") == 1
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_stream_that_may_not_be_resumed_is_not_taken_up_elsewhere() -> None:
-    async def half(request: Request) -> None:
+    async def half(request: EndpointRequest) -> None:
         head = request.answer(b"", Content_Type=STREAM).replace(
             b"Content-Length: 0", b"Transfer-Encoding: chunked"
         )
@@ -281,18 +288,18 @@
         request.reset()
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", half), ScriptedEndpoint("e2", half))
-        await bench.start(route_of("streaming"))
+        bench = AdmissionHarness(ScriptedEndpoint("e1", half), ScriptedEndpoint("e2", half))
+        await bench.start(make_route("streaming"))
         for number in range(4):
-            sink = await bench.ask(f"q{number}")
-            assert not sink.whole
-            assert bench.runs(f"q{number}") == 1
+            sink = await bench.request(f"q{number}")
+            assert not sink.complete
+            assert bench.run_count(f"q{number}") == 1
         bench.stop()
 
-    play(test)
+    run_bounded(test)
 
 
-class Asked:
+class RecordingAsker:
     """Implements `http1.Asker`: notes the one end of an exchange."""
 
     def __init__(self) -> None:
@@ -313,18 +320,18 @@
         self.ended.set()
 
 
-async def asked(pool: Pool, name: str) -> Asked:
-    made = Asked()
-    pool.ask(f"POST / HTTP/1.1\r\nHost: h\r\nRequest-Id: {name}\r\n\r\n".encode(), made)
-    await made.ended.wait()
-    return made
+async def ask_pool(pool: Pool, name: str) -> RecordingAsker:
+    asker = RecordingAsker()
+    pool.ask(f"POST / HTTP/1.1\r\nHost: h\r\nRequest-Id: {name}\r\n\r\n".encode(), asker)
+    await asker.ended.wait()
+    return asker
 
 
 @pytest.mark.parametrize("cut", [0, 1, 20, 60, 10_000])
 def test_second_answer_reaches_no_other_caller_of_the_list_services_client(cut: int) -> None:
     """The same shape as `garble` with `how = extra`, in `http1.ClientConnection`: found by reading."""
 
-    async def twice(request: Request) -> None:
+    async def twice(request: EndpointRequest) -> None:
         extra = request.answer(b"second", Response_Signature="other", Request_Id="another")
         request.send(request.answer(b"first") + extra[: cut or len(extra)])
 
@@ -334,7 +341,7 @@
         host, port = endpoint.address.split(":")
         pool = Pool(host, int(port))
         for number in range(4):
-            made = await asked(pool, f"q{number}")
+            made = await ask_pool(pool, f"q{number}")
             assert [reply.body for reply in made.replies] == [b"first"]
             assert made.replies[0].headers[b"response-signature"] == f"e1.q{number}".encode()
             assert made.replies[0].headers[b"request-id"] == f"q{number}".encode()
@@ -342,37 +349,37 @@
         pool.close()
         endpoint.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_connection_whose_answers_are_whole_is_used_again_by_the_list_services_client() -> None:
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", answer_whole)
+        endpoint = ScriptedEndpoint("e1", answer_ok)
         await endpoint.start()
         host, port = endpoint.address.split(":")
         pool = Pool(host, int(port))
         for number in range(4):
-            made = await asked(pool, f"q{number}")
+            made = await ask_pool(pool, f"q{number}")
             assert [reply.status for reply in made.replies] == [200]
-        assert endpoint.connections == 1
+        assert endpoint.connection_count == 1
         pool.close()
         endpoint.stop()
 
-    play(test)
+    run_bounded(test)
 
 
 def test_whoever_waits_at_the_end_of_the_process_is_answered() -> None:
-    async def silent(request: Request) -> None:
+    async def silent(request: EndpointRequest) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("e1", silent))
-        await bench.start(UNSAFE)
+        bench = AdmissionHarness(ScriptedEndpoint("e1", silent))
+        await bench.start(NON_IDEMPOTENT)
         sink = bench.send("q1")
-        await bench.endpoints[0].arrived.wait()
+        await bench.endpoints[0].request_received.wait()
         bench.admission.end_all()
-        assert (sink.refusal, sink.ends) == (ErrorKind.UNCERTAIN, 1)
+        assert (sink.refusal, sink.end_count) == (ErrorKind.UNCERTAIN, 1)
         assert not bench.admission.busy
         bench.stop()
 
-    play(test)
+    run_bounded(test)
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from eiderhub.dataplane.activity import USUAL_PAUSE_US, EndpointActivity
+from eiderhub.dataplane.activity import TYPICAL_EVENT_GAP_US, EndpointActivity
 from eiderhub.dataplane.admission import batch_tenant, class_name, request_class
 from eiderhub.dataplane.events import EventParser
 from eiderhub.dataplane.items import token_usage
@@ -19,17 +19,17 @@
     parser = EventParser()
     events = [e for start in range(0, len(STREAM), size) for e in parser.feed(STREAM[start : start + size])]
     assert [(e.id, e.data) for e in events] == [(1, "a\nb"), (2, "c"), (3, "d")]
-    assert b"".join(e.raw for e in events) == STREAM
-    assert not parser.partial
+    assert b"".join(e.raw_bytes for e in events) == STREAM
+    assert not parser.has_partial_event
 
 
 def test_event_that_is_cut_is_partial() -> None:
     parser = EventParser()
     assert parser.feed(b"id: 1\ndata: a\n") == []
-    assert parser.partial
+    assert parser.has_partial_event
 
 
-def table() -> RouteTable:
+def make_table() -> RouteTable:
     base = {"host": "H.example", "timeout_ms": 1000, "backend": "s"}
     routes = [
         base | {"name": "short", "path_prefix": "/a/"},
@@ -51,12 +51,12 @@
      ("other", "/a/b/c", "other"), ("other", "/x", None), ("unknown", "/a/", None)],
 )  # fmt: skip
 def test_longest_prefix_of_the_host_wins(host: str, path: str, name: str | None) -> None:
-    route = table().find(host, path)
+    route = make_table().find(host, path)
     assert (route.name if route else None) == name
 
 
 def test_service_without_weight_is_never_drawn() -> None:
-    route = table().by_name["other"]
+    route = make_table().by_name["other"]
     assert route.services == (("t", 2),)
 
 
@@ -66,40 +66,40 @@
      ("lots", Effect.IDEMPOTENT)],
 )  # fmt: skip
 def test_what_may_run_again_is_told_to_the_decisions(name: str, effect: Effect) -> None:
-    assert request_class(table().by_name[name]).effect is effect
+    assert request_class(make_table().by_name[name]).effect is effect
 
 
 def test_routes_that_are_alike_are_one_class() -> None:
-    routes = table().by_name
+    routes = make_table().by_name
     assert class_name(routes["short"]) == class_name(routes["other"])
     assert class_name(routes["short"]) != class_name(routes["long"])
 
 
 def test_bucket_of_a_batch_route_serves_its_quota_within_its_window() -> None:
-    assert batch_tenant(table().by_name["lots"]).quota_per_s == 0.5
+    assert batch_tenant(make_table().by_name["lots"]).quota_per_s == 0.5
 
 
 def test_endpoint_whose_streams_pause_looks_busier() -> None:
     calm, paused = EndpointActivity(), EndpointActivity()
     for activity in (calm, paused):
-        activity.sent(100)
-        activity.began(0, 100)
-    later = 3 * USUAL_PAUSE_US
-    calm.event(later)
+        activity.on_sent(100)
+        activity.on_first_event(0, 100)
+    later = 3 * TYPICAL_EVENT_GAP_US
+    calm.on_event(later)
     assert paused.load(later) > 2 * calm.load(later)
 
 
 def test_prompt_that_waits_to_be_read_weighs_until_its_first_event_or_end() -> None:
     activity = EndpointActivity()
     idle = activity.load(0)
-    activity.sent(5000)
+    activity.on_sent(5000)
     assert activity.load(0) > idle + 1
-    activity.ended(5000, begun=False)
+    activity.on_ended(5000, started=False)
     assert activity.load(0) == idle
-    activity.sent(5000)
-    activity.began(0, 5000)
-    activity.ended(5000, begun=True)
-    assert (activity.prompt_tokens, activity.streams) == (0, 0)
+    activity.on_sent(5000)
+    activity.on_first_event(0, 5000)
+    activity.on_ended(5000, started=True)
+    assert (activity.pending_prompt_tokens, activity.active_streams) == (0, 0)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_early_requests.py
+++ b/tests/test_early_requests.py
@@ -19,7 +19,7 @@
     TableVersion,
 )
 from eiderhub.dataplane import early
-from eiderhub.dataplane.early import HOLD_S, HOLD_SHARE, MOST_BYTES, MOST_REQUESTS, EarlyRequests
+from eiderhub.dataplane.early import HOLD_TIMEOUT_SHARE, MAX_BYTES, MAX_HOLD_S, MAX_REQUESTS, EarlyRequests
 from eiderhub.dataplane.frontend import ClientExchange
 from eiderhub.programs import edge_service
 from eiderhub.programs.edge_service import EdgeService
@@ -27,7 +27,7 @@
 from tests.test_edge_service import update
 from tests.tier_support import HOST, document
 
-LIST = EndpointsUpdate(TableVersion(1, 1), [EndpointRecord("i-1", "svc", "127.0.0.1:1", "z0", True, 8)])
+ENDPOINTS = EndpointsUpdate(TableVersion(1, 1), [EndpointRecord("i-1", "svc", "127.0.0.1:1", "z0", True, 8)])
 
 
 class Request:
@@ -53,21 +53,21 @@
     def break_off(self) -> None:
         raise AssertionError("the program has failed")
 
-    def leave(self) -> None:
+    def disconnect(self) -> None:
         self.gone = True
         if self.on_gone is not None:
             self.on_gone(self)
 
 
-def give(service: EdgeService, *requests: Request) -> None:
+def serve_all(service: EdgeService, *requests: Request) -> None:
     for request in requests:
         service.serve(cast(ClientExchange, request))
 
 
-def known(service: EdgeService) -> None:
+def apply_first_tables(service: EdgeService) -> None:
     """The first configuration and list have come."""
     service.tables.apply(update(1))
-    service.tables.apply(LIST)
+    service.tables.apply(ENDPOINTS)
     service._on_tables()
 
 
@@ -77,23 +77,23 @@
 def test_a_request_is_held_for_a_share_of_its_time_and_never_longer_than_the_bound() -> None:
     held: EarlyRequests[str] = EarlyRequests()
     assert held.hold(10.0, "short", 5, 0.6) and held.hold(10.0, "long", 5, 60.0)
-    assert held.overdue(10.0 + 0.6 * HOLD_SHARE - 0.01) == []
-    assert held.overdue(10.0 + 0.6 * HOLD_SHARE) == ["short"]
-    assert held.overdue(10.0 + HOLD_S - 0.01) == []
-    assert held.overdue(10.0 + HOLD_S) == ["long"]
+    assert held.overdue(10.0 + 0.6 * HOLD_TIMEOUT_SHARE - 0.01) == []
+    assert held.overdue(10.0 + 0.6 * HOLD_TIMEOUT_SHARE) == ["short"]
+    assert held.overdue(10.0 + MAX_HOLD_S - 0.01) == []
+    assert held.overdue(10.0 + MAX_HOLD_S) == ["long"]
     assert (len(held), held.total, held.refused) == (0, 2, 2)
 
 
 def test_number_and_bytes_are_bounded() -> None:
     held: EarlyRequests[object] = EarlyRequests()
-    assert held.hold(0.0, large := object(), MOST_BYTES, 1.0)
+    assert held.hold(0.0, large := object(), MAX_BYTES, 1.0)
     assert not held.hold(0.0, object(), 1, 1.0)
     assert held.remove(large) and not held.remove(large)
-    kept = [object() for _ in range(MOST_REQUESTS)]
+    kept = [object() for _ in range(MAX_REQUESTS)]
     assert all(held.hold(0.0, each, 1, 1.0) for each in kept)
     assert not held.hold(0.0, object(), 1, 1.0)
     assert [each.request for each in held.release()] == kept
-    assert held.hold(0.0, object(), MOST_BYTES, 1.0)
+    assert held.hold(0.0, object(), MAX_BYTES, 1.0)
 
 
 # --- the sidecar ---
@@ -103,19 +103,19 @@
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
         live, nowhere, gone = Request(), Request("/no/route"), Request()
-        give(service, live, nowhere, gone)
-        gone.leave()
+        serve_all(service, live, nowhere, gone)
+        gone.disconnect()
         service.tables.apply(update(1))
         service._on_tables()
         assert len(service._early) == 2  # no endpoint is known yet
-        known(service)
+        apply_first_tables(service)
         assert len(service._early) == 0
         assert nowhere.answered == [404] and not live.refused and live.held_s > 0.0
         assert sum(len(a._calls) for a in service._admissions.values()) == 1  # never the one that left
         assert not gone.refused and not gone.answered
-        give(service, later := Request())
+        serve_all(service, later := Request())
         assert later.held_s == 0.0 and sum(len(a._calls) for a in service._admissions.values()) == 2
-        live.leave()
+        live.disconnect()
         assert sum(len(a._calls) for a in service._admissions.values()) == 1
 
     asyncio.run(test())
@@ -126,12 +126,12 @@
 ) -> None:
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
-        give(service, first := Request(timeout_ms=3), second := Request(timeout_ms=60_000))
+        serve_all(service, first := Request(timeout_ms=3), second := Request(timeout_ms=60_000))
         await until(lambda: first.refused, "the first is refused")
         assert first.refused == [(ErrorKind.NOT_READY, edge_service.STARTING_US)]
         assert second.refused == [] and len(service._early) == 1
-        monkeypatch.setattr(early, "MOST_REQUESTS", 1)
-        give(service, third := Request())
+        monkeypatch.setattr(early, "MAX_REQUESTS", 1)
+        serve_all(service, third := Request())
         assert third.refused == [(ErrorKind.NOT_READY, edge_service.STARTING_US)]
 
     asyncio.run(test())
@@ -140,7 +140,7 @@
 def test_what_was_held_counts_against_the_time_that_the_client_allows(tmp_path: Path) -> None:
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
-        known(service)
+        apply_first_tables(service)
         route = service._routes.by_name["live"] if service._routes is not None else None
         assert route is not None
         request = Request(timeout_ms=2_000)
@@ -156,12 +156,12 @@
         made = document(1)
         made["tenants"] = [{"name": "t", "routes": ["live"], "spending_cap_tokens": 10_000}]
         service.tables.apply(ConfigurationUpdate(1, json.dumps(made).encode()))
-        service.tables.apply(LIST)
+        service.tables.apply(ENDPOINTS)
         service._on_tables()
         service._spending._send = lambda request: True
-        give(service, request := Request())
+        serve_all(service, request := Request())
         await until(lambda: service._spending._asking, "tokens are asked for")
-        request.leave()
+        request.disconnect()
         service._spending.answered(LeaseAnswer("", "t", 500, False))
         await until(lambda: not service._tasks, "the request is decided on")
         assert sum(len(a._calls) for a in service._admissions.values()) == 0
@@ -173,9 +173,9 @@
 def test_a_sidecar_that_stops_refuses_what_it_holds(tmp_path: Path) -> None:
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
-        give(service, held := Request())
+        serve_all(service, held := Request())
         service.drain(8.0)
-        give(service, later := Request())
+        serve_all(service, later := Request())
         stopping = [(ErrorKind.NOT_READY, edge_service.STOPPING_US)]
         assert held.refused == stopping and later.refused == stopping and len(service._early) == 0
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -7,9 +7,14 @@
 import pytest
 
 from eiderhub.control.load import KEPT_S, MOST_TOLD, SUMMED_S, LoadTable
-from eiderhub.dataplane.activity import CROWDED_LOAD, CROWDED_SHARE, STREAM_LOAD, EndpointActivity
-from eiderhub.dataplane.admission import LEAST_NEAR, OTHERS_KEPT_US
-from tests.engine_support import Bench, Request, ScriptedEndpoint, route_of
+from eiderhub.dataplane.activity import (
+    CONGESTION_LOAD,
+    CONGESTION_UTILIZATION,
+    LOAD_PER_STREAM,
+    EndpointActivity,
+)
+from eiderhub.dataplane.admission import MIN_LOCAL_ENDPOINTS, PEER_CALLS_TTL_US
+from tests.engine_support import AdmissionHarness, EndpointRequest, ScriptedEndpoint, make_route
 
 
 def test_each_session_hears_what_all_others_have_out() -> None:
@@ -77,18 +82,18 @@
 def test_calls_go_where_other_sidecars_have_few_until_that_is_old() -> None:
     async def test() -> None:
         crowded, idle = ScriptedEndpoint("i-0"), ScriptedEndpoint("i-1")
-        bench = Bench(crowded, idle)
-        await bench.start(route_of("idempotent"))
+        bench = AdmissionHarness(crowded, idle)
+        await bench.start(make_route("idempotent"))
         bench.admission.follow_others({"i-0": 8})
         for number in range(20):
-            await bench.ask(f"fresh{number}")
+            await bench.request(f"fresh{number}")
         assert len(crowded.requests) <= 2  # where a draw takes the same endpoint twice
         balancer = bench.admission._balancer
         assert balancer is not None
         states = balancer.endpoints
         assert states["i-0"].weight < states["i-1"].weight
-        bench.admission._others_at -= OTHERS_KEPT_US + 1
-        await bench.ask("old")
+        bench.admission._peer_calls_at_us -= PEER_CALLS_TTL_US + 1
+        await bench.request("old")
         assert states["i-0"].weight == states["i-1"].weight
         bench.stop()
 
@@ -97,8 +102,8 @@
 
 def test_a_sidecar_tells_the_calls_that_it_has_out() -> None:
     async def test() -> None:
-        bench = Bench(ScriptedEndpoint("i-0"))
-        await bench.start(route_of("idempotent"))
+        bench = AdmissionHarness(ScriptedEndpoint("i-0"))
+        await bench.start(make_route("idempotent"))
         sink = bench.send("a")
         assert bench.admission.calls_out() == {"i-0": 1}
         await sink.ended.wait()
@@ -108,27 +113,27 @@
     asyncio.run(test())
 
 
-def _near_and_far() -> Bench:
-    return Bench(
+def _two_zone_harness() -> AdmissionHarness:
+    return AdmissionHarness(
         *(ScriptedEndpoint(f"near-{number}") for number in range(5)),
         *(ScriptedEndpoint(f"far-{number}", zone="y") for number in range(5)),
     )
 
 
-def _far_requests(bench: Bench) -> int:
+def _remote_request_count(bench: AdmissionHarness) -> int:
     return sum(len(e.requests) for e in bench.endpoints if e.zone == "y")
 
 
 def test_calls_stay_in_the_zone_while_its_endpoints_have_places() -> None:
     async def test() -> None:
-        bench = _near_and_far()
-        await bench.start(route_of("idempotent"))
+        bench = _two_zone_harness()
+        await bench.start(make_route("idempotent"))
         bench.admission.follow_others(
             dict.fromkeys([e.identity for e in bench.endpoints if e.zone == "z"], 2)
         )
         for number in range(20):
-            await bench.ask(f"r{number}")
-        assert _far_requests(bench) == 0
+            await bench.request(f"r{number}")
+        assert _remote_request_count(bench) == 0
         bench.stop()
 
     asyncio.run(test())
@@ -136,14 +141,14 @@
 
 def test_calls_go_to_another_zone_where_it_is_much_emptier() -> None:
     async def test() -> None:
-        bench = _near_and_far()
-        await bench.start(route_of("idempotent"))
+        bench = _two_zone_harness()
+        await bench.start(make_route("idempotent"))
         bench.admission.follow_others(
             dict.fromkeys([e.identity for e in bench.endpoints if e.zone == "z"], 7)
         )
         for number in range(20):
-            await bench.ask(f"r{number}")
-        assert _far_requests(bench) == 20
+            await bench.request(f"r{number}")
+        assert _remote_request_count(bench) == 20
         bench.stop()
 
     asyncio.run(test())
@@ -151,12 +156,12 @@
 
 def test_calls_stay_in_a_full_zone_where_others_are_as_full() -> None:
     async def test() -> None:
-        bench = _near_and_far()
-        await bench.start(route_of("idempotent"))
+        bench = _two_zone_harness()
+        await bench.start(make_route("idempotent"))
         bench.admission.follow_others(dict.fromkeys([e.identity for e in bench.endpoints], 7))
         for number in range(20):
-            await bench.ask(f"r{number}")
-        assert _far_requests(bench) == 0
+            await bench.request(f"r{number}")
+        assert _remote_request_count(bench) == 0
         bench.stop()
 
     asyncio.run(test())
@@ -169,20 +174,20 @@
 def test_what_an_endpoint_tells_of_its_load_harms_nothing(told: str) -> None:
     """The draws go by calls that sidecars have out, which no endpoint can forge."""
 
-    async def boast(request: Request) -> None:
+    async def boast(request: EndpointRequest) -> None:
         request.send(request.answer(load=told))
 
     async def test() -> None:
         liar, honest = ScriptedEndpoint("i-0", boast), ScriptedEndpoint("i-1")
-        bench = Bench(liar, honest)
-        await bench.start(route_of("idempotent"))
+        bench = AdmissionHarness(liar, honest)
+        await bench.start(make_route("idempotent"))
         bench.admission.follow_others({"i-0": 8})
         for number in range(20):
-            sink = await bench.ask(f"r{number}")
+            sink = await bench.request(f"r{number}")
             assert sink.status == 200
         assert len(liar.requests) <= 2
         bench.admission.follow_others({})
-        await bench.ask("last")
+        await bench.request("last")
         balancer = bench.admission._balancer
         assert balancer is not None
         assert balancer.endpoints["i-0"].weight == balancer.endpoints["i-1"].weight
@@ -193,12 +198,12 @@
 
 def test_few_endpoints_in_the_zone_are_no_ring_of_their_own() -> None:
     async def test() -> None:
-        near = [ScriptedEndpoint(f"near-{number}") for number in range(LEAST_NEAR - 1)]
-        bench = Bench(*near, *(ScriptedEndpoint(f"far-{number}", zone="y") for number in range(8)))
-        await bench.start(route_of("idempotent"))
+        near = [ScriptedEndpoint(f"near-{number}") for number in range(MIN_LOCAL_ENDPOINTS - 1)]
+        bench = AdmissionHarness(*near, *(ScriptedEndpoint(f"far-{number}", zone="y") for number in range(8)))
+        await bench.start(make_route("idempotent"))
         for number in range(40):
-            await bench.ask(f"r{number}")
-        assert _far_requests(bench) > 0
+            await bench.request(f"r{number}")
+        assert _remote_request_count(bench) > 0
         bench.stop()
 
     asyncio.run(test())
@@ -208,6 +213,6 @@
     activity = EndpointActivity()
     idle, some, half = (activity.load(0, others, 24) for others in (0, 2, 12))
     full = activity.load(0, 24, 24)
-    assert some - idle == pytest.approx(2 * STREAM_LOAD)
-    assert half - idle < 1.0 < CROWDED_LOAD * (1.0 - CROWDED_SHARE) < full - half
-    assert activity.load(0, 24, 0) == pytest.approx(1.0 + 24 * STREAM_LOAD)
+    assert some - idle == pytest.approx(2 * LOAD_PER_STREAM)
+    assert half - idle < 1.0 < CONGESTION_LOAD * (1.0 - CONGESTION_UTILIZATION) < full - half
+    assert activity.load(0, 24, 0) == pytest.approx(1.0 + 24 * LOAD_PER_STREAM)
