--- a/tests/engine_support.py
+++ b/tests/engine_support.py
@@ -1,4 +1,4 @@
-"""Endpoints that answer as a test scripts them, on real sockets, and admission in front of them."""
+"""Scripted endpoints on real sockets, and an admission instance that sends calls to them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class EndpointRequest:
-    """One request as an endpoint has read it, and the means to answer it."""
+    """One request that an endpoint has read, with methods to respond to it."""
 
     def __init__(
         self, endpoint: ScriptedEndpoint, writer: asyncio.StreamWriter, headers: dict[str, str]
@@ -34,7 +34,7 @@
         return self.headers.get("request-id", "")
 
     def answer(self, body: bytes = b"ok", status: int = 200, **fields: str) -> bytes:
-        """A whole answer as bytes: signed, with the request's id, unless fields say otherwise."""
+        """A complete response: signed and with the request's id, unless `fields` override these headers."""
         named = {"Request-Id": self.id, "Response-Signature": f"{self.endpoint.identity}.{self.id}"}
         named |= {name.replace("_", "-"): value for name, value in fields.items()}
         lines = [f"HTTP/1.1 {status} Status"] + [f"{k}: {v}" for k, v in named.items() if v]
@@ -56,7 +56,7 @@
 
 
 class ScriptedEndpoint:
-    """Counts the requests that it has read whole; its script deals with each."""
+    """An endpoint that records each request that it has read completely and passes it to its script."""
 
     def __init__(self, identity: str, script: Script = answer_ok, zone: str = "z") -> None:
         self.identity = identity
@@ -92,7 +92,7 @@
 
 
 class RecordingSink:
-    """Implements admission's `Sink`: notes the one end of a call."""
+    """Implements admission's `ResponseSink`; records the response and the number of ends."""
 
     def __init__(self) -> None:
         self.ended = asyncio.Event()
@@ -142,7 +142,7 @@
 
 
 class AdmissionHarness:
-    """Admission of one service in front of scripted endpoints."""
+    """Admission of one service with scripted endpoints."""
 
     def __init__(self, *endpoints: ScriptedEndpoint) -> None:
         self.endpoints = endpoints
@@ -165,14 +165,14 @@
         return sink
 
     async def request(self, request_id: str) -> RecordingSink:
-        """One request, to its end."""
+        """Send a request and wait for its end."""
         sink = self.send(request_id)
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         return sink
 
     def run_count(self, request_id: str) -> int:
-        """How many endpoints have read the request."""
+        """How many times endpoints have read the request."""
         return sum(endpoint.requests.count(request_id) for endpoint in self.endpoints)
 
     def stop(self) -> None:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,7 @@
-"""Admission through changes of the configuration: no call is left with decisions that nobody wakes."""
+"""Admission across route changes, and with timers that fire early: each call still ends.
+
+A call that an earlier balancer holds would never end if that balancer got no more endpoint updates or timers.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 
 
 def batch_route(timeout_ms: int) -> Route:
-    """A change of the time-out makes another class."""
+    """A batch route; each time-out gives another request class, and so another balancer."""
     document = {
         "routes": [
             {"name": "lots", "host": "h", "path_prefix": "/l/", "route_kind": "batch", "backend": SERVICE,
@@ -50,33 +53,33 @@
 
 
 @pytest.mark.parametrize("changes", [0, 1, ROUTE_CHANGES])
-def test_held_call_is_ended_in_time_whatever_changes_meanwhile(changes: int) -> None:
+def test_held_call_ends_in_time_after_route_changes(changes: int) -> None:
     async def test() -> None:
-        made, sink = make_admission(), RecordingSink()
+        admission, sink = make_admission(), RecordingSink()
         route = batch_route(1_000)
-        made.follow_routes([route], 4)
-        made.order(make_item_call(made, route, "a", sink))
+        admission.follow_routes([route], 4)
+        admission.order(make_item_call(admission, route, "a", sink))
         assert sink.end_count == 0
         for number in range(changes):
-            made.follow_routes([batch_route(2_000 + number)], 4)
+            admission.follow_routes([batch_route(2_000 + number)], 4)
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         assert sink.end_count == 1
-        assert not made.busy
+        assert not admission.busy
 
     asyncio.run(test())
 
 
-def test_held_call_is_sent_to_an_endpoint_that_comes_after_many_changes() -> None:
+def test_held_call_is_sent_to_an_endpoint_added_after_route_changes() -> None:
     async def test() -> None:
-        endpoint, made, sink = ScriptedEndpoint("i-1"), make_admission(), RecordingSink()
+        endpoint, admission, sink = ScriptedEndpoint("i-1"), make_admission(), RecordingSink()
         await endpoint.start()
         route = batch_route(1_000)
-        made.follow_routes([route], 4)
-        made.order(make_item_call(made, route, "a", sink))
+        admission.follow_routes([route], 4)
+        admission.order(make_item_call(admission, route, "a", sink))
         for number in range(ROUTE_CHANGES):
-            made.follow_routes([batch_route(2_000 + number)], 4)
-        made.follow_endpoints([endpoint.record])
+            admission.follow_routes([batch_route(2_000 + number)], 4)
+        admission.follow_endpoints([endpoint.record])
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         assert endpoint.requests == ["a"]
@@ -85,70 +88,70 @@
     asyncio.run(test())
 
 
-def test_what_is_kept_does_not_grow_with_the_number_of_changes() -> None:
+def test_route_changes_leave_no_unused_balancers() -> None:
     async def test() -> None:
-        made = make_admission()
+        admission = make_admission()
         for number in range(200):
-            made.follow_routes([batch_route(1_000 + number)], 4)
-        figures = dict(made.figures())
-        assert figures["instances"] == 1
-        assert made._balancer is not None
-        assert len(made._balancer.classes) == 1
+            admission.follow_routes([batch_route(1_000 + number)], 4)
+        metrics = dict(admission.figures())
+        assert metrics["instances"] == 1
+        assert admission._balancer is not None
+        assert len(admission._balancer.classes) == 1
 
     asyncio.run(test())
 
 
 @pytest.fixture
 def timers_fire_early(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A loop that counts whole milliseconds may call back up to one too early; here it is a few."""
+    """Fire event loop timers early; a loop with millisecond resolution does so by up to one millisecond."""
     call_later = asyncio.BaseEventLoop.call_later
 
-    def early(loop: asyncio.BaseEventLoop, delay: float, *words: Any, **fields: Any) -> asyncio.TimerHandle:
-        return call_later(loop, max(0.0, delay - TIMER_ADVANCE_S), *words, **fields)
+    def early(loop: asyncio.BaseEventLoop, delay: float, *args: Any, **kwargs: Any) -> asyncio.TimerHandle:
+        return call_later(loop, max(0.0, delay - TIMER_ADVANCE_S), *args, **kwargs)
 
     monkeypatch.setattr(asyncio.BaseEventLoop, "call_later", early)
 
 
 @pytest.mark.usefixtures("timers_fire_early")
-def test_held_call_is_ended_in_time_though_timers_come_early() -> None:
-    """The decisions ask to be woken once, and look at nothing before that time."""
+def test_held_call_ends_in_time_if_timers_fire_early() -> None:
+    """The balancer requests one wake-up and ignores an earlier one, so an early timer must not reach it."""
 
     async def test() -> None:
-        made, sink = make_admission(), RecordingSink()
+        admission, sink = make_admission(), RecordingSink()
         route = batch_route(1_000)
-        made.follow_routes([route], 4)
-        made.order(make_item_call(made, route, "a", sink))
+        admission.follow_routes([route], 4)
+        admission.order(make_item_call(admission, route, "a", sink))
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         assert sink.refusal is ErrorKind.NOT_READY
-        assert not made.busy
+        assert not admission.busy
 
     asyncio.run(test())
 
 
 @pytest.mark.parametrize("final", [False, True])
-def test_call_whose_route_has_moved_gets_no_further_attempt(final: bool) -> None:
+def test_call_whose_route_has_changed_service_gets_no_further_attempt(final: bool) -> None:
     async def test() -> None:
-        asked: list[str] = []
+        endpoints_tried: list[str] = []
 
         async def fail_first(request: EndpointRequest) -> None:
-            asked.append(request.endpoint.identity)
-            if len(asked) == 1:
+            endpoints_tried.append(request.endpoint.identity)
+            if len(endpoints_tried) == 1:
                 call.final = final
                 request.reset()
             else:
                 request.send(request.answer())
 
-        bench = AdmissionHarness(*(ScriptedEndpoint(f"i-{number}", fail_first) for number in range(3)))
-        await bench.start(make_route("idempotent"))
+        harness = AdmissionHarness(*(ScriptedEndpoint(f"i-{number}", fail_first) for number in range(3)))
+        await harness.start(make_route("idempotent"))
         sink = RecordingSink()
-        call = make_item_call(bench.admission, bench.route, "a", sink)
-        bench.admission.order(call)
+        call = make_item_call(harness.admission, harness.route, "a", sink)
+        harness.admission.order(call)
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
-        assert len(asked) == (1 if final else 2)
+        assert len(endpoints_tried) == (1 if final else 2)
         assert sink.refusal is (ErrorKind.FAILED if final else None)
-        assert not bench.admission.busy
-        bench.stop()
+        assert not harness.admission.busy
+        harness.stop()
 
     asyncio.run(test())
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -1,6 +1,6 @@
-"""Each answer reaches the request that it belongs to, and what may not be repeated is sent once.
+"""Each response goes to the request that it belongs to, and a non-idempotent request is sent once.
 
-Real sockets; each test forces the crossing that it is about.
+The tests use real sockets, and each forces the race that it covers.
 """
 
 from __future__ import annotations
@@ -33,63 +33,61 @@
     asyncio.run(bounded())
 
 
-@pytest.mark.parametrize("cut", [0, 1, 20, 60, 10_000])
-def test_second_answer_in_the_same_read_adds_nothing_to_the_first(cut: int) -> None:
-    """Recorded: `garble` with `how = extra`. The second answer's headers came to stand in the first's."""
+@pytest.mark.parametrize("extra_size", [0, 1, 20, 60, 10_000])
+def test_second_response_in_the_same_read_does_not_change_the_first(extra_size: int) -> None:
+    """The second response's headers were added to the first's (fault `garble` with `how = extra`)."""
 
-    async def twice(request: EndpointRequest) -> None:
+    async def respond_twice(request: EndpointRequest) -> None:
         extra = request.answer(b"second", Response_Signature="other", Request_Id="another")
-        request.send(request.answer(b"first") + extra[: cut or len(extra)])
+        request.send(request.answer(b"first") + extra[: extra_size or len(extra)])
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", twice))
-        await bench.start(NON_IDEMPOTENT)
+        harness = AdmissionHarness(ScriptedEndpoint("e1", respond_twice))
+        await harness.start(NON_IDEMPOTENT)
         for number in range(4):
-            sink = await bench.request(f"q{number}")
+            sink = await harness.request(f"q{number}")
             assert (sink.status, sink.body) == (200, b"first")
             assert sink.signatures() == [f"e1.q{number}".encode()]
-        assert bench.endpoints[0].connection_count == 4  # none that brought more was used again
-        bench.stop()
+        assert harness.endpoints[0].connection_count == 4  # no connection with extra data was reused
+        harness.stop()
 
     run_bounded(test)
 
 
-def test_headers_after_the_head_belong_to_no_answer() -> None:
-    """Trailers of a chunked answer are no part of its head."""
-
-    async def trailing(request: EndpointRequest) -> None:
+def test_trailers_are_not_added_to_the_headers() -> None:
+    async def send_trailers(request: EndpointRequest) -> None:
         head = request.answer(b"").replace(b"Content-Length: 0", b"Transfer-Encoding: chunked")
         request.send(head + b"2\r\nok\r\n0\r\nResponse-Signature: other\r\nKeep-Alive: timeout=0\r\n\r\n")
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", trailing))
-        await bench.start(NON_IDEMPOTENT)
-        sink = await bench.request("q1")
+        harness = AdmissionHarness(ScriptedEndpoint("e1", send_trailers))
+        await harness.start(NON_IDEMPOTENT)
+        sink = await harness.request("q1")
         assert (sink.body, sink.signatures()) == (b"ok", [b"e1.q1"])
-        bench.stop()
+        harness.stop()
 
     run_bounded(test)
 
 
-def test_interim_answer_is_not_taken_for_the_final_one() -> None:
-    async def interim(request: EndpointRequest) -> None:
+def test_interim_response_is_not_taken_for_the_final_one() -> None:
+    async def send_interim_first(request: EndpointRequest) -> None:
         request.send(
             b"HTTP/1.1 103 Early Hints\r\nResponse-Signature: early\r\n\r\n" + request.answer(b"final")
         )
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", interim))
-        await bench.start(NON_IDEMPOTENT)
-        sink = await bench.request("q1")
+        harness = AdmissionHarness(ScriptedEndpoint("e1", send_interim_first))
+        await harness.start(NON_IDEMPOTENT)
+        sink = await harness.request("q1")
         assert (sink.body, sink.signatures()) == (b"final", [b"e1.q1"])
-        bench.stop()
+        harness.stop()
 
     run_bounded(test)
 
 
 @pytest.mark.parametrize("stray", ["other id", "no id", "no id, failure", "no id, not executed"])
-def test_late_second_answer_in_the_next_requests_slot_is_not_its_answer(stray: str) -> None:
-    """The stray answer comes when the next request has been written to the connection."""
+def test_late_second_response_is_not_taken_for_the_next_requests_response(stray: str) -> None:
+    """The stray response arrives after the next request was written to the connection."""
     fields = {
         "other id": {"Request_Id": "q0"},
         "no id": {"Request_Id": ""},
@@ -105,35 +103,35 @@
             request.send(request.answer(b"stray", status=status, **fields))
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
-        await bench.start(NON_IDEMPOTENT)
-        assert (await bench.request("q0")).body == b"first"
-        used = next(e for e in bench.endpoints if e.requests)
-        bench.admission.follow_endpoints([used.record])  # so that its kept connection carries the next
-        sink = await bench.request("q1")
+        harness = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
+        await harness.start(NON_IDEMPOTENT)
+        assert (await harness.request("q0")).body == b"first"
+        used = next(e for e in harness.endpoints if e.requests)
+        harness.admission.follow_endpoints([used.record])  # so that the next request reuses its connection
+        sink = await harness.request("q1")
         assert sink.body != b"stray"
         assert sink.refusal is ErrorKind.FAILED
-        assert bench.run_count("q1") == 1
+        assert harness.run_count("q1") == 1
         assert used.connection_count == 1
-        bench.stop()
+        harness.stop()
 
     run_bounded(test)
 
 
-def test_failure_without_an_id_on_a_new_connection_is_the_endpoints() -> None:
+def test_error_without_an_id_on_a_new_connection_is_forwarded() -> None:
     async def script(request: EndpointRequest) -> None:
         request.send(request.answer(b"bad", status=400, Request_Id=""))
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", script))
-        await bench.start(NON_IDEMPOTENT)
-        assert (await bench.request("q1")).status == 400
-        bench.stop()
+        harness = AdmissionHarness(ScriptedEndpoint("e1", script))
+        await harness.start(NON_IDEMPOTENT)
+        assert (await harness.request("q1")).status == 400
+        harness.stop()
 
     run_bounded(test)
 
 
-async def reset(request: EndpointRequest) -> None:
+async def reset_connection(request: EndpointRequest) -> None:
     request.reset()
 
 
@@ -161,75 +159,78 @@
     await asyncio.Event().wait()
 
 
-@pytest.mark.parametrize("script", [reset, reset_in_headers, reset_in_body, send_invalid_http, answer_500])
-def test_what_may_not_be_repeated_reaches_one_endpoint_whatever_it_does(script: Script) -> None:
+@pytest.mark.parametrize(
+    "script", [reset_connection, reset_in_headers, reset_in_body, send_invalid_http, answer_500]
+)
+def test_non_idempotent_request_reaches_one_endpoint_whatever_it_does(script: Script) -> None:
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
-        await bench.start(NON_IDEMPOTENT)
+        harness = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
+        await harness.start(NON_IDEMPOTENT)
         for number in range(6):
-            sink = await bench.request(f"q{number}")
-            assert bench.run_count(f"q{number}") == 1
-            assert sink.refusal is ErrorKind.FAILED or sink.status == 500  # neither is a promise
+            sink = await harness.request(f"q{number}")
+            assert harness.run_count(f"q{number}") == 1
+            # Neither outcome guarantees that the request has not run.
+            assert sink.refusal is ErrorKind.FAILED or sink.status == 500
             assert sink.end_count == 1
-        bench.stop()
+        harness.stop()
 
     run_bounded(test)
 
 
-def test_mute_endpoint_is_not_replaced_by_another_for_what_may_not_be_repeated() -> None:
+def test_non_idempotent_request_is_not_retried_if_its_endpoint_never_answers() -> None:
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", never_answer), ScriptedEndpoint("e2", never_answer))
-        await bench.start(make_route("non_idempotent", timeout_ms=300.0))
-        sink = await bench.request("q1")
+        harness = AdmissionHarness(ScriptedEndpoint("e1", never_answer), ScriptedEndpoint("e2", never_answer))
+        await harness.start(make_route("non_idempotent", timeout_ms=300.0))
+        sink = await harness.request("q1")
         assert sink.refusal is ErrorKind.UNCERTAIN
-        assert bench.run_count("q1") == 1
-        bench.stop()
+        assert harness.run_count("q1") == 1
+        harness.stop()
 
     run_bounded(test)
 
 
-def test_timer_that_crosses_the_answer_gives_one_end() -> None:
-    """The answer leaves as the time runs out, in either order; nothing is sent again."""
+def test_response_at_the_deadline_gives_one_end() -> None:
+    """The endpoint responds as the deadline passes, in either order; nothing is retried."""
 
-    async def late(request: EndpointRequest) -> None:
+    async def respond_late(request: EndpointRequest) -> None:
         await asyncio.sleep(0.15)
         request.send(request.answer())
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", late), ScriptedEndpoint("e2", late))
-        await bench.start(make_route("non_idempotent", timeout_ms=150.0))
+        harness = AdmissionHarness(ScriptedEndpoint("e1", respond_late), ScriptedEndpoint("e2", respond_late))
+        await harness.start(make_route("non_idempotent", timeout_ms=150.0))
         for number in range(10):
-            sink = await bench.request(f"q{number}")
+            sink = await harness.request(f"q{number}")
             assert sink.end_count == 1
-            assert bench.run_count(f"q{number}") == 1
+            assert harness.run_count(f"q{number}") == 1
             assert sink.body == b"ok" or sink.refusal is ErrorKind.UNCERTAIN
-        bench.stop()
+        harness.stop()
 
     run_bounded(test)
 
 
 @pytest.mark.parametrize(("status", "fields"), [(503, {"Not_Executed": "full"}), (421, {})])
-def test_request_that_surely_did_not_run_goes_to_another_endpoint(
+def test_request_that_was_not_executed_is_retried_on_another_endpoint(
     status: int, fields: dict[str, str]
 ) -> None:
-    async def turn_away(request: EndpointRequest) -> None:
+    async def reject(request: EndpointRequest) -> None:
         request.send(request.answer(b"", status=status, Response_Signature="", **fields))
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", turn_away), ScriptedEndpoint("e2", answer_ok))
-        await bench.start(NON_IDEMPOTENT)
+        harness = AdmissionHarness(ScriptedEndpoint("e1", reject), ScriptedEndpoint("e2", answer_ok))
+        await harness.start(NON_IDEMPOTENT)
         for number in range(6):
-            sink = await bench.request(f"q{number}")
+            sink = await harness.request(f"q{number}")
             assert sink.body == b"ok" or sink.refusal is ErrorKind.NOT_READY
-            assert bench.endpoints[1].requests.count(f"q{number}") <= 1
-        assert bench.endpoints[1].requests
-        bench.stop()
+            assert harness.endpoints[1].requests.count(f"q{number}") <= 1
+        assert harness.endpoints[1].requests
+        harness.stop()
 
     run_bounded(test)
 
 
-def test_kept_connection_that_closes_as_the_request_leaves_is_no_reason_to_send_it_again() -> None:
-    """The endpoint reads the request and closes: to the sender it looks like a close that crossed it."""
+def test_request_is_not_retried_if_its_reused_connection_closes_after_it_was_written() -> None:
+    """The endpoint reads the request and closes: the sender can't tell this from an idle close before it."""
 
     async def script(request: EndpointRequest) -> None:
         if request.id.startswith("first"):
@@ -238,20 +239,20 @@
             request.writer.close()
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
-        await bench.start(NON_IDEMPOTENT)
+        harness = AdmissionHarness(ScriptedEndpoint("e1", script), ScriptedEndpoint("e2", script))
+        await harness.start(NON_IDEMPOTENT)
         for number in range(6):
-            await bench.request(f"first{number}")
-            sink = await bench.request(f"q{number}")
+            await harness.request(f"first{number}")
+            sink = await harness.request(f"q{number}")
             assert sink.refusal is ErrorKind.FAILED
-            assert bench.run_count(f"q{number}") == 1
-        bench.stop()
+            assert harness.run_count(f"q{number}") == 1
+        harness.stop()
 
     run_bounded(test)
 
 
-def test_kept_connection_that_has_closed_is_not_written_to() -> None:
-    """The close is in the kernel; the event loop has not come to it when the next request leaves."""
+def test_idle_connection_closed_by_the_endpoint_is_not_reused() -> None:
+    """The kernel has the close, but the event loop has not processed it when the next request is sent."""
 
     async def test() -> None:
         closed = asyncio.Event()
@@ -265,21 +266,21 @@
             closed.set()
 
         closer: list[asyncio.StreamWriter] = []
-        bench = AdmissionHarness(ScriptedEndpoint("e1", script))
-        await bench.start(NON_IDEMPOTENT)
-        await bench.request("q0")
+        harness = AdmissionHarness(ScriptedEndpoint("e1", script))
+        await harness.start(NON_IDEMPOTENT)
+        await harness.request("q0")
         sock = closer[0].get_extra_info("socket")
-        sock.shutdown(2)  # no turn of the loop between this and the next request
-        sink = await bench.request("q1")
+        sock.shutdown(2)  # the event loop does not run between this and the next request
+        sink = await harness.request("q1")
         assert sink.body == b"ok"
-        assert bench.run_count("q1") == 1
-        bench.stop()
+        assert harness.run_count("q1") == 1
+        harness.stop()
 
     run_bounded(test)
 
 
-def test_stream_that_may_not_be_resumed_is_not_taken_up_elsewhere() -> None:
-    async def half(request: EndpointRequest) -> None:
+def test_stream_that_is_not_resumable_is_not_resumed_elsewhere() -> None:
+    async def truncated(request: EndpointRequest) -> None:
         head = request.answer(b"", Content_Type=STREAM).replace(
             b"Content-Length: 0", b"Transfer-Encoding: chunked"
         )
@@ -288,26 +289,26 @@
         request.reset()
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", half), ScriptedEndpoint("e2", half))
-        await bench.start(make_route("streaming"))
+        harness = AdmissionHarness(ScriptedEndpoint("e1", truncated), ScriptedEndpoint("e2", truncated))
+        await harness.start(make_route("streaming"))
         for number in range(4):
-            sink = await bench.request(f"q{number}")
+            sink = await harness.request(f"q{number}")
             assert not sink.complete
-            assert bench.run_count(f"q{number}") == 1
-        bench.stop()
+            assert harness.run_count(f"q{number}") == 1
+        harness.stop()
 
     run_bounded(test)
 
 
 class RecordingAsker:
-    """Implements `http1.Asker`: notes the one end of an exchange."""
+    """Implements `http1.Asker`; records the replies of an exchange and its end."""
 
     def __init__(self) -> None:
         self.replies: list[Reply] = []
         self.ended = asyncio.Event()
 
     def on_written(self) -> None:
-        """Nothing."""
+        """Does nothing."""
 
     def on_reply(self, reply: Reply) -> None:
         self.replies.append(reply)
@@ -327,16 +328,16 @@
     return asker
 
 
-@pytest.mark.parametrize("cut", [0, 1, 20, 60, 10_000])
-def test_second_answer_reaches_no_other_caller_of_the_list_services_client(cut: int) -> None:
-    """The same shape as `garble` with `how = extra`, in `http1.ClientConnection`: found by reading."""
+@pytest.mark.parametrize("extra_size", [0, 1, 20, 60, 10_000])
+def test_list_service_client_gives_a_second_response_to_no_other_caller(extra_size: int) -> None:
+    """`http1.ClientConnection` must handle the fault `garble` with `how = extra` as the data plane does."""
 
-    async def twice(request: EndpointRequest) -> None:
+    async def respond_twice(request: EndpointRequest) -> None:
         extra = request.answer(b"second", Response_Signature="other", Request_Id="another")
-        request.send(request.answer(b"first") + extra[: cut or len(extra)])
+        request.send(request.answer(b"first") + extra[: extra_size or len(extra)])
 
     async def test() -> None:
-        endpoint = ScriptedEndpoint("e1", twice)
+        endpoint = ScriptedEndpoint("e1", respond_twice)
         await endpoint.start()
         host, port = endpoint.address.split(":")
         pool = Pool(host, int(port))
@@ -352,7 +353,7 @@
     run_bounded(test)
 
 
-def test_connection_whose_answers_are_whole_is_used_again_by_the_list_services_client() -> None:
+def test_list_service_client_reuses_a_connection_after_complete_responses() -> None:
     async def test() -> None:
         endpoint = ScriptedEndpoint("e1", answer_ok)
         await endpoint.start()
@@ -368,18 +369,18 @@
     run_bounded(test)
 
 
-def test_whoever_waits_at_the_end_of_the_process_is_answered() -> None:
-    async def silent(request: EndpointRequest) -> None:
+def test_pending_calls_get_a_response_when_the_process_exits() -> None:
+    async def wait_forever(request: EndpointRequest) -> None:
         await asyncio.Event().wait()
 
     async def test() -> None:
-        bench = AdmissionHarness(ScriptedEndpoint("e1", silent))
-        await bench.start(NON_IDEMPOTENT)
-        sink = bench.send("q1")
-        await bench.endpoints[0].request_received.wait()
-        bench.admission.end_all()
+        harness = AdmissionHarness(ScriptedEndpoint("e1", wait_forever))
+        await harness.start(NON_IDEMPOTENT)
+        sink = harness.send("q1")
+        await harness.endpoints[0].request_received.wait()
+        harness.admission.end_all()
         assert (sink.refusal, sink.end_count) == (ErrorKind.UNCERTAIN, 1)
-        assert not bench.admission.busy
-        bench.stop()
+        assert not harness.admission.busy
+        harness.stop()
 
     run_bounded(test)
--- a/tests/test_dataplane.py
+++ b/tests/test_dataplane.py
@@ -1,4 +1,4 @@
-"""Parts of the tier's data plane that need no socket: events, routes, activity, classes."""
+"""Parts of the data plane that need no sockets: events, routes, endpoint load, request classes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 @pytest.mark.parametrize("size", range(1, len(STREAM) + 1))
-def test_events_are_whole_however_they_come(size: int) -> None:
+def test_events_are_parsed_from_chunks_of_any_size(size: int) -> None:
     parser = EventParser()
     events = [e for start in range(0, len(STREAM), size) for e in parser.feed(STREAM[start : start + size])]
     assert [(e.id, e.data) for e in events] == [(1, "a\nb"), (2, "c"), (3, "d")]
@@ -23,7 +23,7 @@
     assert not parser.has_partial_event
 
 
-def test_event_that_is_cut_is_partial() -> None:
+def test_truncated_event_is_partial() -> None:
     parser = EventParser()
     assert parser.feed(b"id: 1\ndata: a\n") == []
     assert parser.has_partial_event
@@ -50,12 +50,12 @@
     [("h.example", "/a/b/c", "long"), ("H.EXAMPLE", "/a/bc", "short"), ("h.example", "/x", "root"),
      ("other", "/a/b/c", "other"), ("other", "/x", None), ("unknown", "/a/", None)],
 )  # fmt: skip
-def test_longest_prefix_of_the_host_wins(host: str, path: str, name: str | None) -> None:
+def test_longest_prefix_of_the_host_matches(host: str, path: str, name: str | None) -> None:
     route = make_table().find(host, path)
     assert (route.name if route else None) == name
 
 
-def test_service_without_weight_is_never_drawn() -> None:
+def test_service_with_zero_weight_is_left_out() -> None:
     route = make_table().by_name["other"]
     assert route.services == (("t", 2),)
 
@@ -65,31 +65,31 @@
     [("short", Effect.AT_MOST_ONCE), ("long", Effect.IDEMPOTENT), ("root", Effect.IDEMPOTENT),
      ("lots", Effect.IDEMPOTENT)],
 )  # fmt: skip
-def test_what_may_run_again_is_told_to_the_decisions(name: str, effect: Effect) -> None:
+def test_request_class_tells_the_balancer_which_calls_are_idempotent(name: str, effect: Effect) -> None:
     assert request_class(make_table().by_name[name]).effect is effect
 
 
-def test_routes_that_are_alike_are_one_class() -> None:
+def test_routes_with_equal_settings_share_a_class() -> None:
     routes = make_table().by_name
     assert class_name(routes["short"]) == class_name(routes["other"])
     assert class_name(routes["short"]) != class_name(routes["long"])
 
 
-def test_bucket_of_a_batch_route_serves_its_quota_within_its_window() -> None:
+def test_batch_quota_serves_a_full_queue_within_the_completion_window() -> None:
     assert batch_tenant(make_table().by_name["lots"]).quota_per_s == 0.5
 
 
-def test_endpoint_whose_streams_pause_looks_busier() -> None:
-    calm, paused = EndpointActivity(), EndpointActivity()
-    for activity in (calm, paused):
+def test_gap_in_streams_raises_the_estimated_load() -> None:
+    steady, paused = EndpointActivity(), EndpointActivity()
+    for activity in (steady, paused):
         activity.on_sent(100)
         activity.on_first_event(0, 100)
     later = 3 * TYPICAL_EVENT_GAP_US
-    calm.on_event(later)
-    assert paused.load(later) > 2 * calm.load(later)
+    steady.on_event(later)
+    assert paused.load(later) > 2 * steady.load(later)
 
 
-def test_prompt_that_waits_to_be_read_weighs_until_its_first_event_or_end() -> None:
+def test_pending_prompt_adds_load_until_its_first_event_or_end() -> None:
     activity = EndpointActivity()
     idle = activity.load(0)
     activity.on_sent(5000)
@@ -105,5 +105,5 @@
 @pytest.mark.parametrize(
     ("text", "tokens"), [("1460,80", (1460, 80)), ("", (0, 0)), ("x", (0, 0)), ("5", (0, 0))]
 )
-def test_token_usage(text: str, tokens: tuple[int, int]) -> None:
+def test_token_usage_header_is_parsed(text: str, tokens: tuple[int, int]) -> None:
     assert token_usage(text) == tokens
--- a/tests/test_early_requests.py
+++ b/tests/test_early_requests.py
@@ -1,4 +1,4 @@
-"""Requests that come before the first configuration: held within bounds, decided on, or refused at once."""
+"""Requests that arrive before the first configuration are held within limits, then processed or refused."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 ENDPOINTS = EndpointsUpdate(TableVersion(1, 1), [EndpointRecord("i-1", "svc", "127.0.0.1:1", "z0", True, 8)])
 
 
-class Request:
-    """A client's exchange, without a connection."""
+class FakeExchange:
+    """Stands in for a client exchange, without a connection."""
 
     def __init__(self, path: str = "/live/x", timeout_ms: int = 2_000) -> None:
         self.method, self.url, self.body = b"POST", path.encode(), b"prompt"
@@ -51,7 +51,7 @@
         self.answered.append(status)
 
     def break_off(self) -> None:
-        raise AssertionError("the program has failed")
+        raise AssertionError("the sidecar aborted the exchange")
 
     def disconnect(self) -> None:
         self.gone = True
@@ -59,22 +59,22 @@
             self.on_gone(self)
 
 
-def serve_all(service: EdgeService, *requests: Request) -> None:
+def serve_all(service: EdgeService, *requests: FakeExchange) -> None:
     for request in requests:
         service.serve(cast(ClientExchange, request))
 
 
 def apply_first_tables(service: EdgeService) -> None:
-    """The first configuration and list have come."""
+    """Apply the first configuration and endpoint list."""
     service.tables.apply(update(1))
     service.tables.apply(ENDPOINTS)
     service._on_tables()
 
 
-# --- the bounds ---
+# --- limits of the buffer ---
 
 
-def test_a_request_is_held_for_a_share_of_its_time_and_never_longer_than_the_bound() -> None:
+def test_request_is_held_for_a_share_of_its_timeout_up_to_the_limit() -> None:
     held: EarlyRequests[str] = EarlyRequests()
     assert held.hold(10.0, "short", 5, 0.6) and held.hold(10.0, "long", 5, 60.0)
     assert held.overdue(10.0 + 0.6 * HOLD_TIMEOUT_SHARE - 0.01) == []
@@ -84,7 +84,7 @@
     assert (len(held), held.total, held.refused) == (0, 2, 2)
 
 
-def test_number_and_bytes_are_bounded() -> None:
+def test_count_and_bytes_are_limited() -> None:
     held: EarlyRequests[object] = EarlyRequests()
     assert held.hold(0.0, large := object(), MAX_BYTES, 1.0)
     assert not held.hold(0.0, object(), 1, 1.0)
@@ -99,21 +99,22 @@
 # --- the sidecar ---
 
 
-def test_held_requests_are_decided_on_once_the_first_configuration_is_there(tmp_path: Path) -> None:
+def test_held_requests_are_processed_once_the_first_configuration_arrives(tmp_path: Path) -> None:
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
-        live, nowhere, gone = Request(), Request("/no/route"), Request()
+        live, nowhere, gone = FakeExchange(), FakeExchange("/no/route"), FakeExchange()
         serve_all(service, live, nowhere, gone)
         gone.disconnect()
         service.tables.apply(update(1))
         service._on_tables()
-        assert len(service._early) == 2  # no endpoint is known yet
+        assert len(service._early) == 2  # the endpoint list has not arrived
         apply_first_tables(service)
         assert len(service._early) == 0
         assert nowhere.answered == [404] and not live.refused and live.held_s > 0.0
-        assert sum(len(a._calls) for a in service._admissions.values()) == 1  # never the one that left
+        # The request whose client disconnected was not submitted.
+        assert sum(len(a._calls) for a in service._admissions.values()) == 1
         assert not gone.refused and not gone.answered
-        serve_all(service, later := Request())
+        serve_all(service, later := FakeExchange())
         assert later.held_s == 0.0 and sum(len(a._calls) for a in service._admissions.values()) == 2
         live.disconnect()
         assert sum(len(a._calls) for a in service._admissions.values()) == 1
@@ -121,45 +122,47 @@
     asyncio.run(test())
 
 
-def test_past_its_bound_a_request_is_refused_with_a_promise_and_a_time(
+def test_request_past_its_limit_is_refused_as_not_executed_with_retry_after(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
-        serve_all(service, first := Request(timeout_ms=3), second := Request(timeout_ms=60_000))
+        serve_all(service, first := FakeExchange(timeout_ms=3), second := FakeExchange(timeout_ms=60_000))
         await until(lambda: first.refused, "the first is refused")
         assert first.refused == [(ErrorKind.NOT_READY, edge_service.STARTING_US)]
         assert second.refused == [] and len(service._early) == 1
         monkeypatch.setattr(early, "MAX_REQUESTS", 1)
-        serve_all(service, third := Request())
+        serve_all(service, third := FakeExchange())
         assert third.refused == [(ErrorKind.NOT_READY, edge_service.STARTING_US)]
 
     asyncio.run(test())
 
 
-def test_what_was_held_counts_against_the_time_that_the_client_allows(tmp_path: Path) -> None:
+def test_time_held_counts_against_the_clients_timeout(tmp_path: Path) -> None:
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
         apply_first_tables(service)
         route = service._routes.by_name["live"] if service._routes is not None else None
         assert route is not None
-        request = Request(timeout_ms=2_000)
+        request = FakeExchange(timeout_ms=2_000)
         request.held_s = 0.5
         assert edge_service.time_left_s(cast(ClientExchange, request), route) == 1.5
 
     asyncio.run(test())
 
 
-def test_a_client_that_left_while_its_work_was_paid_for_is_never_sent(tmp_path: Path) -> None:
+def test_request_of_a_client_that_left_while_it_was_charged_is_not_sent_and_is_refunded(
+    tmp_path: Path,
+) -> None:
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
-        made = document(1)
-        made["tenants"] = [{"name": "t", "routes": ["live"], "spending_cap_tokens": 10_000}]
-        service.tables.apply(ConfigurationUpdate(1, json.dumps(made).encode()))
+        configuration = document(1)
+        configuration["tenants"] = [{"name": "t", "routes": ["live"], "spending_cap_tokens": 10_000}]
+        service.tables.apply(ConfigurationUpdate(1, json.dumps(configuration).encode()))
         service.tables.apply(ENDPOINTS)
         service._on_tables()
         service._spending._send = lambda request: True
-        serve_all(service, request := Request())
+        serve_all(service, request := FakeExchange())
         await until(lambda: service._spending._asking, "tokens are asked for")
         request.disconnect()
         service._spending.answered(LeaseAnswer("", "t", 500, False))
@@ -170,12 +173,12 @@
     asyncio.run(test())
 
 
-def test_a_sidecar_that_stops_refuses_what_it_holds(tmp_path: Path) -> None:
+def test_draining_sidecar_refuses_held_requests(tmp_path: Path) -> None:
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
-        serve_all(service, held := Request())
+        serve_all(service, held := FakeExchange())
         service.drain(8.0)
-        serve_all(service, later := Request())
+        serve_all(service, later := FakeExchange())
         stopping = [(ErrorKind.NOT_READY, edge_service.STOPPING_US)]
         assert held.refused == stopping and later.refused == stopping and len(service._early) == 0
 
