--- a/eiderhub/storage/__init__.py
+++ b/eiderhub/storage/__init__.py
@@ -1,1 +1,1 @@
-"""State on disk: lmdb environments, their syncs, versions and checks."""
+"""Durable state on disk: LMDB environments, their versions and their checks."""
--- a/eiderhub/storage/store.py
+++ b/eiderhub/storage/store.py
@@ -1,7 +1,7 @@
-"""One lmdb environment for one replica: its state, how far it has come, and what its witness has granted.
+"""Durable state of one replica in an LMDB environment: records, position, and highest granted epoch.
 
-The state is one of two tables; a snapshot that arrives in chunks is staged in the other. Installing it
-changes which of them holds, and how far the state has come, in one transaction: whole or not at all.
+The records are in one of two tables; a snapshot that arrives in chunks is staged in the other. Installing the
+snapshot switches the active table and the position in one transaction, so it is atomic.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 
 STORE_VERSION = 1
 FILE_NAME = "replica.lmdb"
-DISK_SHARE = 0.9  # of the disk that the map may take: the state, and a snapshot beside it
-LEAST_MAP_BYTES = 8 << 20
+MAP_SHARE_OF_DISK = 0.9  # part of `disk_mb` for the LMDB map, which holds the state and a staged snapshot
+MIN_MAP_BYTES = 8 << 20
 UNLIMITED_BYTES = 1 << 40
 VERSION_KEY, IDENTITY_KEY, EPOCH_KEY, POSITION_KEY = b"version", b"identity", b"epoch", b"position"
-TRY_AGAIN_S = 1.0  # a store that could not be opened anew is tried so often
+TRY_AGAIN_S = 1.0  # between attempts to reopen a store after a disk failure
 ACTIVE_KEY, STAGED_KEY = b"active", b"staged"
-TABLES = (b"data", b"data-b")  # one holds the state, the other a snapshot that is on its way
+TABLES = (b"data", b"data-b")  # one holds the state, the other a staged snapshot
 
 
-def _tail_slot(slot: int) -> bytes:
+def _change_slot_key(slot: int) -> bytes:
     return b"tail/%d" % slot
 
 
-def _tail_key(position: Position) -> bytes:
-    """Where the step to a position is kept, in the place of an older one."""
-    return _tail_slot(position.version % tail.KEPT_UPDATES)
+def _change_key(position: Position) -> bytes:
+    """The key of the changes that led to a position; slots are reused in a ring."""
+    return _change_slot_key(position.version % tail.KEPT_UPDATES)
 
 
 class StoreUnusable(Exception):
-    """The environment can't be opened, or another program version wrote it."""
+    """The environment cannot be opened, or its version or record format is not supported."""
 
 
 class LmdbStore:
-    """Implements `ReplicaStore`. A call returns once its effect has been synced."""
+    """Implements `ReplicaStore`. A method that writes returns once its effect is synced to disk."""
 
     def __init__(
         self,
@@ -55,39 +55,39 @@
         read_only: bool = False,
         reads_form: int = OWN_FORMS.reads,
     ) -> None:
-        """`identity` is for a new store; one that exists keeps its own.
+        """Open the store in `folder`, or create it with `identity`; an existing store keeps its identity.
 
-        One that a newer program has written in a form that this one does not read is refused before anything
-        is written.
+        A store that a newer program has written in an unsupported record format is rejected before anything
+        is written to it.
 
         Raises:
-            StoreUnusable: there is none to read, or it can't be opened.
+            StoreUnusable: there is no store to read, or it cannot be opened or is not supported.
         """
         path = self._path = folder / FILE_NAME
-        self._reads_form = reads_form
-        self._failure: str | None = None  # why the state can't be told
-        self._next_try = 0.0  # when the environment is opened anew
+        self._readable_format = reads_form
+        self._failure: str | None = None  # error of the disk failure that has not been recovered from
+        self._next_reopen_at = 0.0
         self.created = not path.exists()
         if self.created and read_only:
             raise StoreUnusable(f"{path}: there is no store")
         if not read_only:
             folder.mkdir(parents=True, exist_ok=True)
-        self._map_bytes = max(LEAST_MAP_BYTES, int(disk_mb * DISK_SHARE) << 20)
+        self._map_bytes = max(MIN_MAP_BYTES, int(disk_mb * MAP_SHARE_OF_DISK) << 20)
         self._read_only = read_only
         try:
             if not self.created:
-                self._refuse_newer()
+                self._check_readable()
             self._open()
             if self.created:
                 self._initialise(folder, identity)
         except (lmdb.Error, OSError, msgspec.DecodeError) as error:
             raise StoreUnusable(f"{path}: {error}") from error
 
-    def _refuse_newer(self) -> None:
-        """Look, without writing, whether this program reads what is there.
+    def _check_readable(self) -> None:
+        """Check the store version and the record format without writing.
 
         Raises:
-            StoreUnusable: it does not.
+            StoreUnusable: this program does not support them.
         """
         with lmdb.open(str(self._path), subdir=False, max_dbs=3, lock=False, readonly=True) as environment:
             try:
@@ -97,18 +97,18 @@
                     active = int(transaction.get(ACTIVE_KEY, db=meta) or 0)
                 data = environment.open_db(TABLES[active], create=False)
             except lmdb.NotFoundError:
-                return  # made, and never finished
+                return  # created, but never initialised
             with environment.begin() as transaction:
-                form = decode_form(transaction.get(FORM_KEY.encode(), db=data))
+                record_format = decode_form(transaction.get(FORM_KEY.encode(), db=data))
         if version != STORE_VERSION:
             raise StoreUnusable(
                 f"{self._path}: store version {version}; this program reads {STORE_VERSION}: start the "
                 "program that wrote it"
             )
-        if form > self._reads_form:
+        if record_format > self._readable_format:
             raise StoreUnusable(
-                f"{self._path}: records of form {form}; this program reads up to {self._reads_form}: start a "
-                "newer program"
+                f"{self._path}: records of form {record_format}; this program reads up to "
+                f"{self._readable_format}: start a newer program"
             )
 
     def _open(self) -> None:
@@ -121,19 +121,20 @@
             readonly=self._read_only,
         )
         self._meta = self._environment.open_db(b"meta", create=not self._read_only)
-        first = self._environment.open_db(TABLES[0], create=not self._read_only)
+        first_table = self._environment.open_db(TABLES[0], create=not self._read_only)
         try:
-            second = self._environment.open_db(TABLES[1], create=not self._read_only)
-        except lmdb.NotFoundError:  # an older store that is opened for reading has one table
-            second = first
-        self._tables = [first, second]
-        self._read()
+            second_table = self._environment.open_db(TABLES[1], create=not self._read_only)
+        except lmdb.NotFoundError:  # stores of older versions have one table, and none is added when reading
+            second_table = first_table
+        self._tables = [first_table, second_table]
+        self._load_metadata()
 
     def _reopen(self) -> None:
-        """After a write that failed lmdb takes no more until the environment is opened anew."""
+        """Reopen the environment, which LMDB requires after a failed write before it accepts another."""
         self._environment.close()
         self._open()
-        self._environment.sync(True)  # what is there may be new and not durable yet; it is told as durable
+        # The state that was just read may not be durable yet, and is reported as durable from here on.
+        self._environment.sync(True)
 
     def _initialise(self, folder: Path, identity: str) -> None:
         self.identity = identity
@@ -141,59 +142,60 @@
             transaction.put(VERSION_KEY, str(STORE_VERSION).encode(), db=self._meta)
             transaction.put(IDENTITY_KEY, self.identity.encode(), db=self._meta)
         self._environment.sync(True)
-        handle = os.open(folder, os.O_RDONLY)  # the new name lasts once its folder is synced
+        # The new directory entry is durable only once the folder is synced too.
+        folder_descriptor = os.open(folder, os.O_RDONLY)
         try:
-            os.fsync(handle)
+            os.fsync(folder_descriptor)
         finally:
-            os.close(handle)
+            os.close(folder_descriptor)
 
-    def _read(self) -> None:
+    def _load_metadata(self) -> None:
         with self._environment.begin() as transaction:
             version = transaction.get(VERSION_KEY, db=self._meta)
             if version is None:
-                self.created = True  # made, and never finished
+                self.created = True  # the file exists, but was never initialised
             self.identity = (transaction.get(IDENTITY_KEY, db=self._meta) or b"").decode()
             self._epoch = int(transaction.get(EPOCH_KEY, db=self._meta) or 0)
             position = transaction.get(POSITION_KEY, db=self._meta)
             self._position = msgspec.json.decode(position, type=Position) if position else NOWHERE
-            self._active = int(transaction.get(ACTIVE_KEY, db=self._meta) or 0)
+            self._active_index = int(transaction.get(ACTIVE_KEY, db=self._meta) or 0)
             staged = transaction.get(STAGED_KEY, db=self._meta)
             self._staged = msgspec.json.decode(staged, type=Staged) if staged else None
 
     @property
     def limit_bytes(self) -> int:
-        """What the store may grow to."""
+        """Maximum size of the store."""
         return self._map_bytes
 
     @property
     def broken(self) -> bool:
-        """Whether the state can't be told, since the disk has failed twice and was not opened anew since."""
+        """Whether the durable state is unknown: a write failed and reopening the environment failed too."""
         return self._failure is not None
 
     @property
     def is_empty(self) -> bool:
-        """Whether it holds no state for certain."""
+        """Whether the store certainly holds no state; False while it is broken."""
         return not self.broken and self._position == NOWHERE
 
     @property
     def used_bytes(self) -> int:
-        """What the state takes: whole pages, without those that are free again; 0 while it can't be told."""
+        """Size of the state in whole pages, without freed pages; 0 while the store is broken."""
         if self.broken:
             return 0
         with self._environment.begin() as transaction:
-            state = transaction.stat(self._data)
-        pages = state["branch_pages"] + state["leaf_pages"] + state["overflow_pages"]
-        return int(pages * state["psize"])
+            table_stat = transaction.stat(self._state_table)
+        pages = table_stat["branch_pages"] + table_stat["leaf_pages"] + table_stat["overflow_pages"]
+        return int(pages * table_stat["psize"])
 
     @property
-    def _data(self) -> lmdb._Database:
+    def _state_table(self) -> lmdb._Database:
         """The table that holds the state."""
-        return self._tables[self._active]
+        return self._tables[self._active_index]
 
     @property
-    def _staging(self) -> lmdb._Database:
-        """The table that a snapshot is kept in until it is whole."""
-        return self._tables[1 - self._active]
+    def _staging_table(self) -> lmdb._Database:
+        """The table in which a snapshot is staged until it is complete."""
+        return self._tables[1 - self._active_index]
 
     @property
     def epoch(self) -> int:
@@ -201,22 +203,22 @@
 
     @property
     def position(self) -> Position:
-        """How far the state has come.
+        """Position of the state.
 
         Raises:
             StoreFailed: it is not known what is durable.
         """
-        self._require()
+        self._ensure_durable()
         return self._position
 
     @property
     def staged(self) -> Staged | None:
-        """How much of a snapshot has arrived.
+        """Progress of the staged snapshot, if there is one.
 
         Raises:
             StoreFailed: it is not known what is durable.
         """
-        self._require()
+        self._ensure_durable()
         return self._staged
 
     def grant(self, epoch: int) -> None:
@@ -227,23 +229,25 @@
 
     def apply(self, updates: list[Update]) -> None:
         position = updates[-1].position
-        step = tail.step(self.position, updates)
+        change = tail.step(self.position, updates)
         with self._transaction() as transaction:
             for update in updates:
-                self._put(transaction, self._data, update.writes)
-            if step is not None:
-                transaction.put(_tail_key(position), msgspec.msgpack.encode(step), db=self._meta)
+                self._write_entries(transaction, self._state_table, update.writes)
+            if change is not None:
+                transaction.put(_change_key(position), msgspec.msgpack.encode(change), db=self._meta)
             transaction.put(POSITION_KEY, msgspec.json.encode(position), db=self._meta)
         self._position = position
 
     def changed_since(self, position: Position) -> list[Write] | None:
         with self._environment.begin() as transaction:
-            kept = (transaction.get(_tail_slot(slot), db=self._meta) for slot in range(tail.KEPT_UPDATES))
-            steps = [msgspec.msgpack.decode(value, type=tail.ChangedKeys) for value in kept if value]
-            keys = tail.changed_since(steps, position, self.position)
+            slot_values = (
+                transaction.get(_change_slot_key(slot), db=self._meta) for slot in range(tail.KEPT_UPDATES)
+            )
+            changes = [msgspec.msgpack.decode(value, type=tail.ChangedKeys) for value in slot_values if value]
+            keys = tail.changed_since(changes, position, self.position)
             if keys is None:
                 return None
-            values = [(key, transaction.get(key.encode(), db=self._data)) for key in keys]
+            values = [(key, transaction.get(key.encode(), db=self._state_table)) for key in keys]
         writes = [Write(key, None if value is None else bytes(value)) for key, value in values]
         size = sum(len(write.key) + len(write.value or b"") for write in writes)
         return writes if size <= tail.MOST_BYTES else None
@@ -251,8 +255,8 @@
     def stage(self, entries: Iterable[Write], staged: Staged, first: bool) -> None:
         with self._transaction() as transaction:
             if first:
-                transaction.drop(self._staging, delete=False)
-            self._put(transaction, self._staging, entries)
+                transaction.drop(self._staging_table, delete=False)
+            self._write_entries(transaction, self._staging_table, entries)
             transaction.put(STAGED_KEY, msgspec.json.encode(staged), db=self._meta)
         self._staged = staged
 
@@ -265,54 +269,56 @@
     def install_staged(self) -> None:
         if self._staged is None:
             return
-        position, active = self._staged.position, 1 - self._active
+        position, active = self._staged.position, 1 - self._active_index
         with self._transaction() as transaction:
-            transaction.drop(self._data, delete=False)
+            transaction.drop(self._state_table, delete=False)
             transaction.put(ACTIVE_KEY, str(active).encode(), db=self._meta)
             transaction.put(POSITION_KEY, msgspec.json.encode(position), db=self._meta)
             transaction.delete(STAGED_KEY, db=self._meta)
-        self._position, self._active, self._staged = position, active, None
+        self._position, self._active_index, self._staged = position, active, None
 
     @contextmanager
     def _transaction(self) -> Iterator[lmdb.Transaction]:
-        """A transaction that is durable when it ends.
+        """A write transaction that is synced when it ends.
 
         Raises:
-            StoreFailed: nothing has changed.
+            StoreFailed: the write or its sync failed; the state is as before, or was read again from disk.
         """
-        self._require()
+        self._ensure_durable()
         try:
             with self._environment.begin(write=True) as transaction:
                 yield transaction
             self._environment.sync(True)
         except (lmdb.Error, OSError) as error:
             self._failure = str(error)
-            self._try_again()
+            self._try_reopen()
             raise StoreFailed(str(error)) from error
 
-    def _require(self) -> None:
-        """See to it that what is told is durable.
+    def _ensure_durable(self) -> None:
+        """Check that the state in memory is durable; after a failure, try to reopen the store.
+
+        Attempts to reopen are at least a second apart.
 
         Raises:
-            StoreFailed: it is not, and opening the environment anew has failed too, now or a moment ago.
+            StoreFailed: it is not, and reopening the environment has failed too.
         """
-        if self._failure is not None and time.monotonic() >= self._next_try:
-            self._try_again()
+        if self._failure is not None and time.monotonic() >= self._next_reopen_at:
+            self._try_reopen()
         if self._failure is not None:
             raise StoreFailed(self._failure)
 
-    def _try_again(self) -> None:
-        """Open the environment anew; where that fails nothing is told until it is tried again."""
+    def _try_reopen(self) -> None:
+        """Reopen the environment; if that fails, the store stays broken until the next attempt."""
         try:
             self._reopen()
         except (lmdb.Error, OSError, msgspec.DecodeError) as error:
             self._failure = str(error)
-            self._next_try = time.monotonic() + TRY_AGAIN_S
+            self._next_reopen_at = time.monotonic() + TRY_AGAIN_S
         else:
             self._failure = None
 
     @staticmethod
-    def _put(transaction: lmdb.Transaction, table: lmdb._Database, writes: Iterable[Write]) -> None:
+    def _write_entries(transaction: lmdb.Transaction, table: lmdb._Database, writes: Iterable[Write]) -> None:
         for write in writes:
             key = write.key.encode()
             if write.value is None:
@@ -322,33 +328,33 @@
 
     def get(self, key: str) -> bytes | None:
         with self._environment.begin() as transaction:
-            value = transaction.get(key.encode(), db=self._data)
+            value = transaction.get(key.encode(), db=self._state_table)
             return None if value is None else bytes(value)
 
     def scan(self, prefix: str) -> Iterator[tuple[str, bytes]]:
-        """The entries whose keys begin so, in the order of their keys."""
+        """The entries whose keys start with `prefix`, in key order."""
         start = prefix.encode()
-        with self._environment.begin() as transaction, transaction.cursor(db=self._data) as cursor:
-            found = cursor.set_range(start)
-            while found and cursor.key().startswith(start):
+        with self._environment.begin() as transaction, transaction.cursor(db=self._state_table) as cursor:
+            has_entry = cursor.set_range(start)
+            while has_entry and cursor.key().startswith(start):
                 yield cursor.key().decode(), bytes(cursor.value())
-                found = cursor.next()
+                has_entry = cursor.next()
 
-    def chunk(self, after: str, most_bytes: int) -> Chunk:
+    def chunk(self, after: str, max_bytes: int) -> Chunk:
         entries: list[Write] = []
         size = 0
-        with self._environment.begin() as transaction, transaction.cursor(db=self._data) as cursor:
-            found = cursor.set_range(after.encode())
-            if found and after and cursor.key() == after.encode():
-                found = cursor.next()
-            while found:
+        with self._environment.begin() as transaction, transaction.cursor(db=self._state_table) as cursor:
+            has_entry = cursor.set_range(after.encode())
+            if has_entry and after and cursor.key() == after.encode():
+                has_entry = cursor.next()
+            while has_entry:
                 write = Write(cursor.key().decode(), bytes(cursor.value()))
                 size += len(write.key) + len(cursor.value())
-                if entries and size > most_bytes:
+                if entries and size > max_bytes:
                     break
                 entries.append(write)
-                found = cursor.next()
-        return Chunk(entries, entries[-1].key if entries else after, not found)
+                has_entry = cursor.next()
+        return Chunk(entries, entries[-1].key if entries else after, not has_entry)
 
     def entries(self) -> list[Write]:
         return [Write(key, value) for key, value in self.scan("")]
@@ -358,35 +364,35 @@
 
 
 class MemoryStore:
-    """Implements `ReplicaStore` without a disk, for tests and for replicas that may lose everything."""
+    """Implements `ReplicaStore` in memory, for tests and for replicas that need no durability."""
 
     def __init__(self) -> None:
         self.epoch = 0
         self.position = NOWHERE
         self.data: dict[str, bytes] = {}
         self._staged: tuple[Staged, dict[str, bytes]] | None = None
-        self._tail: dict[int, tail.ChangedKeys] = {}
+        self._recent_changes: dict[int, tail.ChangedKeys] = {}
         self.limit_bytes = UNLIMITED_BYTES
         self.broken = False
 
     @property
     def used_bytes(self) -> int:
-        """What the state takes."""
+        """Total size of the values."""
         return sum(len(value) for value in self.data.values())
 
     def grant(self, epoch: int) -> None:
         self.epoch = max(self.epoch, epoch)
 
     def apply(self, updates: list[Update]) -> None:
-        step = tail.step(self.position, updates)
-        if step is not None:
-            self._tail[step.position.version % tail.KEPT_UPDATES] = step
+        change = tail.step(self.position, updates)
+        if change is not None:
+            self._recent_changes[change.position.version % tail.KEPT_UPDATES] = change
         for update in updates:
-            self._put(self.data, update.writes)
+            self._write_entries(self.data, update.writes)
             self.position = update.position
 
     def changed_since(self, position: Position) -> list[Write] | None:
-        keys = tail.changed_since(self._tail.values(), position, self.position)
+        keys = tail.changed_since(self._recent_changes.values(), position, self.position)
         return None if keys is None else [Write(key, self.data.get(key)) for key in keys]
 
     @property
@@ -395,14 +401,14 @@
 
     def stage(self, entries: Iterable[Write], staged: Staged, first: bool) -> None:
         data = {} if first or self._staged is None else self._staged[1]
-        self._put(data, entries)
+        self._write_entries(data, entries)
         self._staged = (staged, data)
 
     def stage_updates(self, updates: list[Update]) -> None:
         if self._staged is not None:
             staged, data = self._staged
             for update in updates:
-                self._put(data, update.writes)
+                self._write_entries(data, update.writes)
             self._staged = (Staged(updates[-1].position, staged.through), data)
 
     def install_staged(self) -> None:
@@ -412,7 +418,7 @@
             self._staged = None
 
     @staticmethod
-    def _put(data: dict[str, bytes], writes: Iterable[Write]) -> None:
+    def _write_entries(data: dict[str, bytes], writes: Iterable[Write]) -> None:
         for write in writes:
             if write.value is None:
                 data.pop(write.key, None)
@@ -425,12 +431,12 @@
     def scan(self, prefix: str) -> Iterator[tuple[str, bytes]]:
         return ((key, self.data[key]) for key in sorted(self.data) if key.startswith(prefix))
 
-    def chunk(self, after: str, most_bytes: int) -> Chunk:
+    def chunk(self, after: str, max_bytes: int) -> Chunk:
         entries: list[Write] = []
         size = 0
         for key in sorted(key for key in self.data if key > after):
             size += len(key) + len(self.data[key])
-            if entries and size > most_bytes:
+            if entries and size > max_bytes:
                 return Chunk(entries, entries[-1].key, False)
             entries.append(Write(key, self.data[key]))
         return Chunk(entries, entries[-1].key if entries else after, True)
