--- a/eiderhub/transport/__init__.py
+++ b/eiderhub/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sessions over TCP between the tier's processes, and the HTTP servers and clients of its control plane."""
+"""TCP connections and sessions between the tier's processes, and the HTTP servers of its control plane."""
--- a/eiderhub/transport/control_session.py
+++ b/eiderhub/transport/control_session.py
@@ -1,4 +1,8 @@
-"""A process's session with a control node: kept up, moved when it goes stale, and what it tells applied."""
+"""A process's session with a control node.
+
+The session is reconnected when it is lost or its data becomes stale, moves to a control node of the process's
+own zone once one is available, and applies the table updates that it receives.
+"""
 
 from __future__ import annotations
 
@@ -27,16 +31,22 @@
 from eiderhub.transport.framing import Connection, connect
 
 PING_S = 0.25
-RETRY_S = 0.1
-NEARER_S = 1.0  # a session with a node of another zone looks so often for one of its own
-STALE_AGAIN_S = 10.0  # a node that a session left since it told nothing new is no nearer one for so long
-UPDATE_AGAIN_S = 0.2  # tables that could not be put in force are tried again so much later
+RECONNECT_DELAY_S = 0.1
+NEARER_S = 1.0  # between attempts to move a session to a node of the own zone
+# A node whose session was closed as stale is tried last for this long, and is not preferred for its zone.
+STALE_NODE_BACKOFF_S = 10.0
+UPDATE_RETRY_DELAY_S = 0.2  # before tables whose application failed are applied again
 
 log = logging.getLogger("session")
 
 
 class ControlSession:
-    """`candidates` gives the addresses of control nodes in the order in which they are to be tried."""
+    """Keeps one session with a control node open for as long as the process runs.
+
+    `candidates` returns the addresses of control nodes in order of preference. `fill_ping` adds the fields
+    that only the caller knows to each ping. `on_update` applies the newest tables; it is called again if it
+    raises.
+    """
 
     def __init__(
         self,
@@ -44,26 +54,26 @@
         tables: Tables,
         candidates: Callable[[], list[str]],
         on_update: Callable[[], None],
-        describe: Callable[[SessionPing], SessionPing] = lambda ping: ping,
-        on_lease: Callable[[LeaseAnswer], None] = lambda answer: None,
+        fill_ping: Callable[[SessionPing], SessionPing] = lambda ping: ping,
+        on_lease_answer: Callable[[LeaseAnswer], None] = lambda answer: None,
         on_load: Callable[[Mapping[str, int]], None] = lambda calls: None,
     ) -> None:
         self._node = node
         self._tables = tables
         self._candidates = candidates
         self._on_update = on_update
-        self._describe = describe
-        self._on_lease = on_lease
+        self._fill_ping = fill_ping
+        self._on_lease_answer = on_lease_answer
         self._on_load = on_load
-        self._ended = asyncio.Event()
-        self._update_due = False
-        self._stale_at: dict[str, float] = {}  # when a session was left for that, by target
+        self._closed = asyncio.Event()
+        self._update_scheduled = False
+        self._stale_at: dict[str, float] = {}  # time at which its session was closed as stale, by address
         self.freshness = Freshness()
         self.connection: Connection | None = None
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     def send(self, message: LeaseRequest) -> bool:
-        """Pass a message on; false where there is no session."""
+        """Send a message to the control node; returns False if there is no session."""
         if self.connection is None:
             return False
         self.connection.send(message)
@@ -74,63 +84,67 @@
 
     async def _run(self) -> None:
         while True:
-            for target in self._targets():
+            for target in self._ordered_targets():
                 host, port = address.parse(target)
                 connection = await connect(self, host, port)
                 while connection is not None:
-                    connection, target = await self._keep(connection, target)
-            await asyncio.sleep(RETRY_S)
+                    connection, target = await self._run_session(connection, target)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
-    def _targets(self) -> list[str]:
-        """The candidates, those last that lately told nothing new."""
+    def _ordered_targets(self) -> list[str]:
+        """The candidates, with those that were recently stale at the end."""
         now = time.monotonic()
-        return sorted(self._candidates(), key=lambda target: self._was_stale(now, target))
+        return sorted(self._candidates(), key=lambda target: self._recently_stale(now, target))
+
+    def _recently_stale(self, now: float, target: str) -> bool:
+        return now - self._stale_at.get(target, float("-inf")) < STALE_NODE_BACKOFF_S
 
-    def _was_stale(self, now: float, target: str) -> bool:
-        return now - self._stale_at.get(target, float("-inf")) < STALE_AGAIN_S
+    async def _run_session(self, connection: Connection, target: str) -> tuple[Connection | None, str]:
+        """Run one session until it ends.
 
-    async def _keep(self, connection: Connection, target: str) -> tuple[Connection | None, str]:
-        """Keep a session up; returns the connection that it was left for, if any, and its target."""
-        opened = time.monotonic()
-        self._ended.clear()
+        Returns the connection to a node of the own zone that replaces it, if there is one, and its address.
+        """
+        opened_at = time.monotonic()
+        self._closed.clear()
         self.connection = connection
         connection.peer_zone = zone_of(self._tables, target)
         connection.send(SessionOpen(self._node, OWN_SUPPORT))
-        search = _NearerSearch(self, opened)
+        search = _SameZoneSearch(self, opened_at)
         while not connection.closed:
-            connection.send(self._ping())
+            connection.send(self._build_ping())
             try:
                 async with asyncio.timeout(PING_S):
-                    await self._ended.wait()
+                    await self._closed.wait()
             except TimeoutError:
                 pass
             now = time.monotonic()
-            stale = now - self.freshness.silent_since(opened) > FRESH_S
-            if stale:
+            is_stale = now - self.freshness.silent_since(opened_at) > FRESH_S
+            if is_stale:
                 self._stale_at[target] = now
-            if stale or target not in self._candidates():
+            if is_stale or target not in self._candidates():
                 connection.close()
             connection.peer_zone = zone_of(self._tables, target)
-            search.look(now, self._nearer_than(now, target))
-            if search.found is not None and not connection.closed:
+            search.poll(now, self._same_zone_target(now, target))
+            if search.replacement is not None and not connection.closed:
                 connection.close()
-                return search.found, search.target
+                return search.replacement, search.target
         self.connection = None
-        search.end()
+        search.stop()
         return None, target
 
-    def _nearer_than(self, now: float, target: str) -> str:
-        """A control node of the own zone, where the target is in another; empty: there is none.
+    def _same_zone_target(self, now: float, target: str) -> str:
+        """The preferred control node if it is in the own zone and `target` is not; otherwise empty.
 
-        Danger: one that is cut off from the others takes sessions and tells them nothing.
+        A node that was recently stale is excluded: one that is partitioned from the other nodes still accepts
+        sessions, but has no new data for them.
         """
-        first = next(iter(self._candidates()), target)
-        if self._was_stale(now, first):
+        preferred = next(iter(self._candidates()), target)
+        if self._recently_stale(now, preferred):
             return ""
-        here, there = zone_of(self._tables, first), zone_of(self._tables, target)
-        return first if there and here == self._node.zone != there else ""
+        preferred_zone, current_zone = zone_of(self._tables, preferred), zone_of(self._tables, target)
+        return preferred if current_zone and preferred_zone == self._node.zone != current_zone else ""
 
-    def _ping(self) -> SessionPing:
+    def _build_ping(self) -> SessionPing:
         tables = self._tables
         ping = SessionPing(
             tables.known_generation,
@@ -139,7 +153,7 @@
             tables.spending.version,
             sent_at=time.monotonic(),
         )
-        return self._describe(ping)
+        return self._fill_ping(ping)
 
     def on_message(self, connection: Connection, message: Message) -> None:
         if connection is not self.connection:
@@ -149,73 +163,76 @@
         elif isinstance(message, SessionPong):
             self.freshness.answered(message.sent_at, message.age_s)
         elif isinstance(message, LeaseAnswer):
-            self._on_lease(message)
+            self._on_lease_answer(message)
         elif isinstance(message, LoadUpdate):
             self._on_load(message.calls)
         elif isinstance(message, TableUpdate):
             if self._tables.lacks_base_of(message):
-                connection.close()  # the next session begins with what is here
+                connection.close()  # the next session starts from the version that is held here
                 return
             applied = self._tables.apply(message)
             if self._tables.needs_whole:
-                log.error("a change of the configuration could not be applied; the whole is asked for")
+                log.error("configuration delta could not be applied; requesting the full configuration")
                 connection.close()
-            elif applied and not self._update_due:
-                # Told once for all that has come by now: only the newest state is put in force.
-                self._update_due = True
+            elif applied and not self._update_scheduled:
+                # Updates of one event loop turn are applied together: only the newest state counts.
+                self._update_scheduled = True
                 asyncio.get_running_loop().call_soon(self._tell_update)
 
     def _tell_update(self) -> None:
-        """Have the newest tables put in force; where that fails, again after a while."""
-        self._update_due = False
+        """Apply the newest tables, and retry after a delay if that fails.
+
+        Without the retry old routes could stay in use for long, since the next update may be far off.
+        """
+        self._update_scheduled = False
         try:
             self._on_update()
-        except Exception as error:  # Danger: nothing else may come for long, and old routes would stay
-            log.error("the newest tables could not be put in force: %r", error)
-            self._update_due = True
-            asyncio.get_running_loop().call_later(UPDATE_AGAIN_S, self._tell_update)
+        except Exception as error:
+            log.error("applying the newest tables failed, will retry: %r", error)
+            self._update_scheduled = True
+            asyncio.get_running_loop().call_later(UPDATE_RETRY_DELAY_S, self._tell_update)
 
     def on_closed(self, connection: Connection) -> None:
         if connection is self.connection:
-            self._ended.set()
+            self._closed.set()
 
 
-class _NearerSearch:
-    """Opens a connection to a nearer control node beside a session, which goes on meanwhile."""
+class _SameZoneSearch:
+    """Connects to a control node of the own zone in the background, while the current session continues."""
 
     def __init__(self, session: ControlSession, now: float) -> None:
         self._session = session
-        self._next = now + NEARER_S
+        self._next_attempt_at = now + NEARER_S
         self._task: asyncio.Task[Connection | None] | None = None
         self.target = ""
-        self.found: Connection | None = None
+        self.replacement: Connection | None = None
 
-    def look(self, now: float, target: str) -> None:
-        """Go on with the search; `target` is the nearer node, empty where there is none."""
+    def poll(self, now: float, target: str) -> None:
+        """Collect a finished attempt or start a new one; `target` is the address to try, empty if none."""
         if self._task is not None and self._task.done():
-            self.found, self._task = self._task.result(), None
-        elif self._task is None and target and now >= self._next:
-            self._next = now + NEARER_S
+            self.replacement, self._task = self._task.result(), None
+        elif self._task is None and target and now >= self._next_attempt_at:
+            self._next_attempt_at = now + NEARER_S
             self.target = target
             host, port = address.parse(target)
             self._task = asyncio.get_running_loop().create_task(connect(self._session, host, port))
 
-    def end(self) -> None:
-        """The session has ended; a connection that comes up later is not wanted."""
-        if self.found is not None:
-            self.found.close()
+    def stop(self) -> None:
+        """Close the connection that was found, or the one that a pending attempt still opens."""
+        if self.replacement is not None:
+            self.replacement.close()
         if self._task is not None:
-            self._task.add_done_callback(_close_found)
+            self._task.add_done_callback(_close_result)
 
 
-def _close_found(task: asyncio.Task[Connection | None]) -> None:
+def _close_result(task: asyncio.Task[Connection | None]) -> None:
     connection = None if task.cancelled() else task.result()
     if connection is not None:
         connection.close()
 
 
 def zone_of(tables: Tables, target: str) -> str:
-    """The zone of the control or storage node that listens at this address; empty: it is not known."""
+    """The zone of the control or storage node that listens at this address; empty if unknown."""
     for node in tables.nodes.nodes:
         if node.identity.partition("@")[2] == target:
             return node.zone
@@ -225,13 +242,13 @@
 def control_candidates(
     tables: Tables, seeds: list[str], zone: str, shuffle: Callable[[list[str]], None]
 ) -> list[str]:
-    """Addresses of control nodes: those of the own zone first, then the others, then the seeds."""
-    near: list[str] = []
-    far: list[str] = []
+    """Addresses of control nodes: own zone first, then other zones, then seeds that are not listed."""
+    same_zone: list[str] = []
+    other_zones: list[str] = []
     for node in tables.nodes.nodes:
         if node.role == "control" and node.identity:
-            (near if node.zone == zone else far).append(node.identity.partition("@")[2])
-    rest = [seed for seed in seeds if seed not in near and seed not in far]
-    shuffle(far)
-    shuffle(rest)
-    return near + far + rest
+            (same_zone if node.zone == zone else other_zones).append(node.identity.partition("@")[2])
+    remaining_seeds = [seed for seed in seeds if seed not in same_zone and seed not in other_zones]
+    shuffle(other_zones)
+    shuffle(remaining_seeds)
+    return same_zone + other_zones + remaining_seeds
--- a/eiderhub/transport/frames.py
+++ b/eiderhub/transport/frames.py
@@ -1,7 +1,7 @@
-"""Messages as bytes: a length in four bytes, then msgpack of one tagged message.
+"""Frame format: a four-byte big-endian length, then one tagged message in msgpack.
 
-Larger messages to another zone are deflated, where that makes them smaller and the peer takes it: bytes
-between zones are paid for. The highest bit of the length says so.
+Larger messages to another zone are deflated if that makes them smaller and the peer supports it, because
+traffic between zones is billed. The highest bit of the length marks a deflated body.
 """
 
 from __future__ import annotations
@@ -21,12 +21,13 @@
 Message = ReplicaMessage | SessionMessage | BatchMessage
 
 LENGTH = struct.Struct(">I")
-MOST_MESSAGE = 64 << 20  # bytes, inflated
-DEFLATED = 1 << 31  # in the length
-DEFLATE_FROM = 300  # bytes
+MAX_MESSAGE_BYTES = 64 << 20  # after inflation
+DEFLATED = 1 << 31  # flag in the length field
+DEFLATE_THRESHOLD_BYTES = 300
 DEFLATE_LEVEL = 1
 
-# What a peer must have said before it is sent a message; all others are of wire version 1.
+# The feature that a peer must have declared before it is sent a message of this type. All other types belong
+# to wire version 1.
 REQUIRED_FEATURE: dict[type, Feature] = {
     LoadUpdate: Feature.SHARED_LOAD,
     SessionAccepted: Feature.SESSION_ACCEPTED,
@@ -37,95 +38,99 @@
 
 
 class _Tagged(msgspec.Struct):
-    """Any message, for the name of its type alone."""
+    """Decodes only the type name of any message."""
 
     type: str
 
 
 _decode_tag = msgspec.msgpack.Decoder(_Tagged).decode
 KNOWN_TYPES = frozenset(
-    str(each.__struct_config__.tag)
+    str(message_type.__struct_config__.tag)
     for union in (ReplicaMessage, SessionMessage, BatchMessage)
-    for each in union.__args__
+    for message_type in union.__args__
 )
 
 
 class Unknown(NamedTuple):
-    """A message of a type that this program does not have."""
+    """A message whose type this program does not know."""
 
     kind: str
 
 
 class FrameBroken(Exception):
-    """A frame that no message can be read from."""
+    """A frame that cannot be decoded into a message."""
 
-    def __init__(self, fault: FrameFault, why: str = "") -> None:
-        super().__init__(f"{fault.value}: {why}" if why else fault.value)
+    def __init__(self, fault: FrameFault, detail: str = "") -> None:
+        super().__init__(f"{fault.value}: {detail}" if detail else fault.value)
         self.fault = fault
 
 
 def takes(support: WireSupport, message: Message) -> bool:
-    """Whether a peer that has said this may be sent the message."""
+    """Whether a peer with this declared support may be sent the message."""
     required = REQUIRED_FEATURE.get(type(message))
     return required is None or support.takes(required)
 
 
-def encoded(message: Message, deflate: bool) -> bytes:
+def encode_frame(message: Message, deflate: bool) -> bytes:
     """The frame of a message."""
-    data = _encode(message)
+    body = _encode(message)
     flag = 0
-    if deflate and len(data) >= DEFLATE_FROM:
-        smaller = zlib.compress(data, DEFLATE_LEVEL)
-        if len(smaller) < len(data):
-            flag, data = DEFLATED, smaller
-    return LENGTH.pack(flag | len(data)) + data
+    if deflate and len(body) >= DEFLATE_THRESHOLD_BYTES:
+        compressed = zlib.compress(body, DEFLATE_LEVEL)
+        if len(compressed) < len(body):
+            flag, body = DEFLATED, compressed
+    return LENGTH.pack(flag | len(body)) + body
 
 
 def frame_end(buffer: bytearray, start: int) -> int | None:
-    """Where the frame that begins at `start` ends; None: it is not known yet.
+    """The end offset of the frame that starts at `start`; None if the frame is not complete yet.
 
     Raises:
-        FrameBroken: it is longer than a message may be.
+        FrameError: the length exceeds `MAX_MESSAGE_BYTES`.
     """
     if len(buffer) - start < LENGTH.size:
         return None
     size = LENGTH.unpack_from(buffer, start)[0] & ~DEFLATED
-    if size > MOST_MESSAGE:
+    if size > MAX_MESSAGE_BYTES:
         raise FrameBroken(FrameFault.OVERSIZED, f"{size} bytes")
     end: int = start + LENGTH.size + size
     return end if end <= len(buffer) else None
 
 
 def decoded(buffer: bytearray, start: int, end: int) -> Message | Unknown:
-    """The message of a whole frame.
+    """Decode a complete frame.
 
     Raises:
-        FrameBroken: there is none.
+        FrameError: the body cannot be inflated, is not a message, or has invalid fields.
     """
     body = memoryview(buffer)[start + LENGTH.size : end].tobytes()
     if LENGTH.unpack_from(buffer, start)[0] & DEFLATED:
-        body = _inflated(body)
+        body = _inflate(body)
     try:
         return _decode(body)
     except msgspec.ValidationError as error:
-        return _unknown(body, error)
+        return _unknown_message(body, error)
     except msgspec.DecodeError as error:
         raise FrameBroken(FrameFault.MALFORMED, str(error)) from None
 
 
-def _inflated(data: bytes) -> bytes:
-    stream = zlib.decompressobj()
+def _inflate(data: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        inflated = stream.decompress(data, MOST_MESSAGE)
+        inflated = decompressor.decompress(data, MAX_MESSAGE_BYTES)
     except zlib.error as error:
         raise FrameBroken(FrameFault.DEFLATE, str(error)) from None
-    if not stream.eof:
-        raise FrameBroken(FrameFault.DEFLATE, "cut short, or too long")
+    if not decompressor.eof:
+        raise FrameBroken(FrameFault.DEFLATE, "truncated, or larger than the limit when inflated")
     return inflated
 
 
-def _unknown(body: bytes, error: msgspec.ValidationError) -> Unknown:
-    """What is well formed and no message that this program knows."""
+def _unknown_message(body: bytes, error: msgspec.ValidationError) -> Unknown:
+    """Return the type name of a well-formed message whose type is unknown.
+
+    Raises:
+        FrameError: the body has no type name, or that of a known type whose fields are invalid.
+    """
     try:
         kind = _decode_tag(body).type
     except msgspec.DecodeError:
--- a/eiderhub/transport/framing.py
+++ b/eiderhub/transport/framing.py
@@ -1,7 +1,7 @@
-"""Connections that carry framed messages over TCP, opened by either side.
+"""TCP connections that carry framed messages, opened by either side.
 
-A message of a type that this program does not know is counted and skipped; a frame that no message can be
-read from ends its connection. A peer is sent only what it has said that it takes.
+A message of an unknown type is counted and skipped, since a newer peer may send it; a frame that cannot be
+decoded closes its connection. A peer is sent only the messages that it has declared support for.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 from eiderhub.transport.traffic import TRAFFIC
 from eiderhub.transport.wire_counts import WIRE_COUNTS
 
-MOST_UNSENT = 96 << 20  # bytes that a peer may leave unread
-UNACKNOWLEDGED_MS = 1500  # a connection whose bytes are not acknowledged for so long is broken
-KEEPALIVE_S, KEEPALIVE_PROBES = 1, 2
-CONNECT_S = 0.5
+MAX_UNSENT_BYTES = 96 << 20  # a connection whose peer leaves more than this unread is closed
+TCP_USER_TIMEOUT_MS = 1500  # the kernel drops a connection whose data is unacknowledged for this long
+KEEPALIVE_INTERVAL_S, KEEPALIVE_PROBES = 1, 2
+CONNECT_TIMEOUT_S = 0.5
 
 log = logging.getLogger("wire")
 
 
-class Handler(Protocol):
-    """Who is told of a connection's messages."""
+class ConnectionHandler(Protocol):
+    """Receives the messages of a connection, and its end."""
 
     def on_message(self, connection: Connection, message: Message) -> None: ...
 
@@ -36,50 +36,52 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection, opened by either side."""
+    """One connection; incoming and outgoing connections behave alike."""
 
-    def __init__(self, handler: Handler, on_open: Callable[[Connection], None] = lambda _: None) -> None:
+    def __init__(
+        self, handler: ConnectionHandler, on_open: Callable[[Connection], None] = lambda _: None
+    ) -> None:
         self._handler = handler
         self._on_open = on_open
         self._buffer = bytearray()
         self.closed = False
-        self.peer_zone = ""  # empty: not known
-        self.support: WireSupport = UNTOLD  # what the peer has said that it takes
-        self._told_unknown = False  # an unknown message has been logged
-        self.heard_at = asyncio.get_running_loop().time()  # when anything came last
+        self.peer_zone = ""  # empty: unknown
+        self.support: WireSupport = UNTOLD  # declared by the peer
+        self._unknown_logged = False
+        self.last_received_at = asyncio.get_running_loop().time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        raw = transport.get_extra_info("socket")
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-        # A machine that lost its power says nothing, and where we send nothing either we would never know.
-        raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_S)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_S)
-        raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+        sock = transport.get_extra_info("socket")
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
+        # A host that lost power sends no FIN; if we send no data either, only keepalive probes detect it.
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
         self._on_open(self)
 
     def send(self, message: Message) -> None:
         if self.closed:
             return
         if not frames.takes(self.support, message):
-            WIRE_COUNTS.withheld(type(message).__name__)
+            WIRE_COUNTS.count_withheld(type(message).__name__)
             return
-        crosses = TRAFFIC.crosses(self.peer_zone)
-        frame = frames.encoded(message, deflate=crosses and self.support.takes(Feature.DEFLATE))
-        if crosses:
+        cross_zone = TRAFFIC.crosses(self.peer_zone)
+        frame = frames.encode_frame(message, deflate=cross_zone and self.support.takes(Feature.DEFLATE))
+        if cross_zone:
             TRAFFIC.sent(type(message).__name__, len(frame))
         self._transport.write(frame)
-        if self._transport.get_write_buffer_size() > MOST_UNSENT:
+        if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.close()
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = asyncio.get_running_loop().time()
+        self.last_received_at = asyncio.get_running_loop().time()
         self.feed(data)
 
     def feed(self, data: bytes) -> None:
-        """Take what has come, and tell the handler of each message that is whole."""
+        """Buffer received bytes and pass each complete message to the handler."""
         buffer = self._buffer
         buffer += data
         start = 0
@@ -88,27 +90,29 @@
                 message = frames.decoded(buffer, start, end)
                 start = end
                 if isinstance(message, Unknown):
-                    self._skip(message)
+                    self._skip_unknown(message)
                 else:
                     self._handler.on_message(self, message)
         except FrameBroken as error:
-            WIRE_COUNTS.broken(error.fault)
-            log.warning("%s has sent a frame that cannot be read: %s", self._peer(), error)
+            WIRE_COUNTS.count_fault(error.fault)
+            log.warning("closing the connection to %s: invalid frame: %s", self._peer_name(), error)
             self.close()
             return
         del buffer[:start]
 
-    def _skip(self, message: Unknown) -> None:
-        """A newer program's message: it is not for us, and what comes behind it is."""
-        WIRE_COUNTS.skipped(message.kind)
-        if not self._told_unknown:
-            self._told_unknown = True
-            log.warning("%s sends messages that are not known here: %.40s", self._peer(), message.kind)
+    def _skip_unknown(self, message: Unknown) -> None:
+        """Count a message from a newer program and continue with the messages after it; log the first one."""
+        WIRE_COUNTS.count_skipped(message.kind)
+        if not self._unknown_logged:
+            self._unknown_logged = True
+            log.warning(
+                "%s sends messages of an unknown type, skipping them: %.40s", self._peer_name(), message.kind
+            )
 
-    def _peer(self) -> str:
-        """Where the other side is, for the log."""
-        name = self._transport.get_extra_info("peername")
-        return f"{name[0]}:{name[1]}" if name else "a peer"
+    def _peer_name(self) -> str:
+        """The remote address, for the log."""
+        peer = self._transport.get_extra_info("peername")
+        return f"{peer[0]}:{peer[1]}" if peer else "a peer"
 
     def connection_lost(self, exc: Exception | None) -> None:
         if not self.closed:
@@ -116,17 +120,17 @@
             self._handler.on_closed(self)
 
     def close(self) -> None:
-        """End it; the handler is told as if the peer had gone."""
+        """Abort the connection; the handler is notified as if the peer had closed it."""
         if not self.closed:
             self.closed = True
             self._transport.abort()
             self._handler.on_closed(self)
 
 
-async def connect(handler: Handler, host: str, port: int) -> Connection | None:
-    """A connection, or None where none comes up in time."""
+async def connect(handler: ConnectionHandler, host: str, port: int) -> Connection | None:
+    """Open a connection; None if that fails or times out."""
     try:
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, connection = await asyncio.get_running_loop().create_connection(
                 lambda: Connection(handler), host, port
             )
--- a/eiderhub/transport/group.py
+++ b/eiderhub/transport/group.py
@@ -1,4 +1,4 @@
-"""Drives one replica over sockets: connections to the other members, ticks, and who waits for a commit."""
+"""Runs one replica on the event loop: connections to other members, timer ticks, and waiting for commits."""
 
 from __future__ import annotations
 
@@ -19,29 +19,29 @@
 from eiderhub.transport.frames import Message
 from eiderhub.transport.framing import Connection, connect
 
-TICK_S = 0.05
-RECONNECT_S = 0.2
-FLUSH_S = 0.003  # writes that come within so long are made durable together
+TICK_INTERVAL_S = 0.05
+RECONNECT_DELAY_S = 0.2
+GROUP_COMMIT_DELAY_S = 0.003  # writes that arrive within this time share one sync
 
 log = logging.getLogger("group")
 
 
 class CommitUnknown(Exception):
-    """The write may or may not outlive this primary."""
+    """The write may or may not survive the change of primary."""
 
 
 class NotPrimary(Exception):
-    """Nothing was written: this replica does not lead."""
+    """This replica is not the primary; nothing was written."""
 
 
-class Link:
-    """A connection that is opened again and again to one address, for what we send there."""
+class OutboundLink:
+    """The connection for all messages to one address; it is reopened whenever it is lost."""
 
-    def __init__(self, group: GroupDriver, target: str) -> None:
-        self.group = group
+    def __init__(self, driver: GroupDriver, target: str) -> None:
+        self.driver = driver
         self.target = target
         self.connection: Connection | None = None
-        self._ended = asyncio.Event()
+        self._closed = asyncio.Event()
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
@@ -49,161 +49,169 @@
         while True:
             connection = await connect(self, host, port)
             if connection is not None:
-                self._ended.clear()
+                self._closed.clear()
                 self.connection = connection
-                connection.send(Hello(self.group.node, OWN_SUPPORT))
-                self.group.on_link_open(self)
+                connection.send(Hello(self.driver.node, OWN_SUPPORT))
+                self.driver.on_link_open(self)
                 if not connection.closed:
-                    await self._ended.wait()
+                    await self._closed.wait()
                 self.connection = None
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     def on_message(self, connection: Connection, message: Message) -> None:
-        """The other side only says its name."""
+        """Handle the peer's `Hello`; replicas send everything else on their own outbound connections."""
         if isinstance(message, Hello):
             connection.peer_zone = message.node.zone
             connection.support = message.support
 
     def on_closed(self, connection: Connection) -> None:
         self.connection = None
-        self._ended.set()
+        self._closed.set()
 
 
 class GroupDriver:
-    """Runs a replica. `on_change` is called after each step in which role, epoch or commit may have moved."""
+    """Runs a replica; `on_change` is called after each step that may change its role, epoch or commits."""
 
     def __init__(self, replica: Replica, node: NodeRecord, on_change: Callable[[], None]) -> None:
         self.replica = replica
         self.node = node
         self.roster = Roster(node.identity, node.zone)
         self._on_change = on_change
-        self._links: dict[str, Link] = {}  # by address
+        self._links: dict[str, OutboundLink] = {}  # by address
         self._incoming: dict[str, Connection] = {}  # by identity
         self._logged_members: frozenset[str] = frozenset()
-        self._told_unreadable = False
-        self._writes: list[Write] = []
-        self._waiting: list[asyncio.Future[None]] = []  # for the writes that are not proposed yet
+        self._unreadable_logged = False
+        self._pending_writes: list[Write] = []
+        self._pending_waiters: list[asyncio.Future[None]] = []  # for writes not yet proposed
         self._commits: CommitQueue[asyncio.Future[None]] = CommitQueue(replica)
-        self._flush: asyncio.TimerHandle | None = None
-        self._ticker = asyncio.get_running_loop().create_task(self._tick())
+        self._propose_timer: asyncio.TimerHandle | None = None
+        self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
 
     @staticmethod
     def now() -> float:
-        """Danger: the event loop's own clock stands still within a turn, in which a process may be frozen."""
+        """The monotonic clock.
+
+        The event loop's time does not advance within a turn: after being suspended in one, a process could
+        take an expired lease to be valid.
+        """
         return time.monotonic()
 
     def stop(self) -> None:
-        """Tick no more, and open no more connections."""
-        self._ticker.cancel()
+        """Stop the timer ticks and the outbound connections."""
+        self._tick_task.cancel()
         for link in self._links.values():
             link.task.cancel()
 
-    # --- what the program asks ---
+    # --- API of the program ---
 
     def leads(self) -> bool:
         return self.replica.leads(self.now())
 
-    def settled(self) -> bool:
-        """Whether all of the primary's state is committed."""
+    def all_committed(self) -> bool:
+        """Whether everything in this primary's state is committed."""
         return self.replica.settled(self.now())
 
     def know(self, target: str) -> None:
-        """A replica may listen at this address."""
+        """Connect to a possible replica at this address, unless it is our own or already has a link."""
         if target != address_of(self.replica.identity) and target not in self._links:
-            self._links[target] = Link(self, target)
+            self._links[target] = OutboundLink(self, target)
 
     async def write(self, writes: list[Write]) -> None:
-        """Returns once the writes are committed.
+        """Return once the writes are committed.
 
         Raises:
             NotPrimary: nothing was written.
-            CommitUnknown: the primary's role was lost meanwhile.
+            CommitOutcomeUnknown: the replica stopped being primary before the commit.
         """
         await self.commit(lambda: writes)
 
     async def settle(self) -> None:
-        """Returns once all that this primary's tables hold now is committed in its epoch.
+        """Return once everything that this primary's tables hold now is committed in its epoch.
 
         Raises:
-            NotPrimary: this replica does not lead.
-            CommitUnknown: the primary's role was lost meanwhile.
+            NotPrimary: this replica is not the primary.
+            CommitOutcomeUnknown: the replica stopped being primary before the commit.
         """
         await self.commit(list)
 
     async def commit(self, change: Callable[[], list[Write]]) -> None:
-        """Change a table; returns once what that writes, and all that was written before, is committed.
+        """Change an in-memory table; return once its writes and all earlier ones are committed.
 
-        `change` is called only while this replica leads, and what it returns is gathered in the same turn.
-        From there on it is written, or the epoch ends, and with it the table: no table is ever ahead of the
-        store within an epoch.
+        `change` is called only while this replica leads, and the writes that it returns are queued in the
+        same event loop turn. They are then either stored, or the epoch ends and the tables are discarded with
+        it, so a table is never ahead of the store within an epoch.
 
         Raises:
             NotPrimary: nothing was changed, or the epoch has ended.
-            CommitUnknown: the primary's role was lost meanwhile.
+            CommitOutcomeUnknown: the replica stopped being primary before the commit.
         """
         if not self.leads():
             raise NotPrimary
         try:
             writes = change()
         except Exception:
-            self._resign()  # the table may have changed in part
+            self._resign()  # the table may be partly changed
             raise
-        if not writes and not self._waiting and self.settled():
+        if not writes and not self._pending_waiters and self.all_committed():
             return
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        if writes or self._waiting:
-            self._gather(writes, future)
+        if writes or self._pending_waiters:
+            self._enqueue(writes, future)
         else:
             self._commits.add(self.replica.position, future)
         await future
 
-    def _gather(self, writes: list[Write], future: asyncio.Future[None]) -> None:
-        self._writes += writes
-        self._waiting.append(future)
-        if self._flush is None:
-            self._flush = asyncio.get_running_loop().call_later(FLUSH_S, self._propose)
+    def _enqueue(self, writes: list[Write], future: asyncio.Future[None]) -> None:
+        self._pending_writes += writes
+        self._pending_waiters.append(future)
+        if self._propose_timer is None:
+            self._propose_timer = asyncio.get_running_loop().call_later(GROUP_COMMIT_DELAY_S, self._propose)
 
     def _resign(self) -> None:
         self.replica.resign(self.now())
-        self._after()
+        self._process_changes()
 
     def _propose(self) -> None:
-        self._flush = None
-        writes, self._writes = self._writes, []
-        waiting, self._waiting = self._waiting, []
+        self._propose_timer = None
+        writes, self._pending_writes = self._pending_writes, []
+        waiters, self._pending_waiters = self._pending_waiters, []
         try:
             if not self.leads():
                 raise NotPrimary
             position = self.replica.propose(self.now(), writes)
         except NotPrimary:
-            # Danger: those who wait have changed their tables already. Tables are loaded anew in a new epoch.
+            # The waiting callers have already changed their tables, which now differ from the store. Tables
+            # are loaded from the store in a new epoch, so this one has to end.
             self.replica.resign(self.now())
-            self._fail(waiting, NotPrimary())
+            self._fail_waiters(waiters, NotPrimary())
         except StoreFailed as error:
-            log.error("write failed, stepping down: %s", error)
-            self._fail(waiting, CommitUnknown())
+            log.error("write to the store failed, stepping down as primary: %s", error)
+            self._fail_waiters(waiters, CommitUnknown())
         else:
-            for future in waiting:
+            for future in waiters:
                 self._commits.add(position, future)
-        self._after()
+        self._process_changes()
 
     @staticmethod
-    def _fail(waiting: list[asyncio.Future[None]], error: Exception) -> None:
-        for future in waiting:
+    def _fail_waiters(waiters: list[asyncio.Future[None]], error: Exception) -> None:
+        for future in waiters:
             if not future.done():
                 future.set_exception(error)
 
     # --- connections ---
 
-    def on_link_open(self, link: Link) -> None:
+    def on_link_open(self, link: OutboundLink) -> None:
         known = self.replica.members | set(self._incoming)
         for identity in sorted(known):
             if address_of(identity) == link.target:
                 self.replica.connected(self.now(), identity)
-        self._after()
+        self._process_changes()
 
     def greeted(self, connection: Connection, node: NodeRecord, support: WireSupport) -> None:
-        """Another replica has connected to us."""
+        """Register the incoming connection of a replica and answer its `Hello`.
+
+        It replaces an older identity at the same address, whose connection may stay open after a power loss.
+        """
         for identity in [i for i in self._incoming if address_of(i) == address_of(node.identity)]:
             del self._incoming[identity]
         self._incoming[node.identity] = connection
@@ -215,62 +223,62 @@
 
     def received(self, sender: str, message: ReplicaMessage) -> None:
         self.replica.receive(self.now(), sender, message)
-        self._after()
+        self._process_changes()
 
     def lost(self, identity: str, connection: Connection) -> None:
         if self._incoming.get(identity) is connection:
             del self._incoming[identity]
             self.roster.lost(identity)
 
-    # --- time ---
+    # --- ticks and output ---
 
-    async def _tick(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
-            self.tend_members()
+            await asyncio.sleep(TICK_INTERVAL_S)
+            self.update_members()
             self.replica.tick(self.now())
-            self._after()
+            self._process_changes()
 
-    def tend_members(self) -> None:
+    def update_members(self) -> None:
         for member in self.replica.members:
             self.know(address_of(member))
         self.roster.tend(self.replica)
 
     def flush(self) -> None:
-        """Send what the replica has left to be sent."""
-        self._after()
-
-    def _after(self) -> None:
-        """Send what the replica wants sent, and tell of what may have changed, until no more comes of it."""
-        self._send_all()
-        self._resolve()
-        self._tell_unreadable()
+        """Send the messages in the replica's outbox."""
+        self._process_changes()
+
+    def _process_changes(self) -> None:
+        """Send the outbox, resolve commits and call `on_change`, until that produces no more messages."""
+        self._send_outbox()
+        self._resolve_commits()
+        self._log_unreadable_format()
         if self.replica.members != self._logged_members:
             self._logged_members = self.replica.members
             log.info("members %s", " ".join(sorted(self._logged_members)))
         self._on_change()
         if self.replica.outbox:
-            self._after()
+            self._process_changes()
 
-    def _tell_unreadable(self) -> None:
+    def _log_unreadable_format(self) -> None:
         form = self.replica.unreadable_form
-        if form is not None and not self._told_unreadable:
-            self._told_unreadable = True
+        if form is not None and not self._unreadable_logged:
+            self._unreadable_logged = True
             log.error("the group writes records of form %d, which this program does not read: start a newer "
                       "program", form)  # fmt: skip
 
-    def _send_all(self) -> None:
+    def _send_outbox(self) -> None:
         outbox, self.replica.outbox = self.replica.outbox, []
         for outgoing in outbox:
             link = self._links.get(address_of(outgoing.recipient))
             if link is not None and link.connection is not None:
                 link.connection.send(outgoing.message)
 
-    def _resolve(self) -> None:
-        for future, fate in self._commits.take():
+    def _resolve_commits(self) -> None:
+        for future, outcome in self._commits.take():
             if future.done():
                 continue
-            if fate is Fate.COMMITTED:
+            if outcome is Fate.COMMITTED:
                 future.set_result(None)
             else:
                 future.set_exception(CommitUnknown())
--- a/eiderhub/transport/metrics.py
+++ b/eiderhub/transport/metrics.py
@@ -1,4 +1,4 @@
-"""A page of a program's own figures, as text, for on-call staff: one name and value a line."""
+"""HTTP endpoint for a process's metrics as plain text, one name and value per line."""
 
 from __future__ import annotations
 
@@ -7,27 +7,27 @@
 
 from eiderhub.http1 import Exchange, ServerConnection
 
-PATH = b"/metrics"
-TEXT_HEADER = (b"Content-Type", b"text/plain; charset=utf-8")
+METRICS_PATH = b"/metrics"
+CONTENT_TYPE_HEADER = (b"Content-Type", b"text/plain; charset=utf-8")
 
 
 class MetricsConnection(ServerConnection):
-    """A connection of somebody who looks."""
+    """Serves `GET /metrics`; other paths get 404."""
 
-    def __init__(self, lines: Callable[[], list[str]], connections: set[ServerConnection]) -> None:
+    def __init__(self, metric_lines: Callable[[], list[str]], connections: set[ServerConnection]) -> None:
         super().__init__(self._answer, lambda: 0, connections)
-        self._lines = lines
+        self._metric_lines = metric_lines
 
     def _answer(self, exchange: Exchange) -> None:
-        if exchange.url.partition(b"?")[0] != PATH:
+        if exchange.url.partition(b"?")[0] != METRICS_PATH:
             exchange.answer(404)
             return
-        body = "".join(f"{line}\n" for line in self._lines())
-        exchange.answer(200, body.encode(), TEXT_HEADER)
+        body = "".join(f"{line}\n" for line in self._metric_lines())
+        exchange.answer(200, body.encode(), CONTENT_TYPE_HEADER)
 
 
-async def serve_metrics(lines: Callable[[], list[str]], host: str, port: int) -> None:
-    """Listen for as long as the program runs."""
+async def serve_metrics(metric_lines: Callable[[], list[str]], host: str, port: int) -> None:
+    """Start listening; the server runs until the process ends."""
     connections: set[ServerConnection] = set()
     loop = asyncio.get_running_loop()
-    await loop.create_server(lambda: MetricsConnection(lines, connections), host, port)
+    await loop.create_server(lambda: MetricsConnection(metric_lines, connections), host, port)
--- a/eiderhub/transport/operator_calls.py
+++ b/eiderhub/transport/operator_calls.py
@@ -1,4 +1,4 @@
-"""A call of the operator, and its answer, whatever carries them."""
+"""Requests and responses of the operator API, independent of the HTTP server."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 class Call(NamedTuple):
     method: str
     path: str
-    base: str  # the If-Match header
+    base: str  # value of the If-Match header; empty if absent
     body: bytes
 
 
--- a/eiderhub/transport/operator_http.py
+++ b/eiderhub/transport/operator_http.py
@@ -1,4 +1,7 @@
-"""The operator's API by cheroot: a thread for each call under way, the answers from the event loop."""
+"""HTTP server of the operator API, on cheroot.
+
+A worker thread handles each request and waits for the response, which is produced on the event loop.
+"""
 
 from __future__ import annotations
 
@@ -13,19 +16,19 @@
 
 from eiderhub.transport.operator_calls import Call, Reply
 
-THREADS = 6
-ANSWER_S = 3.0
-MOST_BODY = 32 << 20
+WORKER_THREADS = 6
+ANSWER_TIMEOUT_S = 3.0
+MAX_BODY_BYTES = 32 << 20
 
 
 class OperatorServer:
-    """Serves until `stop`. `handle` runs on the event loop."""
+    """Serves requests until `stop` is called. `handle` runs on the event loop that created the server."""
 
     def __init__(self, host: str, port: int, handle: Callable[[Call], Awaitable[Reply]]) -> None:
         self._loop = asyncio.get_running_loop()
         self._handle = handle
         self._server = wsgi.Server(
-            (host, port), self._application, numthreads=THREADS, request_queue_size=128
+            (host, port), self._application, numthreads=WORKER_THREADS, request_queue_size=128
         )
         self._server.prepare()
         self._thread = threading.Thread(target=self._server.serve, name="operator", daemon=True)
@@ -36,7 +39,7 @@
 
     def _application(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
         size = int(environ.get("CONTENT_LENGTH") or 0)
-        if size > MOST_BODY:
+        if size > MAX_BODY_BYTES:
             reply = Reply(HTTPStatus.REQUEST_ENTITY_TOO_LARGE)
         else:
             body = environ["wsgi.input"].read(size) if size else environ["wsgi.input"].read()
@@ -56,7 +59,7 @@
 
         future = asyncio.run_coroutine_threadsafe(run(), self._loop)
         try:
-            return future.result(ANSWER_S)
+            return future.result(ANSWER_TIMEOUT_S)
         except (FutureTimeout, TimeoutError):
             future.cancel()
             return Reply(HTTPStatus.GATEWAY_TIMEOUT)
--- a/eiderhub/transport/spending.py
+++ b/eiderhub/transport/spending.py
@@ -1,4 +1,4 @@
-"""A process's spending: charges work against its leases, and asks its control session for more."""
+"""Charges work to the token leases of this process, and requests further leases from the control plane."""
 
 from __future__ import annotations
 
@@ -9,40 +9,40 @@
 from eiderhub.control.messages import LeaseAnswer, LeaseRequest
 from eiderhub.control.spending import LeasePurse, Tenant
 
-LEASE_S = 0.4  # a lease that has not come by then does not count on being given
+LEASE_TIMEOUT_S = 0.4  # after which a lease request counts as unanswered
 
 
 class Charge(Enum):
     PAID = "paid"
-    EXHAUSTED = "exhausted"  # the tenant's cap has run out
-    UNKNOWN = "unknown"  # no control node has answered
+    EXHAUSTED = "exhausted"  # the tenant's spending cap is used up
+    UNKNOWN = "unknown"  # no answer from a control node
 
 
 class Spending:
-    """`send` passes a request on to the control node that this process has its session with."""
+    """`send` sends a request on the control session; it returns False if there is none."""
 
     def __init__(self, send: Callable[[LeaseRequest], bool]) -> None:
         self._send = send
         self._purse = LeasePurse()
         self._tenants: dict[str, Tenant] = {}
-        self._of_route: dict[str, str] = {}
+        self._tenant_by_route: dict[str, str] = {}
         self._asking: dict[str, asyncio.Future[LeaseAnswer]] = {}
 
     def follow(self, tenants: dict[str, Tenant], exhausted: list[str]) -> None:
         self._tenants = tenants
-        self._of_route = {route: t.name for t in tenants.values() for route in t.routes}
+        self._tenant_by_route = {route: tenant.name for tenant in tenants.values() for route in tenant.routes}
         self._purse.stop(frozenset(exhausted))
 
     def tenant_of(self, route: str) -> str | None:
-        """The tenant whose cap bounds this route; None: none does."""
-        return self._of_route.get(route)
+        """The tenant whose cap applies to this route; None if there is none."""
+        return self._tenant_by_route.get(route)
 
     async def charge(self, tenant: str, tokens: int) -> Charge:
-        """Pay for work that is about to be taken."""
+        """Charge work before it is accepted, requesting leases until the balance covers it."""
         while not self._purse.charge(tenant, tokens):
             if self._purse.stopped(tenant):
                 return Charge.EXHAUSTED
-            answer = await self._lease(tenant, tokens)
+            answer = await self._request_lease(tenant, tokens)
             if answer is None:
                 return Charge.UNKNOWN
             if answer.exhausted:
@@ -50,24 +50,24 @@
         return Charge.PAID
 
     def refund(self, tenant: str, tokens: int) -> None:
-        """The work was refused and never ran; told once for a charge that was paid.
+        """Undo a paid charge for work that was rejected and never ran; to be called once per charge.
 
-        A tenant whose cap has run out is charged nothing more here: its tokens go back to the cap. What is
-        lost on that way, or with this process, counts as spent.
+        While the tenant's cap is used up nothing can be charged here, so the tokens are returned to the
+        control plane. Tokens that are lost on the way, or with this process, count as spent.
         """
         if self._purse.stopped(tenant):
             self._send(LeaseRequest("", tenant, -tokens))
         else:
             self._purse.add(tenant, tokens)
 
-    async def _lease(self, tenant: str, tokens: int) -> LeaseAnswer | None:
+    async def _request_lease(self, tenant: str, tokens: int) -> LeaseAnswer | None:
         future = self._asking.get(tenant)
         if future is None:
             future = asyncio.get_running_loop().create_future()
             if not self._send(LeaseRequest("", tenant, tokens)):
                 return None
             self._asking[tenant] = future
-        done, _ = await asyncio.wait([future], timeout=LEASE_S)
+        done, _ = await asyncio.wait([future], timeout=LEASE_TIMEOUT_S)
         if not done:
             self._asking.pop(tenant, None)
             return None
@@ -80,6 +80,6 @@
             future.set_result(answer)
 
     def give_back(self) -> None:
-        """This process stops."""
+        """Return all unspent tokens to the control plane; called when the process stops."""
         for tenant, tokens in self._purse.unspent().items():
             self._send(LeaseRequest("", tenant, -tokens))
--- a/eiderhub/transport/tasks.py
+++ b/eiderhub/transport/tasks.py
@@ -1,4 +1,7 @@
-"""Tasks that nobody waits for: kept from being collected, and their faults logged and acted on."""
+"""Background tasks that nothing awaits.
+
+The set holds references to them, since the event loop holds only weak ones, and reports their exceptions.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class TaskSet:
-    """The tasks of one program that are under way."""
+    """The running background tasks of one program."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
@@ -20,15 +23,15 @@
     def __len__(self) -> int:
         return len(self._tasks)
 
-    def start(self, coroutine: Coroutine[Any, Any, None], on_fault: Callable[[], None]) -> None:
-        """Run it; `on_fault` is called where it raises: whoever waits for what it does must hear of that."""
+    def start(self, coroutine: Coroutine[Any, Any, None], on_failure: Callable[[], None]) -> None:
+        """Run a coroutine; if it raises, `on_failure` must inform whoever depends on its effect."""
 
-        def ended(task: asyncio.Task[None]) -> None:
+        def on_done(task: asyncio.Task[None]) -> None:
             self._tasks.discard(task)
             if not task.cancelled() and (error := task.exception()) is not None:
-                log.error("a task failed: %r", error)
-                on_fault()
+                log.error("background task failed: %r", error)
+                on_failure()
 
         task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(ended)
+        task.add_done_callback(on_done)
--- a/eiderhub/transport/wire_counts.py
+++ b/eiderhub/transport/wire_counts.py
@@ -1,6 +1,6 @@
-"""What this process could not take of its peers, or did not send them: figures for on-call staff.
+"""Counters of messages that were skipped or withheld, and of frames that could not be decoded.
 
-One instance for the whole process, as for traffic between zones.
+There is one instance per process, shared by all connections.
 """
 
 from __future__ import annotations
@@ -8,52 +8,53 @@
 from collections import Counter
 from enum import Enum
 
-MOST_NAMES = 32  # of unknown messages that are counted by name
-OTHER = "other"  # all further names together
-MOST_NAME_LENGTH = 40
+MAX_KINDS = 32  # kinds of unknown messages that are counted under their own name
+OTHER_KIND = "other"  # label of all further kinds
+MAX_KIND_LENGTH = 40
 
 
 class FrameFault(Enum):
-    """Why a frame ends its connection."""
+    """Why a frame closed its connection."""
 
-    OVERSIZED = "oversized"  # longer than a message may be
-    DEFLATE = "deflate"  # it says that it is deflated, and is not, or inflates to more than a message may be
-    MALFORMED = "malformed"  # no message at all
-    INVALID = "invalid"  # a message of a known type that lacks a field, or has one of another type
+    OVERSIZED = "oversized"  # longer than the maximum message size
+    DEFLATE = "deflate"  # marked as deflated, but not valid, or inflates beyond the maximum message size
+    MALFORMED = "malformed"  # not a tagged message
+    INVALID = "invalid"  # known message type with a missing field, or one of the wrong type
 
 
 class WireCounts:
-    """Counts by kind of message, or by fault."""
+    """Counters by kind of message or by fault."""
 
     def __init__(self) -> None:
         self.reset()
 
     def reset(self) -> None:
-        """Forget all counts."""
+        """Clear all counts."""
         self._skipped: Counter[str] = Counter()
         self._withheld: Counter[str] = Counter()
         self._faults: Counter[FrameFault] = Counter()
 
-    def skipped(self, kind: str) -> None:
-        """A message of a type that this program does not know has come.
+    def count_skipped(self, kind: str) -> None:
+        """Count a message of an unknown type.
 
-        Danger: the name comes from a peer, and a page of figures must stay short.
+        The type name is untrusted input from a peer, so its characters, its length and the number of distinct
+        labels in the metrics are limited.
         """
-        name = kind[:MOST_NAME_LENGTH] if kind.isidentifier() else OTHER
-        if name not in self._skipped and len(self._skipped) >= MOST_NAMES:
-            name = OTHER
-        self._skipped[name] += 1
+        label = kind[:MAX_KIND_LENGTH] if kind.isidentifier() else OTHER_KIND
+        if label not in self._skipped and len(self._skipped) >= MAX_KINDS:
+            label = OTHER_KIND
+        self._skipped[label] += 1
 
-    def withheld(self, kind: str) -> None:
-        """A message was not sent, since the peer has not said that it takes it."""
+    def count_withheld(self, kind: str) -> None:
+        """Count a message that was not sent because the peer has not declared support for it."""
         self._withheld[kind] += 1
 
-    def broken(self, fault: FrameFault) -> None:
-        """A frame has ended its connection."""
+    def count_fault(self, fault: FrameFault) -> None:
+        """Count a frame that closed its connection."""
         self._faults[fault] += 1
 
     def lines(self) -> list[str]:
-        """The figures, one a line, for `GET /metrics`."""
+        """The counters as lines of `GET /metrics`."""
         lines = [f'wire_messages_skipped{{kind="{k}"}} {n}' for k, n in sorted(self._skipped.items())]
         lines += [f'wire_messages_withheld{{kind="{k}"}} {n}' for k, n in sorted(self._withheld.items())]
         return lines + [f'wire_frames_broken{{fault="{f.value}"}} {n}' for f, n in self._faults.items()]
--- a/tests/connection_support.py
+++ b/tests/connection_support.py
@@ -1,4 +1,4 @@
-"""A connection whose bytes are kept, with a handler that keeps what came."""
+"""A connection without a socket, with a transport and a handler that record what they are given."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from eiderhub.transport.framing import Connection
 
 
-class Collected:
-    """A handler that keeps what came."""
+class RecordingHandler:
+    """Records received messages and the end of the connection."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
@@ -23,8 +23,8 @@
         self.closed = True
 
 
-class Wire(asyncio.Transport):
-    """Keeps what was written."""
+class RecordingTransport(asyncio.Transport):
+    """Records the bytes written to it."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -37,14 +37,16 @@
         return 0
 
     def abort(self) -> None:
-        """Nothing: there is no socket."""
+        """Does nothing, since there is no socket."""
 
 
-async def connection_to(zone: str, support: WireSupport = OWN_SUPPORT) -> tuple[Connection, Wire, Collected]:
-    handler = Collected()
+async def connection_to(
+    zone: str, support: WireSupport = OWN_SUPPORT
+) -> tuple[Connection, RecordingTransport, RecordingHandler]:
+    handler = RecordingHandler()
     connection = Connection(handler)
-    wire = Wire()
-    connection._transport = wire
+    transport = RecordingTransport()
+    connection._transport = transport
     connection.peer_zone = zone
     connection.support = support
-    return connection, wire, handler
+    return connection, transport, handler
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,4 +1,4 @@
-"""The driver of a replica: who is a candidate for membership."""
+"""The group driver: failed proposals, and the candidates for membership."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from eiderhub.transport.group import GroupDriver, NotPrimary
 
 
-class Silent:
-    """A connection whose other side has lost its power: it takes everything and never closes."""
+class UnresponsiveConnection:
+    """A connection to a host that has lost power: it accepts every message and never closes."""
 
     def __init__(self) -> None:
         self.sent: list[Message] = []
@@ -29,60 +29,61 @@
         self.sent.append(message)
 
 
-def test_write_that_is_not_proposed_ends_the_epoch(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found by reading: who waits for a write has changed its tables, and they would differ from the store.
+def test_write_that_cannot_be_proposed_ends_the_epoch(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against tables that differ from the store within an epoch.
 
-    The lease ends within the milliseconds in which writes are gathered. Had the epoch gone on, a batch job's
-    next result would have got a position behind one that was never written.
+    A caller that waits for a write has already changed its tables. If the lease ends while the write is still
+    queued, the write is never stored. If the epoch continued, the next result of a batch job would get a
+    position behind one that was never written.
     """
 
     async def test() -> None:
         own = "a@127.0.0.1:1"
         replica = Replica(own, MemoryStore(), 0.0, random.Random(1), GroupSize(None, 1))
         replica.bootstrap([own])
-        driver = GroupDriver(replica, record(own, "z0"), lambda: None)
+        driver = GroupDriver(replica, node_record(own, "z0"), lambda: None)
         replica.tick(driver.now() + 5.0)
         replica.tick(driver.now() + 5.0)
         assert replica.role is Role.PRIMARY
-        before = replica.position
-        waiting = asyncio.ensure_future(driver.write([Write("k", b"v")]))
+        position_before = replica.position
+        write_task = asyncio.ensure_future(driver.write([Write("k", b"v")]))
         await asyncio.sleep(0)
         monkeypatch.setattr(replica, "leads", lambda now: False)
         with pytest.raises(NotPrimary):
-            await waiting
+            await write_task
         assert replica.role.value == "backup"
-        assert replica.position == before
+        assert replica.position == position_before
         driver.stop()
 
     asyncio.run(test())
 
 
-def record(identity: str, zone: str) -> NodeRecord:
+def node_record(identity: str, zone: str) -> NodeRecord:
     return NodeRecord(identity, "storage", zone, identity)
 
 
-def test_identity_that_was_at_an_address_before_is_no_candidate() -> None:
-    """Recorded: safari trouble-2, seed 24077538670.
+def test_previous_identity_at_an_address_is_not_a_join_candidate() -> None:
+    """Guards against a primary that keeps trying to add an identity that no longer exists.
 
-    A storage node lost its disk and came back under another identity. Its old connection to a backup never
-    closed. Once that backup led, it took the dead identity for the candidate that comes first, again and
-    again, and the group stayed one copy short until the next loss was one too many.
+    A storage node loses its disk and returns under another identity, while its old connection to a backup
+    never closes. Once that backup leads, the old identity would be its first candidate every time, and the
+    group would stay one copy short until another loss is one too many.
     """
 
     async def test() -> None:
         own = "a@127.0.0.1:1"
         replica = Replica(own, MemoryStore(), 0.0, random.Random(1), GroupSize(3, 3))
         replica.bootstrap([own, "b@127.0.0.1:2", "c@127.0.0.1:3"])
-        driver = GroupDriver(replica, record(own, "z0"), lambda: None)
-        old, new = Silent(), Silent()
-        driver.greeted(cast(Connection, old), record("0old@127.0.0.1:9", "z9"), OWN_SUPPORT)
-        driver.greeted(cast(Connection, new), record("new@127.0.0.1:9", "z9"), OWN_SUPPORT)
+        driver = GroupDriver(replica, node_record(own, "z0"), lambda: None)
+        old_connection, new_connection = UnresponsiveConnection(), UnresponsiveConnection()
+        driver.greeted(cast(Connection, old_connection), node_record("0old@127.0.0.1:9", "z9"), OWN_SUPPORT)
+        driver.greeted(cast(Connection, new_connection), node_record("new@127.0.0.1:9", "z9"), OWN_SUPPORT)
         replica.role = Role.PRIMARY
-        driver.tend_members()
+        driver.update_members()
         assert replica.candidates == ["new@127.0.0.1:9"]
-        assert [type(m) for m in new.sent] == [Hello]
-        driver.lost("0old@127.0.0.1:9", cast(Connection, old))  # the old connection ends at last
-        driver.tend_members()
+        assert [type(m) for m in new_connection.sent] == [Hello]
+        driver.lost("0old@127.0.0.1:9", cast(Connection, old_connection))
+        driver.update_members()
         assert replica.candidates == ["new@127.0.0.1:9"]
         driver.stop()
 
