--- a/eiderhub/programs/__init__.py
+++ b/eiderhub/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The tier's programs: thin assemblies of the planes' libraries."""
+"""Entry points and services of the tier's processes: edge sidecars, control nodes and storage nodes."""
--- a/eiderhub/programs/batch_calls.py
+++ b/eiderhub/programs/batch_calls.py
@@ -1,4 +1,4 @@
-"""Clients' calls at the storage primary: a job is taken, read, or ended."""
+"""Client requests for batch jobs at the storage primary: submit a job, read its results, end it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class BatchCalls:
-    """Of one storage node.
+    """Handles batch requests at one storage node.
 
-    `terms` gives those of a batch route by its name; `has_space` whether the store has room for so many bytes
-    and for the results of all jobs in the table. `accepted` is called once a job is committed, `ended` once a
-    job's end is.
+    `terms_for` returns the terms of a batch route by route name. `has_space` tells whether the store has room
+    for a body of the given size in bytes and for the expected results of all jobs in the table.
+    `on_job_accepted` is called once a job is committed, `on_job_ended` once the end of a job is committed.
     """
 
     def __init__(
@@ -30,44 +30,47 @@
         jobs: JobTable,
         group: GroupDriver,
         spending: Spending,
-        terms: Callable[[str], BatchTerms | None],
+        terms_for: Callable[[str], BatchTerms | None],
         has_space: Callable[[int], bool],
-        accepted: Callable[[], None],
-        ended: Callable[[str], None],
+        on_job_accepted: Callable[[], None],
+        on_job_ended: Callable[[str], None],
     ) -> None:
         self._jobs = jobs
         self._group = group
         self._spending = spending
-        self._terms = terms
+        self._terms_for = terms_for
         self._has_space = has_space
-        self._accepted = accepted
-        self._ended = ended
+        self._on_job_accepted = on_job_accepted
+        self._on_job_ended = on_job_ended
         self._epoch = 0
-        self._readers: dict[str, list[asyncio.Future[None]]] = {}  # who waits for results, by job
-        self._submitting: dict[str, asyncio.Task[Answer]] = {}
+        self._waiting_readers: dict[str, list[asyncio.Future[None]]] = {}  # waiting for new results, by job
+        self._submissions: dict[str, asyncio.Task[Answer]] = {}
 
-    def begin(self, epoch: int) -> None:
-        """The table has been loaded anew: what is under way belongs to an earlier epoch."""
+    def begin_epoch(self, epoch: int) -> None:
+        """Drop submissions of an earlier epoch, since the job table has been reloaded."""
         self._epoch = epoch
-        self._submitting.clear()
+        self._submissions.clear()
 
-    def tell_readers(self, job: str) -> None:
-        """The job has results that its readers have not seen."""
-        for future in self._readers.pop(job, []):
+    def notify_readers(self, job: str) -> None:
+        """Wake the readers that wait for new results of the job."""
+        for future in self._waiting_readers.pop(job, []):
             if not future.done():
                 future.set_result(None)
 
     async def answer(self, message: BatchCall) -> Answer:
-        """Carry a call out. What is told, absence too, is told only while this node leads for certain."""
+        """Handle a request. Reads are answered only while this node is certainly primary.
+
+        That includes the answer that a job does not exist.
+        """
         try:
             if isinstance(message, Submit):
                 return await self._submit(message)
             if isinstance(message, EndJob):
-                return await self._end(message)
+                return await self._end_job(message)
             if isinstance(message, ReadResults):
-                answer = await self._read(message)
+                answer = await self._read_results(message)
             else:
-                answer = self._body(message)
+                answer = self._read_body(message)
             if not self._group.leads():
                 raise NotPrimary
         except NotPrimary:
@@ -77,70 +80,70 @@
         return answer
 
     @staticmethod
-    def _refused(call: int, refusal: Refusal) -> Answer:
+    def _refusal_answer(call: int, refusal: Refusal) -> Answer:
         return Answer(call, refusal.status, refusal.why.encode())
 
-    # --- taking ---
+    # --- submission ---
 
     async def _submit(self, message: Submit) -> Answer:
-        task = self._submitting.get(message.job)
+        task = self._submissions.get(message.job)
         if task is None:
             task = asyncio.get_running_loop().create_task(self._submit_once(message))
-            self._submitting[message.job] = task
-            task.add_done_callback(lambda task: self._submitted(message.job, task))
+            self._submissions[message.job] = task
+            task.add_done_callback(lambda task: self._submission_done(message.job, task))
         answer = await asyncio.shield(task)
         return Answer(message.call, answer.status, answer.body)
 
-    def _submitted(self, job: str, task: asyncio.Task[Answer]) -> None:
-        if self._submitting.get(job) is task:  # not that of a later epoch
-            del self._submitting[job]
+    def _submission_done(self, job: str, task: asyncio.Task[Answer]) -> None:
+        if self._submissions.get(job) is task:  # not a submission of a later epoch
+            del self._submissions[job]
 
     async def _submit_once(self, message: Submit) -> Answer:
-        terms, epoch = self._terms(message.route), self._epoch
+        terms, epoch = self._terms_for(message.route), self._epoch
         if terms is None:
             return Answer(message.call, STATUS[ErrorKind.NOT_READY])
-        made = self._jobs.submit(time.time(), message.job, terms, message.body)
-        if isinstance(made, Refusal):
-            return self._refused(message.call, made)
-        if not made:
-            return await self._taken_before(message)
+        submitted = self._jobs.submit(time.time(), message.job, terms, message.body)
+        if isinstance(submitted, Refusal):
+            return self._refusal_answer(message.call, submitted)
+        if not submitted:
+            return await self._answer_duplicate(message)
         if not self._has_space(len(message.body)):
             self._jobs.forget(message.job)
-            return self._refused(message.call, Refusal(ErrorKind.NO_ROOM, "the store is nearly full"))
+            return self._refusal_answer(message.call, Refusal(ErrorKind.NO_ROOM, "the store is nearly full"))
         tokens = self._jobs.tokens(message.job)
-        refused = await self._pay(message.route, tokens)
+        refusal = await self._pay(message.route, tokens)
         if self._epoch != epoch:
-            if refused is None:
+            if refusal is None:
                 self._refund(message.route, tokens)
-            raise NotPrimary  # the table has been loaded anew: the job is not there, or another call's
-        if refused is not None:
+            raise NotPrimary  # the table was reloaded: the job is missing or belongs to another request
+        if refusal is not None:
             self._jobs.forget(message.job)
-            return self._refused(message.call, refused)
+            return self._refusal_answer(message.call, refusal)
         try:
-            await self._group.write(made)
+            await self._group.write(submitted)
         except NotPrimary:
             self._refund(message.route, tokens)
             if self._epoch == epoch:
                 self._jobs.forget(message.job)
             raise
         self._jobs.accepted(message.job)
-        self._accepted()
+        self._on_job_accepted()
         return Answer(message.call, 202)
 
-    async def _taken_before(self, message: Submit) -> Answer:
+    async def _answer_duplicate(self, message: Submit) -> Answer:
         if not self._jobs.is_committed(message.job):
             raise NotPrimary
         await self._group.settle()
         return Answer(message.call, 202)
 
     def _refund(self, route: str, tokens: int) -> None:
-        """A job that was paid for was not written, and will be paid for again if it is sent again."""
+        """Refund a job that was charged but not written; it is charged again if it is sent again."""
         tenant = self._spending.tenant_of(route)
         if tenant is not None:
             self._spending.refund(tenant, tokens)
 
     async def _pay(self, route: str, tokens: int) -> Refusal | None:
-        """Charge a new job to its tenant; what is paid for runs, whatever becomes of the cap."""
+        """Charge a new job to its tenant. A charged job runs even if the cap is exhausted later."""
         tenant = self._spending.tenant_of(route)
         if tenant is None:
             return None
@@ -152,30 +155,30 @@
 
     # --- reading and ending ---
 
-    async def _read(self, message: ReadResults) -> Answer:
-        until = self._group.now() + message.wait_ms / 1000
+    async def _read_results(self, message: ReadResults) -> Answer:
+        deadline = self._group.now() + message.wait_ms / 1000
         while True:
             page = self._jobs.page(message.job, message.start)
             if isinstance(page, Refusal):
-                return self._refused(message.call, page)
-            left = until - self._group.now()
-            if page.results or left <= 0:
+                return self._refusal_answer(message.call, page)
+            remaining_s = deadline - self._group.now()
+            if page.results or remaining_s <= 0:
                 return Answer(message.call, 200, msgspec.json.encode(page))
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-            self._readers.setdefault(message.job, []).append(future)
-            await asyncio.wait([future], timeout=left)
+            self._waiting_readers.setdefault(message.job, []).append(future)
+            await asyncio.wait([future], timeout=remaining_s)
 
-    def _body(self, message: ReadBody) -> Answer:
+    def _read_body(self, message: ReadBody) -> Answer:
         body = self._jobs.body(message.job, message.item)
         if isinstance(body, Refusal):
-            return self._refused(message.call, body)
+            return self._refusal_answer(message.call, body)
         return Answer(message.call, 200, body)
 
-    async def _end(self, message: EndJob) -> Answer:
+    async def _end_job(self, message: EndJob) -> Answer:
         if not self._group.leads():
             raise NotPrimary
         if message.job not in self._jobs.jobs:
-            return self._refused(message.call, Refusal(ErrorKind.UNKNOWN, "no such job"))
+            return self._refusal_answer(message.call, Refusal(ErrorKind.UNKNOWN, "no such job"))
         await self._group.commit(lambda: self._jobs.end(message.job))
-        self._ended(message.job)
+        self._on_job_ended(message.job)
         return Answer(message.call, 200)
--- a/eiderhub/programs/control.py
+++ b/eiderhub/programs/control.py
@@ -1,4 +1,4 @@
-"""The control program: one replica of the control state, the operator's API, sessions of other processes."""
+"""The control program: a replica of the control state, the operator API and control sessions."""
 
 from __future__ import annotations
 
@@ -18,31 +18,32 @@
 from eiderhub.transport.framing import Connection
 from eiderhub.transport.metrics import serve_metrics
 
-METRICS_PORT_OFFSET = 1  # from the last free port
+METRICS_PORT_OFFSET = 1  # subtracted from the last port of `port_range`
 
 log = logging.getLogger("control")
 
 
-def founding_identity(target: str) -> str:
-    """The identity that a seed has in the group's first start, which all others can tell from its address."""
-    return f"founder@{target}"
+def bootstrap_identity(seed_address: str) -> str:
+    """Return the identity of a seed at the group's first start; other seeds derive it from the address."""
+    return f"founder@{seed_address}"
 
 
 async def serve(settings: TierSettings, stop: asyncio.Event, reload: asyncio.Event) -> None:
-    own = f"{settings.ip}:{settings.first_port}"
+    own_address = f"{settings.ip}:{settings.first_port}"
     seeds = [f"{address.parse(seed).host}:{settings.first_port}" for seed in settings.seeds]
-    founder = settings.bootstrap and own in seeds
-    identity = founding_identity(own) if founder else f"{uuid.uuid4().hex[:10]}@{own}"
+    bootstraps = settings.bootstrap and own_address in seeds
+    identity = bootstrap_identity(own_address) if bootstraps else f"{uuid.uuid4().hex[:10]}@{own_address}"
     store = open_store(settings, identity)
     node = NodeRecord(settings.node_name, "control", settings.zone, store.identity, WIRE_VERSION)
     service = ControlService(settings, store, node)
-    if founder:
-        service.group.replica.bootstrap(founding_identity(seed) for seed in seeds)
+    if bootstraps:
+        service.group.replica.bootstrap(bootstrap_identity(seed) for seed in seeds)
     loop = asyncio.get_running_loop()
     await loop.create_server(lambda: Connection(service), settings.ip, settings.first_port)
     await serve_metrics(service.metrics, settings.ip, settings.last_port - METRICS_PORT_OFFSET)
     host, port = address.parse(settings.control)
-    # Imported here: the replica takes part in its group meanwhile, and no call is due before it leads.
+    # Imported late, so that the replica can already join its group meanwhile: no operator request is due
+    # before this node is primary.
     from eiderhub.transport.operator_http import OperatorServer
 
     operator = OperatorServer(host, port, service.operator.handle)
@@ -56,11 +57,11 @@
 def main(*, settings: str | None = None) -> None:
     """Run a control node.
 
-    :param settings: the settings file, in place of the one that OTTERCLEAT_CONFIG names
+    :param settings: the settings file; by default the one named by OTTERCLEAT_CONFIG
     """
     random.seed()
     starting.run(serve, settings)
 
 
 if __name__ == "__main__":
-    starting.begin(main)
+    starting.run_command_line(main)
--- a/eiderhub/programs/control_service.py
+++ b/eiderhub/programs/control_service.py
@@ -1,4 +1,4 @@
-"""A control node: replicates the control state, keeps sessions and streams tables to them."""
+"""A control node: replicates the control state and sends table updates to its sessions."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from eiderhub.programs.operator_service import OperatorService
 from eiderhub.programs.replica_host import ReplicaHost
 from eiderhub.programs.settings import TierSettings
-from eiderhub.programs.storage_tending import StorageTending
+from eiderhub.programs.storage_tending import StorageGroupManager
 from eiderhub.storage.store import LmdbStore
 from eiderhub.transport.control_session import ControlSession
 from eiderhub.transport.frames import Message
@@ -50,9 +50,9 @@
 from eiderhub.transport.traffic import TRAFFIC
 from eiderhub.transport.wire_counts import WIRE_COUNTS
 
-PUBLISH_S = 0.1  # how often the session table is looked at for changes
-SETTLE_S = 1.2  # a new primary waits so long for sessions to come back before it publishes who is there
-LIST_PARTS = 3.0  # the platform's list is read so often within the time that draining may take to be told
+PUBLISH_INTERVAL_S = 0.1  # between checks of the session table for changes
+SESSION_RECONNECT_S = 1.2  # for sessions to reconnect to a new primary before it publishes the node list
+LIST_READS_PER_DRAIN = 3.0  # reads of the platform's endpoint list within `bounds.drain_ms`
 SESSIONS_KEY = "sessions"
 
 log = logging.getLogger("control")
@@ -71,45 +71,55 @@
         self._rng = random.Random(node.identity)
         self.tables = Tables()
         self._sessions: dict[Connection, Session] = {}
-        self._table = SessionTable()
-        self._load = LoadTable()
-        self._zones: dict[str, str] = {}  # by endpoint, of the list of that version
-        self._zones_version = self.tables.endpoints.version
-        least = copies_needed(settings.fault_tolerance)
+        self._session_table = SessionTable()
+        self._load_table = LoadTable()
+        self._endpoint_zones: dict[str, str] = {}  # by endpoint, for `_endpoint_zones_version`
+        self._endpoint_zones_version = self.tables.endpoints.version
+        replicas_needed = copies_needed(settings.fault_tolerance)
         self._host = ReplicaHost(
-            store, node, self._rng, GroupSize(None, least), self._on_change, settings.catch_up_s
+            store,
+            node,
+            self._rng,
+            GroupSize(None, replicas_needed),
+            self._on_replica_change,
+            settings.catch_up_s,
         )
         self.group = self._host.group
-        self._storage = StorageTending(self.group, store, least, gathers=not settings.zones_lost)
+        self._storage_group = StorageGroupManager(
+            self.group, store, replicas_needed, prefers_same_zones=not settings.zones_lost
+        )
         control_port = address.parse(settings.control).port
         self.operator = OperatorService(
-            node, self.group, store, self.tables, control_port, least, self._storage_nodes
+            node, self.group, store, self.tables, control_port, replicas_needed, self._storage_nodes
         )
-        self._led_since = 0.0
-        self._number = 0
-        self._reader = PlatformReader(settings.platform) if settings.platform else None
-        self._ledger = SpendingLedger()
-        self._leasing: set[asyncio.Future[None]] = set()
-        self._passed_on: dict[str, tuple[Connection, str]] = {}  # lease requests on their way to the primary
-        self._serial = itertools.count(1)
+        self._leading_since = 0.0
+        self._last_version_number = 0
+        self._platform_reader = PlatformReader(settings.platform) if settings.platform else None
+        self._spending_ledger = SpendingLedger()
+        self._lease_tasks: set[asyncio.Future[None]] = set()
+        self._forwarded_leases: dict[str, tuple[Connection, str]] = {}  # sent to the primary, by origin
+        self._lease_numbers = itertools.count(1)
         self._session = ControlSession(
             node,
             self.tables,
             self._primary_address,
-            self._push,
-            self._describe,
+            self._send_updates,
+            self._complete_ping,
             self._on_lease_answer,
             self._on_load,
         )
         self._publication = Publication(
-            self.tables, self._session.freshness, self.group.replica, self.operator.desk
+            self.tables, self._session.freshness, self.group.replica, self.operator.change_processor
         )
-        for seed in self._seeds():
+        for seed in self._seed_addresses():
             self.group.know(seed)
         loop = asyncio.get_running_loop()
-        self._tasks = [loop.create_task(self._publish()), loop.create_task(self._read_list())]
+        self._tasks = [
+            loop.create_task(self._publish_nodes_forever()),
+            loop.create_task(self._poll_platform_forever()),
+        ]
 
-    def _seeds(self) -> list[str]:
+    def _seed_addresses(self) -> list[str]:
         return [f"{address.parse(s).host}:{self._settings.first_port}" for s in self._settings.seeds]
 
     def _now(self) -> float:
@@ -121,15 +131,15 @@
         if self._host.on_message(connection, message):
             return
         if isinstance(message, SessionOpen):
-            self._open(connection, message)
+            self._open_session(connection, message)
         elif isinstance(message, SessionPing):
             self._on_ping(connection, message)
         elif isinstance(message, LeaseRequest):
-            task = asyncio.ensure_future(self._lease(connection, message))
-            self._leasing.add(task)
-            task.add_done_callback(self._leasing.discard)
+            task = asyncio.ensure_future(self._handle_lease_request(connection, message))
+            self._lease_tasks.add(task)
+            task.add_done_callback(self._lease_tasks.discard)
 
-    def _open(self, connection: Connection, message: SessionOpen) -> None:
+    def _open_session(self, connection: Connection, message: SessionOpen) -> None:
         self._sessions[connection] = Session(message.node, Subscriber())
         connection.peer_zone = message.node.zone
         connection.support = message.support
@@ -138,40 +148,40 @@
     def on_closed(self, connection: Connection) -> None:
         self._host.on_closed(connection)
         self._sessions.pop(connection, None)
-        self._load.forget(connection)
+        self._load_table.forget(connection)
 
     def _on_ping(self, connection: Connection, ping: SessionPing) -> None:
         session = self._sessions.get(connection)
         if session is None:
             return
         now = self._now()
-        self._table.heard(now, session.node)
+        self._session_table.heard(now, session.node)
         if session.node.role == "control":
-            self._table.report(now, session.node.identity, ping.attached)
+            self._session_table.report(now, session.node.identity, ping.attached)
         if ping.group is not None:
-            self._storage.report = ping.group
+            self._storage_group.report = ping.group
         for message in self._publication.answer(now, session.subscriber, ping):
             connection.send(message)
-        self._load.report(now, connection, ping.calls)
-        self._tell_load(now, connection, session.node)
+        self._load_table.report(now, connection, ping.calls)
+        self._send_load(now, connection, session.node)
 
-    def _tell_load(self, now: float, connection: Connection, node: NodeRecord) -> None:
-        """Tell a session what all others have out: a sidecar of what is near, all others of everything."""
+    def _send_load(self, now: float, connection: Connection, node: NodeRecord) -> None:
+        """Send the calls in flight of all other sessions; sidecars only get those near their zone."""
         if node.role == SIDECAR:
-            calls = self._load.nearest(now, connection, node.zone, self._zone_of_endpoint)
+            calls = self._load_table.nearest(now, connection, node.zone, self._zone_of_endpoint)
         else:
-            calls = self._load.others(now, connection)
+            calls = self._load_table.others(now, connection)
         connection.send(LoadUpdate(calls))
 
     def _zone_of_endpoint(self, endpoint: str) -> str:
         version = self.tables.endpoints.version
-        if version != self._zones_version:
-            self._zones_version = version
-            self._zones = {record.id: record.zone for record in self.tables.endpoints.endpoints}
-        return self._zones.get(endpoint, "")
+        if version != self._endpoint_zones_version:
+            self._endpoint_zones_version = version
+            self._endpoint_zones = {record.id: record.zone for record in self.tables.endpoints.endpoints}
+        return self._endpoint_zones.get(endpoint, "")
 
     def _on_load(self, calls: Mapping[str, int]) -> None:
-        self._load.heard_elsewhere(self._now(), calls)
+        self._load_table.heard_elsewhere(self._now(), calls)
 
     def _primary_address(self) -> list[str]:
         primary = self.group.replica.primary
@@ -179,173 +189,183 @@
             return []
         return [address_of(primary)]
 
-    def _describe(self, ping: SessionPing) -> SessionPing:
-        """A backup reports its sessions, their calls, and the storage group's state to the primary."""
-        attached = [n for n in self._table.own(self._now()) if n.role != "control"]
-        report, self._storage.report = self._storage.report, None
-        calls = self._load.own(self._now())
+    def _complete_ping(self, ping: SessionPing) -> SessionPing:
+        """Add this node's sessions, their calls in flight and the storage group's state to a ping."""
+        attached = [n for n in self._session_table.own(self._now()) if n.role != "control"]
+        report, self._storage_group.report = self._storage_group.report, None
+        calls = self._load_table.own(self._now())
         return msgspec.structs.replace(ping, attached=attached, group=report, calls=calls)
 
-    def _push(self) -> None:
+    def _send_updates(self) -> None:
         for connection, session in list(self._sessions.items()):
-            self._push_to(connection, session)
+            self._send_updates_to(connection, session)
 
-    def _push_to(self, connection: Connection, session: Session) -> None:
+    def _send_updates_to(self, connection: Connection, session: Session) -> None:
         for update in self._publication.pending(self._now(), session.subscriber):
             connection.send(update)
 
-    # --- leading ---
+    # --- primary ---
 
-    def _on_change(self) -> None:
-        self.operator.step()
+    def _on_replica_change(self) -> None:
+        self.operator.resolve_changes()
         now = self._now()
         if self._publication.begin(now):
             replica = self.group.replica
-            self._led_since = now
-            self._number = 0
-            self._storage.begin()
+            self._leading_since = now
+            self._last_version_number = 0
+            self._storage_group.begin_epoch()
             log.info("leads epoch %d from version %d", replica.epoch, replica.position.version)
             self._restore_sessions()
-            self._restore_list()
-            self._ledger.load(dict(self._store.scan(LEASED_PREFIX)))
+            self._restore_endpoints()
+            self._spending_ledger.load(dict(self._store.scan(LEASED_PREFIX)))
             self._on_configuration()
         elif self._publication.follow(now) is not None:
             self._on_configuration()
 
     def _leads(self) -> bool:
-        """Whether this node leads, with the state of its own epoch."""
+        """Whether this node is primary and publishes the state of its own epoch."""
         return self._publication.leads(self._now())
 
     def _storage_nodes(self) -> list[NodeRecord]:
-        return [n for n in self._table.all(self._now()) if n.role == "storage" and n.identity]
+        return [n for n in self._session_table.all(self._now()) if n.role == "storage" and n.identity]
 
     def _restore_sessions(self) -> None:
-        """Begin with the session table as the last primary replicated it."""
+        """Load the session table that the previous primary replicated."""
         value = self._store.get(SESSIONS_KEY)
         if value is not None:
             nodes, sidecars = msgspec.json.decode(value, type=tuple[list[NodeRecord], int])
-            self._table.restore(self._now(), nodes, sidecars)
+            self._session_table.restore(self._now(), nodes, sidecars)
             self._publish_nodes()
 
-    def _restore_list(self) -> None:
-        """After a loss of all, begin with the kept list, before the platform has been asked."""
-        listed = provisional_list(self._store, self.tables.endpoints)
-        if listed is not None:
-            self.tables.apply(EndpointsUpdate(self._next_version(), listed))
-            self._push()
+    def _restore_endpoints(self) -> None:
+        """Publish the stored endpoint list if none is known, before the platform has been read.
+
+        That is the case after all control nodes have restarted.
+        """
+        endpoints = provisional_list(self._store, self.tables.endpoints)
+        if endpoints is not None:
+            self.tables.apply(EndpointsUpdate(self._next_version(), endpoints))
+            self._send_updates()
 
     def _on_configuration(self) -> None:
-        """The newest committed configuration is another one."""
+        """Publish a newly committed configuration."""
         current = self.tables.configuration
-        self._push()
+        self._send_updates()
         if current.generation:
-            log.info("configuration %d is in force", current.generation)
-            self._ledger.follow(tenants_of(current.document))
+            log.info("configuration %d is active", current.generation)
+            self._spending_ledger.follow(tenants_of(current.document))
             self._publish_spending()
 
     # --- spending ---
 
-    async def _lease(self, connection: Connection, request: LeaseRequest) -> None:
-        """Lease tokens of a tenant's cap, or pass the request on to who leads."""
+    async def _handle_lease_request(self, connection: Connection, request: LeaseRequest) -> None:
+        """Lease tokens of a tenant's spending cap, or forward the request to the primary."""
         if not self._leads():
-            origin = f"{self._node.name} {next(self._serial)}"
+            origin = f"{self._node.name} {next(self._lease_numbers)}"
             if self._session.send(msgspec.structs.replace(request, origin=origin)):
-                self._passed_on[origin] = (connection, request.origin)
+                self._forwarded_leases[origin] = (connection, request.origin)
             return
         try:
             if request.tokens < 0:
-                await self.group.write(self._ledger.give_back(request.tenant, -request.tokens))
+                await self.group.write(self._spending_ledger.give_back(request.tenant, -request.tokens))
                 self._publish_spending()
                 return
-            leased = self._ledger.lease(request.tenant, request.tokens)
+            leased = self._spending_ledger.lease(request.tenant, request.tokens)
             if leased.writes:
                 await self.group.write(leased.writes)
         except (NotPrimary, CommitUnknown):
-            return  # it asks again; what may have been leased counts as spent
+            return  # the requester retries; tokens that may have been leased count as spent
         connection.send(LeaseAnswer(request.origin, request.tenant, leased.tokens, leased.exhausted))
         self._publish_spending()
 
     def _on_lease_answer(self, answer: LeaseAnswer) -> None:
-        found = self._passed_on.pop(answer.origin, None)
-        if found is not None:
-            connection, origin = found
+        forwarded = self._forwarded_leases.pop(answer.origin, None)
+        if forwarded is not None:
+            connection, origin = forwarded
             connection.send(msgspec.structs.replace(answer, origin=origin))
 
     def _publish_spending(self) -> None:
-        """Have every process stop taking the work of tenants whose cap has run out."""
-        exhausted = self._ledger.exhausted()
+        """Publish the tenants with exhausted caps, so that all processes refuse their work."""
+        exhausted = self._spending_ledger.exhausted()
         if exhausted != self.tables.spending.exhausted:
             self.tables.apply(SpendingUpdate(self._next_version(), exhausted))
-            self._push()
-            log.info("spending caps that have run out: %s", ", ".join(exhausted) or "none")
+            self._send_updates()
+            log.info("exhausted spending caps: %s", ", ".join(exhausted) or "none")
 
     def _next_version(self) -> TableVersion:
-        self._number += 1
-        return TableVersion(self._publication.epoch, self._number)
+        self._last_version_number += 1
+        return TableVersion(self._publication.epoch, self._last_version_number)
 
-    async def _publish(self) -> None:
+    async def _publish_nodes_forever(self) -> None:
         while True:
-            await asyncio.sleep(PUBLISH_S)
+            await asyncio.sleep(PUBLISH_INTERVAL_S)
             try:
-                if self._leads() and self._now() - self._led_since > SETTLE_S:
-                    await self._storage.tend(self._storage_nodes(), self.operator.orders())
+                if self._leads() and self._now() - self._leading_since > SESSION_RECONNECT_S:
+                    await self._storage_group.update(self._storage_nodes(), self.operator.retire_orders())
                     await self.group.commit(self._publish_nodes)
             except (NotPrimary, CommitUnknown):
                 pass
-            except Exception as error:  # Danger: without this task nobody would hear of new nodes
-                log.error("nodes could not be published: %r", error)
+            except Exception as error:  # the task must go on, or new nodes would not be published
+                log.error("could not publish nodes: %r", error)
 
     def _publish_nodes(self) -> list[Write]:
-        """Tell the sessions who is there, where that has changed; what the next primary is to begin with."""
-        nodes = self._table.named(self._now())
-        sidecars = self._table.sidecars(self._now())
+        """Publish the node list if it has changed; return the writes that restore it at the next primary."""
+        nodes = self._session_table.named(self._now())
+        sidecars = self._session_table.sidecars(self._now())
         if self._node not in nodes:
-            own = (self._node.name, self._node.role)
-            nodes = [*(node for node in nodes if (node.name, node.role) != own), self._node]
-        retirements = retirement.published(self.operator.orders())
+            own_key = (self._node.name, self._node.role)
+            nodes = [*(node for node in nodes if (node.name, node.role) != own_key), self._node]
+        retirements = retirement.published(self.operator.retire_orders())
         current = self.tables.nodes
-        versions = self._table.wire_versions(self._now(), self._node)
-        made = NodesUpdate(current.version, nodes, sidecars, self._storage.founders(), retirements, versions)
-        if made != current:
-            self.tables.apply(msgspec.structs.replace(made, version=self._next_version()))
-            self._push()
+        wire_versions = self._session_table.wire_versions(self._now(), self._node)
+        update = NodesUpdate(
+            current.version,
+            nodes,
+            sidecars,
+            self._storage_group.founding_members(),
+            retirements,
+            wire_versions,
+        )
+        if update != current:
+            self.tables.apply(msgspec.structs.replace(update, version=self._next_version()))
+            self._send_updates()
             return [Write(SESSIONS_KEY, msgspec.json.encode((nodes, sidecars)))]
         return []
 
-    async def _read_list(self) -> None:
-        """The primary alone reads the platform's list."""
-        pause = self._settings.drain_ms / 1000 / LIST_PARTS
+    async def _poll_platform_forever(self) -> None:
+        """Read the platform's endpoint list regularly, on the primary only."""
+        interval_s = self._settings.drain_ms / 1000 / LIST_READS_PER_DRAIN
         while True:
-            if not self._leads() or self._reader is None:
-                await asyncio.sleep(PUBLISH_S)
+            if not self._leads() or self._platform_reader is None:
+                await asyncio.sleep(PUBLISH_INTERVAL_S)
                 continue
-            started, epoch = self._now(), self._publication.epoch
+            started_at, epoch = self._now(), self._publication.epoch
             try:
-                listed = await asyncio.to_thread(self._reader.read)
+                endpoints = await asyncio.to_thread(self._platform_reader.read)
             except PlatformUnavailable as error:
-                log.warning("the platform's list could not be read: %s", error)
+                log.warning("could not read the platform's endpoint list: %s", error)
             else:
                 if self._leads() and self._publication.epoch == epoch:
-                    self._listed(listed)
-                    await self._keep_list(listed)
-            await asyncio.sleep(max(0.05, pause - (self._now() - started)))
+                    self._publish_endpoints(endpoints)
+                    await self._store_endpoints(endpoints)
+            await asyncio.sleep(max(0.05, interval_s - (self._now() - started_at)))
 
-    def _listed(self, listed: list[EndpointRecord]) -> None:
+    def _publish_endpoints(self, endpoints: list[EndpointRecord]) -> None:
         current = self.tables.endpoints
-        if listed != current.endpoints or current.version.epoch != self._publication.epoch:
-            self.tables.apply(EndpointsUpdate(self._next_version(), listed))
-            self._push()
+        if endpoints != current.endpoints or current.version.epoch != self._publication.epoch:
+            self.tables.apply(EndpointsUpdate(self._next_version(), endpoints))
+            self._send_updates()
 
-    async def _keep_list(self, listed: list[EndpointRecord]) -> None:
-        writes = writes_of(self._store, listed)
+    async def _store_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+        writes = writes_of(self._store, endpoints)
         try:
             if writes:
                 await self.group.write(writes)
         except (NotPrimary, CommitUnknown) as error:
-            log.info("the list is not kept: %r", error)
+            log.info("could not store the endpoint list: %r", error)
 
     def metrics(self) -> list[str]:
-        """The figures of this node, one a line."""
+        """Metrics of this node, one per line."""
         replica = self.group.replica
         return [
             f"leads {self._leads():d}",
--- a/eiderhub/programs/dead_letters.py
+++ b/eiderhub/programs/dead_letters.py
@@ -1,7 +1,7 @@
-"""Lists items that nobody will run any more, and forgets jobs that are long over; on the storage primary.
+"""Lists items that will never run as dead letters and purges old jobs, on the storage primary.
 
-Its commits may wait for as long as a backup is away. So it has a task of its own: items are given out
-meanwhile.
+It runs as a task of its own, since its commits may block for as long as a backup is unreachable and items
+must be assigned meanwhile.
 """
 
 from __future__ import annotations
@@ -17,61 +17,63 @@
 from eiderhub.coordination.messages import Write
 from eiderhub.transport.group import CommitUnknown, GroupDriver, NotPrimary
 
-LOOK_S = 0.5  # how often dead letters are looked for
-FAULT_PAUSE_S = 1.0  # after a fault of the program itself
+CHECK_INTERVAL_S = 0.5  # between searches for dead letters
+ERROR_PAUSE_S = 1.0  # after an unexpected exception
 
 log = logging.getLogger("storage")
 
 
-class DeadLetters:
-    """Of one storage node; does nothing unless it leads.
+class DeadLetterTask:
+    """Runs on each storage node; does nothing unless the node is primary.
 
-    `routes` gives the names of the routes in force, None where they are not known for certain. `listed` is
-    called for each item once its end is committed.
+    `known_routes` returns the names of the active routes, or None if they are not known for certain.
+    `on_dead_letter` is called for each item once its dead letter is committed.
     """
 
     def __init__(
         self,
         jobs: JobTable,
         group: GroupDriver,
-        routes: Callable[[], set[str] | None],
-        listed: Callable[[ItemKey], None],
+        known_routes: Callable[[], set[str] | None],
+        on_dead_letter: Callable[[ItemKey], None],
         status_ttl_s: float,
     ) -> None:
         self._jobs = jobs
         self._group = group
-        self._routes = routes
-        self._listed = listed
+        self._known_routes = known_routes
+        self._on_dead_letter = on_dead_letter
         self._status_ttl_s = status_ttl_s
 
     async def run_forever(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             try:
                 if self._group.leads():
-                    await self._bury()
-                    await self._purge()
+                    await self._list_dead_letters()
+                    await self._purge_ended_job()
             except (NotPrimary, CommitUnknown):
-                pass  # the next primary does what is left
-            except Exception as error:  # Danger: were this task to end, such items would wait with nobody
-                log.error("dead letters could not be listed: %r", error)
-                await asyncio.sleep(FAULT_PAUSE_S)
-
-    async def _bury(self) -> None:
-        """List all items that are dead letters now, in one commit."""
-        if not self._jobs.hopeless(time.time(), self._routes()):
+                pass  # the next primary does the rest
+            except Exception as error:  # the task must go on, or such items would wait forever
+                log.error("could not list dead letters: %r", error)
+                await asyncio.sleep(ERROR_PAUSE_S)
+
+    async def _list_dead_letters(self) -> None:
+        """List all current dead letters in one commit."""
+        if not self._jobs.hopeless(time.time(), self._known_routes()):
             return
-        buried: list[ItemKey] = []
+        keys: list[ItemKey] = []
 
         def change() -> list[Write]:
-            items = self._jobs.hopeless(time.time(), self._routes())  # as things stand when it is written
-            buried.extend(item.key for item in items)
-            return [write for key in buried for write in self._jobs.finish(key, False, "")]
+            items = self._jobs.hopeless(
+                time.time(), self._known_routes()
+            )  # evaluated again at the time of the write
+            keys.extend(item.key for item in items)
+            return [write for key in keys for write in self._jobs.finish(key, False, "")]
 
         await self._group.commit(change)
-        for key in buried:
-            self._listed(key)
+        for key in keys:
+            self._on_dead_letter(key)
 
-    async def _purge(self) -> None:
-        """Forget one job that is long over."""
+    async def _purge_ended_job(self) -> None:
+        """Remove one job whose status retention has expired."""
         await self._group.commit(lambda: self._jobs.purge(time.time(), self._status_ttl_s))
--- a/eiderhub/programs/operator_service.py
+++ b/eiderhub/programs/operator_service.py
@@ -1,4 +1,4 @@
-"""The operator's API at a control node: the configuration, retirements, and what the node knows."""
+"""The operator API of a control node: configuration, retirement of storage nodes, and status."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from eiderhub.transport.group import CommitUnknown, GroupDriver, NotPrimary
 from eiderhub.transport.operator_calls import Call, Reply
 
-KNOWN_PREFIX = "storage/known/"  # identities by machine, of storage nodes that have had a session
+STORAGE_IDENTITY_PREFIX = "storage/known/"  # identities of storage nodes seen so far, by node name
 CONFIG_PATH, STATUS_PATH, RETIRE_PATH = "/config", "/status", "/retire/"
 
 log = logging.getLogger("operator")
 
-DeskAnswer = Answer[asyncio.Future["DeskAnswer"]]
+PendingChangeResult = Answer[asyncio.Future["PendingChangeResult"]]
 
 
 class NodeStatus(msgspec.Struct):
@@ -48,13 +48,16 @@
     primary: str
     members: list[str]
     sidecars: int
-    wire_versions: dict[str, int]  # how many processes, sidecars too, speak each
-    form: int  # in which records of the control state may be written
+    wire_versions: dict[str, int]  # number of processes, including sidecars, by version
+    form: int  # record format in which the control state may be written
     nodes: list[NodeStatus]
 
 
 class OperatorService:
-    """`storage_nodes` gives those that have sessions; `least` of them must remain after a retirement."""
+    """Handles operator requests.
+
+    `storage_nodes` returns those that have sessions; `min_storage_nodes` must remain after a retirement.
+    """
 
     def __init__(
         self,
@@ -63,7 +66,7 @@
         store: LmdbStore,
         tables: Tables,
         control_port: int,
-        least: int,
+        min_storage_nodes: int,
         storage_nodes: Callable[[], list[NodeRecord]],
     ) -> None:
         self._node = node
@@ -71,20 +74,20 @@
         self._store = store
         self._tables = tables
         self._control_port = control_port
-        self._least = least
+        self._min_storage_nodes = min_storage_nodes
         self._storage_nodes = storage_nodes
-        self.desk: Desk[asyncio.Future[DeskAnswer]] = Desk(group.replica, store)
+        self.change_processor: Desk[asyncio.Future[PendingChangeResult]] = Desk(group.replica, store)
 
     async def handle(self, call: Call) -> Reply:
         if call.path == STATUS_PATH and call.method == "GET":
             return self._status()
         if not self._group.leads():
-            return self._elsewhere(call)
+            return self._redirect(call)
         if call.path == CONFIG_PATH:
             if call.method == "GET":
-                return self._current()
+                return self._read_configuration()
             if call.method in ("PUT", "PATCH"):
-                return await self._change(call)
+                return await self._change_configuration(call)
         elif call.path.startswith(RETIRE_PATH):
             name = call.path.removeprefix(RETIRE_PATH)
             if call.method == "GET":
@@ -93,7 +96,7 @@
                 return await self._retire(name)
         return Reply(HTTPStatus.NOT_FOUND)
 
-    def _elsewhere(self, call: Call) -> Reply:
+    def _redirect(self, call: Call) -> Reply:
         primary = self._group.replica.primary
         if primary is None or primary == self._node.identity:
             return Reply(HTTPStatus.SERVICE_UNAVAILABLE)
@@ -101,11 +104,11 @@
         return Reply(HTTPStatus.TEMPORARY_REDIRECT, location=f"http://{host}:{self._control_port}{call.path}")
 
     @staticmethod
-    def _refused(refusal: Refusal) -> Reply:
+    def _refusal_reply(refusal: Refusal) -> Reply:
         return Reply(refusal.status, msgspec.json.encode({"error": refusal.kind.value, "why": refusal.why}))
 
     def _status(self) -> Reply:
-        """What this node knows, whether it leads or not."""
+        """Return the status as known to this node, primary or not."""
         replica = self._group.replica
         status = Status(
             node=self._node.name,
@@ -124,41 +127,41 @@
 
     # --- the configuration ---
 
-    def _current(self) -> Reply:
-        newest = self.desk.newest(self._group.now())
+    def _read_configuration(self) -> Reply:
+        newest = self.change_processor.newest(self._group.now())
         if newest is None:
             return Reply(HTTPStatus.SERVICE_UNAVAILABLE)
         return Reply(HTTPStatus.OK, newest.body)
 
-    async def _change(self, call: Call) -> Reply:
+    async def _change_configuration(self, call: Call) -> Reply:
         base = call.base.strip().strip('"')
         if not base.isdigit():
-            return self._refused(Refusal(ErrorKind.INVALID, "If-Match: must be a generation"))
-        future: asyncio.Future[DeskAnswer] = asyncio.get_running_loop().create_future()
-        self.desk.submit(Change(int(base), call.method == "PATCH", call.body), future)
+            return self._refusal_reply(Refusal(ErrorKind.INVALID, "If-Match: must be a generation"))
+        future: asyncio.Future[PendingChangeResult] = asyncio.get_running_loop().create_future()
+        self.change_processor.submit(Change(int(base), call.method == "PATCH", call.body), future)
         self._group.flush()
         answer = await future
         if answer.outcome is Outcome.REFUSED and answer.refusal is not None:
-            return self._refused(answer.refusal)
+            return self._refusal_reply(answer.refusal)
         if answer.outcome is Outcome.NOT_PRIMARY:
-            return self._elsewhere(call)
+            return self._redirect(call)
         if answer.outcome is Outcome.UNKNOWN:
             return Reply(HTTPStatus.GATEWAY_TIMEOUT)
         return Reply(HTTPStatus.OK)
 
-    def step(self) -> None:
-        """Go on with the changes; called after each step of the replica."""
-        for answer in self.desk.step(self._group.now()):
-            if not answer.caller.done():  # its caller may have given up
+    def resolve_changes(self) -> None:
+        """Resolve pending changes; called after each step of the replica."""
+        for answer in self.change_processor.step(self._group.now()):
+            if not answer.caller.done():  # the caller may have been cancelled
                 answer.caller.set_result(answer)
 
     # --- retirement ---
 
-    def orders(self) -> dict[str, RetireOrder]:
+    def retire_orders(self) -> dict[str, RetireOrder]:
         return retirement.read_orders(self._store.scan(retirement.RETIRE_PREFIX))
 
     async def _retire_state(self, name: str) -> Reply:
-        order = self.orders().get(name)
+        order = self.retire_orders().get(name)
         if order is None:
             return Reply(HTTPStatus.NOT_FOUND)
         try:
@@ -169,18 +172,18 @@
         return Reply(HTTPStatus.OK, msgspec.json.encode({"state": state}))
 
     async def _retire(self, name: str) -> Reply:
-        known = self._store.get(KNOWN_PREFIX + name)
-        if known is None:
+        stored_identity = self._store.get(STORAGE_IDENTITY_PREFIX + name)
+        if stored_identity is None:
             return Reply(HTTPStatus.NOT_FOUND)
-        identity = known.decode()
-        orders = self.orders()
+        identity = stored_identity.decode()
+        orders = self.retire_orders()
         try:
             if not retirement.is_repeat(orders.get(name), identity):
-                refusal = self._too_few_without(identity, orders)
+                refusal = self._refuse_if_too_few_remain(identity, orders)
                 if refusal is not None:
-                    return self._refused(refusal)
+                    return self._refusal_reply(refusal)
                 await self._group.write([retirement.write_order(name, RetireOrder([identity]))])
-                log.info("storage node %s is to be emptied", name)
+                log.info("retirement of storage node %s requested", name)
             else:
                 await self._group.settle()
         except NotPrimary:
@@ -189,9 +192,9 @@
             return Reply(HTTPStatus.GATEWAY_TIMEOUT)
         return Reply(HTTPStatus.OK)
 
-    def _too_few_without(self, identity: str, orders: Mapping[str, RetireOrder]) -> Refusal | None:
-        gone = {each for order in orders.values() for each in order.identities} | {identity}
-        left = [node for node in self._storage_nodes() if node.identity not in gone]
-        if len(left) < self._least:
-            return Refusal(ErrorKind.TOO_FEW, f"{len(left)} would remain")
+    def _refuse_if_too_few_remain(self, identity: str, orders: Mapping[str, RetireOrder]) -> Refusal | None:
+        retiring = {each for order in orders.values() for each in order.identities} | {identity}
+        remaining = [node for node in self._storage_nodes() if node.identity not in retiring]
+        if len(remaining) < self._min_storage_nodes:
+            return Refusal(ErrorKind.TOO_FEW, f"{len(remaining)} would remain")
         return None
--- a/eiderhub/programs/replica_host.py
+++ b/eiderhub/programs/replica_host.py
@@ -1,4 +1,4 @@
-"""What the programs that host a replica do alike: its connections, and the hand-over at the program's end."""
+"""Hosting of a replica, shared by control and storage: store, connections, transfer at shutdown."""
 
 from __future__ import annotations
 
@@ -21,28 +21,27 @@
 from eiderhub.transport.framing import Connection
 from eiderhub.transport.group import GroupDriver
 
-TRANSFER_WAIT_S = 0.4  # a planned transfer is over by then
-
+TRANSFER_WAIT_S = 0.4  # a planned leadership transfer has finished by then
 
 log = logging.getLogger("replica")
 
 
 def open_store(settings: TierSettings, identity: str) -> LmdbStore:
-    """The replica's store, made with this identity if there is none; the program ends if it is unusable."""
+    """Open the replica's store, or create it with this identity; exit the process if it is unusable."""
     try:
         store = LmdbStore(Path(settings.data_dir), settings.disk_mb, identity)
     except StoreUnusable as error:
         log.error("%s", error)
         sys.exit(1)
-    log.info("starts as %s at %s, created %s", store.identity, store.position, store.created)
+    log.info("starting as %s at %s, created %s", store.identity, store.position, store.created)
     timing = repair.timing_for(settings.catch_up_s)
-    kept, line = repair.judge(settings.catch_up_s, timing, settings.link_mbps, store.used_bytes)
-    log.log(logging.INFO if kept else logging.WARNING, line)
+    within_bound, message = repair.judge(settings.catch_up_s, timing, settings.link_mbps, store.used_bytes)
+    log.log(logging.INFO if within_bound else logging.WARNING, message)
     return store
 
 
 class ReplicaHost:
-    """One replica with its driver, and the connections of the other replicas."""
+    """A replica with its driver and the connections from other replicas."""
 
     def __init__(
         self,
@@ -59,7 +58,7 @@
         self._connections: dict[Connection, NodeRecord] = {}
 
     def on_message(self, connection: Connection, message: Message) -> bool:
-        """Take a message between replicas; false where it is none."""
+        """Handle a message between replicas; return false for any other message."""
         if isinstance(message, Hello):
             self._connections[connection] = message.node
             self.group.greeted(connection, message.node, message.support)
@@ -76,7 +75,7 @@
             self.group.lost(node.identity, connection)
 
     async def stop(self) -> None:
-        """Hand leadership over, where another can take it."""
+        """Transfer leadership if another replica can take it."""
         if self.group.replica.transfer(self.group.now()):
             self.group.flush()
             await asyncio.sleep(TRANSFER_WAIT_S)
--- a/eiderhub/programs/starting.py
+++ b/eiderhub/programs/starting.py
@@ -1,4 +1,4 @@
-"""What all programs of the tier do alike: logs, signals, the event loop, and their end."""
+"""Startup shared by all programs of the tier: command line, logging, signals and the event loop."""
 
 from __future__ import annotations
 
@@ -15,45 +15,45 @@
 from eiderhub.reading import DocumentError
 from eiderhub.transport.traffic import TRAFFIC
 
-USAGE_STATUS = 2
+USAGE_EXIT_STATUS = 2
 
 
-def begin(main: Callable[..., None]) -> None:
-    """Call a program's main function with the words of the command line, where there are any."""
+def run_command_line(main: Callable[..., None]) -> None:
+    """Call a program's main function with the command-line arguments, if there are any."""
     if len(sys.argv) == 1:
         main()
         return
-    import defopt  # a process that the platform starts has no words, and comes up sooner without it
+    import defopt  # late: the platform passes no arguments, and startup is faster without this import
 
     defopt.run(main)
 
 
-def set_up_logs(node: str) -> None:
+def configure_logging(node_name: str) -> None:
     handler = logging.StreamHandler(sys.stderr)
-    handler.setFormatter(logging.Formatter(f"%(created)f {node} %(name)s %(levelname)s %(message)s"))
+    handler.setFormatter(logging.Formatter(f"%(created)f {node_name} %(name)s %(levelname)s %(message)s"))
     root = logging.getLogger()
     root.addHandler(handler)
     root.setLevel(logging.INFO)
 
 
 def run(
-    serve: Callable[[TierSettings, asyncio.Event, asyncio.Event], Awaitable[None]], path: str | None
+    serve: Callable[[TierSettings, asyncio.Event, asyncio.Event], Awaitable[None]], settings_file: str | None
 ) -> None:
-    """Run a program until SIGTERM; `serve` gets the settings, the stop event and the reload event."""
+    """Run `serve` with the settings, a stop event (SIGTERM, SIGINT) and a reload event (SIGHUP)."""
     try:
-        settings = load(path)
+        settings = load(settings_file)
     except DocumentError as error:
         print(error, file=sys.stderr)
-        raise SystemExit(USAGE_STATUS) from None
-    set_up_logs(settings.node_name)
+        raise SystemExit(USAGE_EXIT_STATUS) from None
+    configure_logging(settings.node_name)
     TRAFFIC.zone = settings.zone
     gc.freeze()
 
     async def main() -> None:
         stop, reload = asyncio.Event(), asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop.set)
         loop.add_signal_handler(signal.SIGHUP, reload.set)
         await serve(settings, stop, reload)
 
--- a/eiderhub/programs/storage.py
+++ b/eiderhub/programs/storage.py
@@ -1,4 +1,4 @@
-"""The storage program: one replica of the batch state."""
+"""The storage program: a replica of the batch state."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 from eiderhub.transport.framing import Connection
 from eiderhub.transport.metrics import serve_metrics
 
-METRICS_PORT_OFFSET = 2  # from the last free port; edge and control nodes of the same machine use the others
-PORT_OFFSET = 1  # from the first free port, which control nodes of the same machine use
+METRICS_PORT_OFFSET = 2  # subtracted from the last port; edge and control nodes on the machine use 0 and 1
+PORT_OFFSET = 1  # added to the first port, which a control node on the same machine uses
 
 log = logging.getLogger("storage")
 
@@ -39,10 +39,10 @@
 def main(*, settings: str | None = None) -> None:
     """Run a storage node.
 
-    :param settings: the settings file, in place of the one that OTTERCLEAT_CONFIG names
+    :param settings: the settings file; by default the one named by OTTERCLEAT_CONFIG
     """
     starting.run(serve, settings)
 
 
 if __name__ == "__main__":
-    starting.begin(main)
+    starting.run_command_line(main)
--- a/eiderhub/programs/storage_service.py
+++ b/eiderhub/programs/storage_service.py
@@ -1,4 +1,4 @@
-"""A storage node: replicates the batch state; as primary it takes jobs, has items run, lists results."""
+"""A storage node: replicates the batch state; as primary it accepts jobs, assigns items, stores results."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from eiderhub.coordination.timing import GroupSize, copies_needed
 from eiderhub.dataplane.routes import RouteTable
 from eiderhub.programs.batch_calls import BatchCall, BatchCalls
-from eiderhub.programs.dead_letters import DeadLetters
+from eiderhub.programs.dead_letters import DeadLetterTask
 from eiderhub.programs.replica_host import ReplicaHost
 from eiderhub.programs.settings import TierSettings
 from eiderhub.storage.store import LmdbStore
@@ -43,11 +43,11 @@
 from eiderhub.transport.traffic import TRAFFIC
 from eiderhub.transport.wire_counts import WIRE_COUNTS
 
-DISPATCH_S = 0.02
-FAULT_PAUSE_S = 1.0  # after a fault of the program itself, before the dispatcher goes on
-SPACE_SHARE = 0.85  # of the store that jobs and the results of all that was taken may come to need
-PROGRESS_S = 1.0  # how often it is looked for items that do not move
-STUCK_LOG_S = 5.0  # how often they are logged
+DISPATCH_INTERVAL_S = 0.02
+ERROR_PAUSE_S = 1.0  # after an unexpected exception in the dispatch loop
+SPACE_SHARE = 0.85  # that jobs and the expected results of all accepted items may need
+PROGRESS_CHECK_INTERVAL_S = 1.0  # between checks for items without progress
+STUCK_LOG_INTERVAL_S = 5.0  # between log lines about items without progress
 
 log = logging.getLogger("storage")
 
@@ -60,29 +60,34 @@
         self._rng = random.Random(node.identity)
         self.tables = Tables()
         self._routes: RouteTable | None = None
-        least = copies_needed(settings.fault_tolerance)
+        replicas_needed = copies_needed(settings.fault_tolerance)
         self._host = ReplicaHost(
-            store, node, self._rng, GroupSize(least, least), self._on_change, settings.catch_up_s
+            store,
+            node,
+            self._rng,
+            GroupSize(replicas_needed, replicas_needed),
+            self._on_replica_change,
+            settings.catch_up_s,
         )
         self.group = self._host.group
         self.group.roster.gathers = not settings.zones_lost
         self._jobs = JobTable(store)
         self._dispatch = Dispatcher(self._jobs)
-        self._progress = ProgressWatch()
-        self._next_progress = 0.0
-        self._item_endpoints: frozenset[str] = frozenset()  # that run items
+        self._progress_watch = ProgressWatch()
+        self._next_progress_check = 0.0
+        self._batch_endpoints: frozenset[str] = frozenset()  # of services of batch routes
         self._next_stuck_log = 0.0
         self._sessions: dict[Connection, Session] = {}
         self._connections: dict[Session, Connection] = {}
         self._epoch = 0
         self._led_since = 0.0
-        self._spending = Spending(self._ask_for_lease)
+        self._spending = Spending(self._send_lease_request)
         self._session = ControlSession(
             node,
             self.tables,
-            self._candidates,
+            self._control_nodes,
             self._on_tables,
-            self._describe,
+            self._complete_ping,
             self._spending.answered,
             self._on_load,
         )
@@ -90,14 +95,14 @@
             self._jobs,
             self.group,
             self._spending,
-            self._terms,
+            self._terms_for,
             self._has_space,
-            self._give_out,
-            self._job_ended,
+            self._assign_items,
+            self._on_job_ended,
         )
         self._tasks = TaskSet()
-        self._dead_letters = DeadLetters(
-            self._jobs, self.group, self._known_routes, self._buried, settings.status_ttl_s
+        self._dead_letters = DeadLetterTask(
+            self._jobs, self.group, self._known_routes, self._on_dead_letter, settings.status_ttl_s
         )
         loop = asyncio.get_running_loop()
         self._loops = [
@@ -108,15 +113,15 @@
     def _now(self) -> float:
         return self.group.now()
 
-    def _candidates(self) -> list[str]:
+    def _control_nodes(self) -> list[str]:
         port = self._settings.first_port
         seeds = [f"{address.parse(s).host}:{port}" for s in self._settings.seeds]
         return control_candidates(self.tables, seeds, self._settings.zone, self._rng.shuffle)
 
-    def _ask_for_lease(self, request: LeaseRequest) -> bool:
+    def _send_lease_request(self, request: LeaseRequest) -> bool:
         return self._session.send(request)
 
-    def _describe(self, ping: SessionPing) -> SessionPing:
+    def _complete_ping(self, ping: SessionPing) -> SessionPing:
         replica = self.group.replica
         if not replica.members_settled(self._now()):
             return ping
@@ -130,33 +135,33 @@
             self._routes is None or self._routes.generation != configuration.generation
         ):
             self._routes = RouteTable(configuration.generation, configuration.document)
-        self._follow_endpoints()
+        self._update_endpoints()
         if self._routes is not None:
             self._spending.follow(self._routes.tenants, self.tables.spending.exhausted)
         for node in nodes.nodes:
             if node.role == "storage" and node.identity:
                 self.group.know(address_of(node.identity))
-        founded = nodes.storage_group
-        if self._node.identity in founded and self._store.is_empty:
-            self.group.replica.bootstrap(founded)
+        founding_members = nodes.storage_group
+        if self._node.identity in founding_members and self._store.is_empty:
+            self.group.replica.bootstrap(founding_members)
         orders = nodes.retirements
         self.group.roster.retired = frozenset(i for order in orders for i in order.identities)
         self.group.roster.retired_names = frozenset(order.node for order in orders if not order.done)
 
-    def _follow_endpoints(self) -> None:
-        """Count the endpoints that run items: those of the services that batch routes lead to."""
+    def _update_endpoints(self) -> None:
+        """Update the endpoints that run items: those of the services of batch routes."""
         if self._routes is None:
             return
-        batch = [route for route in self._routes.by_name.values() if route.kind == "batch"]
-        services = {name for route in batch for name, _ in route.services}
+        batch_routes = [route for route in self._routes.by_name.values() if route.kind == "batch"]
+        services = {name for route in batch_routes for name, _ in route.services}
         ready = [e for e in self.tables.endpoints.endpoints if e.ready and e.service in services]
-        self._item_endpoints = frozenset(e.id for e in ready)
+        self._batch_endpoints = frozenset(e.id for e in ready)
         self._dispatch.scheduler.follow(len(ready), sum(e.capacity for e in ready))
 
     def _on_load(self, calls: Mapping[str, int]) -> None:
-        """What all sidecars have out at endpoints."""
-        counted = sum(count for endpoint, count in calls.items() if endpoint in self._item_endpoints)
-        self._dispatch.scheduler.follow_load(self._now(), counted)
+        """Apply the number of calls that all sidecars have in flight, by endpoint."""
+        batch_calls = sum(count for endpoint, count in calls.items() if endpoint in self._batch_endpoints)
+        self._dispatch.scheduler.follow_load(self._now(), batch_calls)
 
     # --- connections ---
 
@@ -166,38 +171,38 @@
         if not self.group.leads():
             connection.send(Redirect(self.group.replica.primary or ""))
         elif isinstance(message, WorkerOpen):
-            self._open(connection, message)
+            self._open_session(connection, message)
         elif isinstance(message, BatchCall):
-            self._tasks.start(self._answer(connection, message), connection.close)
+            self._tasks.start(self._answer_call(connection, message), connection.close)
         else:
-            self._on_worker(connection, message)
+            self._on_worker_message(connection, message)
 
-    def _open(self, connection: Connection, message: WorkerOpen) -> None:
+    def _open_session(self, connection: Connection, message: WorkerOpen) -> None:
         session = self._dispatch.open(self._now(), message)
         self._sessions[connection] = session
         connection.peer_zone = message.zone
         connection.support = message.support
         self._connections[session] = connection
-        self._flush()
+        self._send_outbox()
 
-    def _on_worker(self, connection: Connection, message: Message) -> None:
-        """What a sidecar tells of its items."""
+    def _on_worker_message(self, connection: Connection, message: Message) -> None:
+        """Handle a sidecar's message about its items."""
         session = self._sessions.get(connection)
         if session is None:
             return
         if isinstance(message, WorkerReport):
             self._dispatch.report(self._now(), session, message)
-            self._flush()
+            self._send_outbox()
         elif isinstance(message, ItemStarted):
             self._dispatch.started(self._now(), session, message.key)
-            self._give_out()
+            self._assign_items()
         elif isinstance(message, ItemFinished):
-            self._tasks.start(self._finish(session, message), connection.close)
+            self._tasks.start(self._finish_item(session, message), connection.close)
         elif isinstance(message, ItemReturned):
             self._dispatch.returned(self._now(), session, message)
             if message.errors:
-                self._tasks.start(self._keep_errors(message.key.job), connection.close)
-            self._give_out()
+                self._tasks.start(self._commit_error_counts(message.key.job), connection.close)
+            self._assign_items()
 
     def on_closed(self, connection: Connection) -> None:
         self._host.on_closed(connection)
@@ -206,8 +211,8 @@
             self._connections.pop(session, None)
             self._dispatch.closed(self._now(), session)
 
-    def _flush(self) -> None:
-        """Send what the dispatcher wants sent, and log what it has put right."""
+    def _send_outbox(self) -> None:
+        """Send the dispatcher's pending messages and log the inconsistencies that it has repaired."""
         outbox, self._dispatch.outbox = self._dispatch.outbox, []
         for session, message in outbox:
             connection = self._connections.get(session)
@@ -215,17 +220,17 @@
                 connection.send(message)
         repairs, self._dispatch.repairs = self._dispatch.repairs, []
         for node, why, items in repairs:
-            log.info("%s %s %d items, they wait again: %s ...", node, why.value, len(items), items[0])
+            log.info("%s %s %d items; queued again: %s ...", node, why.value, len(items), items[0])
 
-    # --- leading ---
+    # --- primary ---
 
-    def _on_change(self) -> None:
+    def _on_replica_change(self) -> None:
         replica = self.group.replica
         if replica.epoch != self._epoch and self.group.leads():
             self._epoch = replica.epoch
             self._led_since = self._now()
             self._dispatch.begin(self._now(), replica.epoch)
-            self._calls.begin(replica.epoch)
+            self._calls.begin_epoch(replica.epoch)
             log.info("leads epoch %d with %d jobs", replica.epoch, len(self._jobs.jobs))
         if not self.group.leads() and self._connections and replica.primary != self._node.identity:
             for connection in list(self._connections.values()):
@@ -234,10 +239,10 @@
 
     # --- calls ---
 
-    async def _answer(self, connection: Connection, message: BatchCall) -> None:
+    async def _answer_call(self, connection: Connection, message: BatchCall) -> None:
         connection.send(await self._calls.answer(message))
 
-    def _terms(self, name: str) -> BatchTerms | None:
+    def _terms_for(self, name: str) -> BatchTerms | None:
         route = self._routes.by_name.get(name) if self._routes else None
         if route is None:
             return None
@@ -246,28 +251,31 @@
         )
 
     def _has_space(self, body_bytes: int) -> bool:
-        """Danger: a primary whose writes fail steps down, for one that has just as little space."""
+        """Whether the store has room for the body and all expected results.
+
+        A primary whose writes fail steps down, and the next one would have just as little space.
+        """
         needed = self._store.used_bytes + body_bytes + self._jobs.expected_bytes()
         return needed < SPACE_SHARE * self._store.limit_bytes
 
-    def _job_ended(self, job: str) -> None:
+    def _on_job_ended(self, job: str) -> None:
         self._dispatch.cancel_job(job)
-        self._flush()
+        self._send_outbox()
 
     # --- items ---
 
-    async def _finish(self, session: Session, message: ItemFinished) -> None:
+    async def _finish_item(self, session: Session, message: ItemFinished) -> None:
         try:
             await self.group.commit(lambda: self._dispatch.finish(self._now(), session, message))
         except (NotPrimary, CommitUnknown):
-            return  # the sidecar tells it again, here or to the next primary
+            return  # the sidecar reports it again, here or to the next primary
         if self._dispatch.stored(session, message.key):
-            self._calls.tell_readers(message.key.job)
-        self._flush()
-        self._give_out()
+            self._calls.notify_readers(message.key.job)
+        self._send_outbox()
+        self._assign_items()
 
-    async def _keep_errors(self, job: str) -> None:
-        """Have the next primary know how often a job's items have failed."""
+    async def _commit_error_counts(self, job: str) -> None:
+        """Replicate the failure counts of a job's items, so that the next primary knows them."""
         try:
             await self.group.commit(lambda: self._jobs.errors(job))
         except (NotPrimary, CommitUnknown):
@@ -275,41 +283,41 @@
 
     async def _dispatch_forever(self) -> None:
         while True:
-            await asyncio.sleep(DISPATCH_S)
+            await asyncio.sleep(DISPATCH_INTERVAL_S)
             try:
-                self._tend()
-            except Exception as error:  # Danger: were this task to end, no item would ever be given out again
-                log.error("the dispatcher failed: %r", error)
-                await asyncio.sleep(FAULT_PAUSE_S)
+                self._run_due_work()
+            except Exception as error:  # the task must go on, or no item would be assigned again
+                log.error("dispatch loop failed: %r", error)
+                await asyncio.sleep(ERROR_PAUSE_S)
 
-    def _tend(self) -> None:
-        """What is due now, if this node leads."""
+    def _run_due_work(self) -> None:
+        """Update the roster, and run the periodic work of the primary."""
         self.group.roster.informed = self._session.fresh()
         if not self.group.leads():
             return
         now = self._now()
         self._dispatch.tick(now)
         for session in self._dispatch.silent(now):
-            log.info("%s has said nothing for too long", session.node)
+            log.info("session of %s timed out: no message received", session.node)
             self._connections[session].close()
-        self._flush()
-        self._give_out()
-        self._watch_progress()
+        self._send_outbox()
+        self._assign_items()
+        self._check_progress()
 
-    def _watch_progress(self) -> None:
-        """Look for items that do not move, and tell on-call staff."""
+    def _check_progress(self) -> None:
+        """Check for items without progress and log a warning for on-call staff."""
         now = self._now()
-        if now < self._next_progress:
+        if now < self._next_progress_check:
             return
-        self._next_progress = now + PROGRESS_S
-        self._progress.look(now, time.time(), self._jobs)
-        summary = self._progress.summary(now)
+        self._next_progress_check = now + PROGRESS_CHECK_INTERVAL_S
+        self._progress_watch.look(now, time.time(), self._jobs)
+        summary = self._progress_watch.summary(now)
         if summary and now >= self._next_stuck_log:
-            self._next_stuck_log = now + STUCK_LOG_S
+            self._next_stuck_log = now + STUCK_LOG_INTERVAL_S
             log.warning("%s; %s", summary, self._dispatch.scheduler.placement(now))
 
     def metrics(self) -> list[str]:
-        """The figures of this node, one a line."""
+        """Metrics of this node, one per line."""
         replica = self.group.replica
         lines = [
             f"leads {self.group.leads():d}",
@@ -335,31 +343,32 @@
         lines += [f'items_returned{{reason="{r.value}"}} {n}' for r, n in placement.returns.items()]
         for worker in self._dispatch.scheduler.workers.values():
             lines.append(f'window{{node="{worker.node}"}} {worker.window:.1f}')
-        return lines + self._progress.lines(self._now())
+        return lines + self._progress_watch.lines(self._now())
 
-    def _give_out(self) -> None:
+    def _assign_items(self) -> None:
         if self.group.leads():
             self._dispatch.give_out(self._now(), time.time())
-            self._flush()
+            self._send_outbox()
 
     # --- dead letters ---
 
     def _known_routes(self) -> set[str] | None:
-        """The routes in force; None: this node can't be sure of them.
+        """Return the names of the active routes, or None if they are not known for certain.
 
-        Danger: an earlier primary may have taken a job for a route that is new, and not known here yet. What
-        is fresh now was current after this node began to lead, once it has led for longer than that.
+        An earlier primary may have accepted a job for a new route that is not known here yet. A table that
+        is fresh was current at some time within the freshness bound. Once this node has been primary for
+        longer than that bound, the table therefore includes every route known to earlier primaries.
         """
-        led_long = self._now() - self._led_since > FRESH_S
-        if self._routes is None or not led_long or not self._session.fresh():
+        leading_long_enough = self._now() - self._led_since > FRESH_S
+        if self._routes is None or not leading_long_enough or not self._session.fresh():
             return None
         return set(self._routes.by_name)
 
-    def _buried(self, key: ItemKey) -> None:
-        """An item is committed as a dead letter."""
+    def _on_dead_letter(self, key: ItemKey) -> None:
+        """Handle an item whose dead letter is committed."""
         self._dispatch.scheduler.forget(key)
         if self._jobs.listed(key):
-            self._calls.tell_readers(key.job)
+            self._calls.notify_readers(key.job)
 
     async def stop(self) -> None:
         await self._host.stop()
--- a/eiderhub/programs/storage_tending.py
+++ b/eiderhub/programs/storage_tending.py
@@ -1,4 +1,4 @@
-"""What the control primary does for the storage group: names its founders, and judges retirements."""
+"""Management of the storage group by the control primary: its first members, and retirements."""
 
 from __future__ import annotations
 
@@ -12,91 +12,95 @@
 from eiderhub.control.messages import NodeRecord, StorageReport
 from eiderhub.control.retirement import RetireOrder
 from eiderhub.coordination.messages import Write
-from eiderhub.programs.operator_service import KNOWN_PREFIX
+from eiderhub.programs.operator_service import STORAGE_IDENTITY_PREFIX
 from eiderhub.storage.store import LmdbStore
 from eiderhub.transport.group import GroupDriver
 
-FOUND_S = 1.0  # the group is founded once as many of its nodes have been there for so long
-FOUND_ANYWAY_S = 5.0
+STABLE_BEFORE_FOUNDING_S = 1.0  # the node count must be stable for this time before the group is founded
+MAX_FOUNDING_WAIT_S = 5.0  # then the group is founded even with too few nodes
 GROUP_KEY = "storage/group"
 
 log = logging.getLogger("control")
 
 
-def spread_over_zones(nodes: list[NodeRecord]) -> list[NodeRecord]:
-    """The nodes in an order that takes one of each zone in turn."""
-    turns: dict[str, int] = {}
+def interleave_zones(nodes: list[NodeRecord]) -> list[NodeRecord]:
+    """Sort the nodes so that one of each zone is taken in turn."""
+    zone_counts: dict[str, int] = {}
     ranked = []
     for node in sorted(nodes, key=lambda n: n.name):
-        turns[node.zone] = turns.get(node.zone, 0) + 1
-        ranked.append((turns[node.zone], node.zone, node))
+        zone_counts[node.zone] = zone_counts.get(node.zone, 0) + 1
+        ranked.append((zone_counts[node.zone], node.zone, node))
     return [node for _, _, node in sorted(ranked, key=lambda r: r[:2])]
 
 
-def gathered_in_zones(nodes: list[NodeRecord]) -> list[NodeRecord]:
-    """The nodes in an order that takes all of one zone before the next, the largest zone first."""
-    sizes = Counter(node.zone for node in nodes)
-    return sorted(nodes, key=lambda n: (-sizes[n.zone], n.zone, n.name))
+def group_by_zone(nodes: list[NodeRecord]) -> list[NodeRecord]:
+    """Sort the nodes by zone, the zone with the most nodes first."""
+    zone_sizes = Counter(node.zone for node in nodes)
+    return sorted(nodes, key=lambda n: (-zone_sizes[n.zone], n.zone, n.name))
 
 
-class StorageTending:
-    """Of one control node; does nothing unless it leads."""
+class StorageGroupManager:
+    """Runs on each control node; `update` is called only on the primary."""
 
-    def __init__(self, group: GroupDriver, store: LmdbStore, least: int, gathers: bool) -> None:
+    def __init__(
+        self, group: GroupDriver, store: LmdbStore, founder_count: int, prefers_same_zones: bool
+    ) -> None:
         self._group = group
         self._store = store
-        self._arranged = gathered_in_zones if gathers else spread_over_zones
-        self._least = least  # founders that keep a majority when as many are lost as may be
-        self.report: StorageReport | None = None  # the latest of the storage group's primary
-        self._seen = 0  # storage nodes that were there
-        self._seen_since = 0.0
-        self._first_seen = 0.0
-
-    def begin(self) -> None:
-        """This node leads a new epoch: what it was told before is too old to judge by."""
+        self._sort_nodes = group_by_zone if prefers_same_zones else interleave_zones
+        self._founder_count = founder_count  # keeps a majority after the tolerated number of failures
+        self.report: StorageReport | None = None  # the latest from the storage group's primary
+        self._node_count = 0  # storage nodes with a session, at the last update
+        self._node_count_since = 0.0
+        self._first_node_at = 0.0
+
+    def begin_epoch(self) -> None:
+        """Discard reports and counts of an earlier epoch, which are too old to act on."""
         self.report = None
-        self._seen, self._seen_since, self._first_seen = 0, 0.0, 0.0
+        self._node_count, self._node_count_since, self._first_node_at = 0, 0.0, 0.0
 
-    def founders(self) -> list[str]:
+    def founding_members(self) -> list[str]:
         value = self._store.get(GROUP_KEY)
         return msgspec.json.decode(value, type=list[str]) if value else []
 
-    async def tend(self, nodes: list[NodeRecord], orders: Mapping[str, RetireOrder]) -> None:
-        """`nodes`: the storage nodes that have sessions.
+    async def update(self, nodes: list[NodeRecord], orders: Mapping[str, RetireOrder]) -> None:
+        """Record identities, found the group if needed, and advance retirements.
+
+        `nodes` are the storage nodes that have sessions.
 
         Raises:
-            NotPrimary, CommitUnknown: to be tried again by whoever leads.
+            NotPrimary, CommitUnknown: to be retried by the current primary.
         """
-        await self._note_identities(nodes)
-        if not self.founders():
-            await self._found(nodes)
+        await self._record_identities(nodes)
+        if not self.founding_members():
+            await self._found_group(nodes)
         report, self.report = self.report, None
         for name, order in orders.items():
-            state = retirement.next_state(name, order, nodes, report)
-            if state != order:
-                await self._group.write([retirement.write_order(name, state)])
-                log.info("retirement of %s: %s", name, "done" if state.done else "another disk")
-
-    async def _note_identities(self, nodes: list[NodeRecord]) -> None:
-        known = [
-            Write(KNOWN_PREFIX + n.name, n.identity.encode())
+            next_order = retirement.next_state(name, order, nodes, report)
+            if next_order != order:
+                await self._group.write([retirement.write_order(name, next_order)])
+                log.info("retirement of %s: %s", name, "done" if next_order.done else "new disk identity")
+
+    async def _record_identities(self, nodes: list[NodeRecord]) -> None:
+        writes = [
+            Write(STORAGE_IDENTITY_PREFIX + n.name, n.identity.encode())
             for n in nodes
-            if self._store.get(KNOWN_PREFIX + n.name) != n.identity.encode()
+            if self._store.get(STORAGE_IDENTITY_PREFIX + n.name) != n.identity.encode()
         ]
-        if known:
-            await self._group.write(known)
+        if writes:
+            await self._group.write(writes)
 
-    async def _found(self, nodes: list[NodeRecord]) -> None:
-        """Name the group's first members, once."""
+    async def _found_group(self, nodes: list[NodeRecord]) -> None:
+        """Choose and store the group's first members, once."""
         now = self._group.now()
-        if len(nodes) != self._seen:
-            self._seen, self._seen_since = len(nodes), now
-            self._first_seen = self._first_seen or now
+        if len(nodes) != self._node_count:
+            self._node_count, self._node_count_since = len(nodes), now
+            self._first_node_at = self._first_node_at or now
             return
-        enough = len(nodes) >= self._least
-        waited = now - self._first_seen > FOUND_ANYWAY_S
-        if nodes and now - self._seen_since > FOUND_S and (enough or waited):
-            founders = self._arranged(nodes)[: self._least]
+        enough = len(nodes) >= self._founder_count
+        waited_long = now - self._first_node_at > MAX_FOUNDING_WAIT_S
+        if nodes and now - self._node_count_since > STABLE_BEFORE_FOUNDING_S and (enough or waited_long):
+            founders = self._sort_nodes(nodes)[: self._founder_count]
             members = msgspec.json.encode(sorted(n.identity for n in founders))
             await self._group.write([Write(GROUP_KEY, members)])
             log.info("founded the storage group with %d of %d nodes", len(founders), len(nodes))
--- a/tests/test_edge_service.py
+++ b/tests/test_edge_service.py
@@ -1,4 +1,4 @@
-"""A change of the configuration is put in force whole or not at all, for requests and for items.
+"""A configuration update is applied completely, for requests and items, or retried; bursts are merged.
 
 See docs/incidents/left-lying-again.md, F1 to F4.
 """
@@ -23,17 +23,17 @@
     return ConfigurationUpdate(generation, json.dumps(document(generation)).encode())
 
 
-def service_with(folder: Path, *updates: Any) -> EdgeService:
-    """A sidecar's service that is told these tables."""
+def make_service(folder: Path, *updates: Any) -> EdgeService:
+    """Return an edge service to which these table updates have been applied."""
     service = EdgeService(tier_settings(folder, "edge"))
-    for each in updates:
-        service.tables.apply(each)
+    for table_update in updates:
+        service.tables.apply(table_update)
     service._on_tables()
     return service
 
 
-class FaultOnce:
-    """A method that fails the first time that it is called."""
+class FailOnce:
+    """Wraps a method so that its first call raises."""
 
     def __init__(self, method: Any) -> None:
         self._method = method
@@ -43,7 +43,7 @@
         def call(*args: Any) -> Any:
             if not self.failed:
                 self.failed = True
-                raise RuntimeError("a fault of the program")
+                raise RuntimeError("injected failure")
             return self._method(owner, *args)
 
         return call
@@ -53,46 +53,47 @@
     return service._routes.generation if service._routes is not None else 0
 
 
-def test_configuration_that_could_not_be_put_in_force_is_tried_again(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Nothing else may come for long: routes of one version beside admission of another would stay."""
+def test_configuration_update_that_fails_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a failed update that leaves routes of one version with admission of another.
+
+    Without a retry the mismatch would last until the next update, which may be long in coming.
+    """
 
     async def test() -> None:
-        service = service_with(tmp_path, update(1))
-        fault = FaultOnce(Admission.follow_routes)
-        monkeypatch.setattr(Admission, "follow_routes", fault)
+        service = make_service(tmp_path, update(1))
+        fail_once = FailOnce(Admission.follow_routes)
+        monkeypatch.setattr(Admission, "follow_routes", fail_once)
         service.tables.apply(update(2))
         service.tables.apply(EndpointsUpdate(TableVersion(1, 1), []))
         service._session._tell_update()
-        assert fault.failed
+        assert fail_once.failed
         assert generation_of(service) == 1
-        await until(lambda: generation_of(service) == 2, "the newest configuration is in force")
+        await until(lambda: generation_of(service) == 2, "the newest configuration is applied")
         assert service._endpoints_version == TableVersion(1, 1)
 
     asyncio.run(test())
 
 
-def test_only_the_newest_of_many_changes_is_put_in_force(tmp_path: Path) -> None:
-    """Changes that come faster than a sidecar can follow are read, not carried out one by one."""
+def test_only_the_newest_of_many_changes_is_applied(tmp_path: Path) -> None:
+    """Updates that arrive faster than they can be applied are all decoded, but only the last is applied."""
 
     async def test() -> None:
-        service = service_with(tmp_path, update(1))
-        followed: list[int] = []
+        service = make_service(tmp_path, update(1))
+        applied_generations: list[int] = []
         session = service._session
         on_update, session._on_update = session._on_update, lambda: None
 
-        def told() -> None:
+        def record_update() -> None:
             on_update()
-            followed.append(generation_of(service))
+            applied_generations.append(generation_of(service))
 
-        session._on_update = told
+        session._on_update = record_update
         connection: Any = object()
         session.connection = connection
         for generation in range(2, 202):
             patch = json.dumps({"generation": generation, "upsert": {}, "remove": {}}).encode()
             session.on_message(connection, ConfigurationDelta(generation - 1, generation, patch))
-        await until(lambda: followed, "the change is told")
-        assert followed == [201]
+        await until(lambda: applied_generations, "the update is notified")
+        assert applied_generations == [201]
 
     asyncio.run(test())
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -1,4 +1,4 @@
-"""The tier end to end, without a bench: tests/features/tier.feature."""
+"""End-to-end tests of a tier on loopback: steps of tests/features/tier.feature."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from tests.tier_support import EVENTS, Program, Tier, document, route, wait_until
+from tests.tier_support import EVENTS_PER_STREAM, Program, Tier, document, route, wait_until
 
 scenarios("features/tier.feature")
 
@@ -29,21 +29,21 @@
 
 
 @pytest.fixture
-def read() -> dict[str, Any]:
-    """The results of the first batch job, as read first."""
+def first_results() -> dict[str, Any]:
+    """Results of the first batch job as first read, for comparison after a failure."""
     return {}
 
 
-def whole(request_id: str) -> bytes:
-    return b"".join(f"id: {n}\ndata: {request_id} {n}\n\n".encode() for n in range(EVENTS))
+def complete_stream(request_id: str) -> bytes:
+    return b"".join(f"id: {n}\ndata: {request_id} {n}\n\n".encode() for n in range(EVENTS_PER_STREAM))
 
 
-def finished(tier: Tier, edge: Program, job: str, count: int) -> dict[str, Any]:
-    def done() -> dict[str, Any] | None:
+def wait_for_results(tier: Tier, edge: Program, job: str, count: int) -> dict[str, Any]:
+    def complete_page() -> dict[str, Any] | None:
         page = tier.results(edge, job)
         return page if page is not None and len(page["results"]) == count else None
 
-    found = wait_until(done, f"{count} results of {job}")
+    found = wait_until(complete_page, f"{count} results of {job}")
     assert isinstance(found, dict)
     return found
 
@@ -67,21 +67,23 @@
 def _(tier: Tier) -> None:
     for edge in tier.of("edge"):
         status, body, headers = tier.ask(edge, "/live/x", f"r-{edge.name}")
-        assert (status, body) == (200, whole(f"r-{edge.name}"))
+        assert (status, body) == (200, complete_stream(f"r-{edge.name}"))
         assert headers["Response-Signature"].endswith(f".r-{edge.name}")
-    assert sum(sum(e.runs.values()) for e in tier.engines) == 2
+    assert sum(sum(e.request_counts.values()) for e in tier.engines) == 2
 
 
 @then("a batch job handed in twice is run once")
-def _(tier: Tier, read: dict[str, Any]) -> None:
+def _(tier: Tier, first_results: dict[str, Any]) -> None:
     first, second = tier.of("edge")
-    wait_until(lambda: tier.submit(first, "job1", ITEMS) == 202, "the batch job taken")
+    wait_until(lambda: tier.submit(first, "job1", ITEMS) == 202, "the batch job accepted")
     assert tier.submit(second, "job1", ITEMS) == 202
-    read.update(finished(tier, second, "job1", len(ITEMS)))
-    assert read["total"] == len(ITEMS)
-    texts = {result["id"]: result["text"] for result in read["results"]}
-    assert texts == {item: "\n".join(f"{item} {n}" for n in range(EVENTS)) for item in ITEMS}
-    runs = sum((engine.runs for engine in tier.engines), start=type(tier.engines[0].runs)())
+    first_results.update(wait_for_results(tier, second, "job1", len(ITEMS)))
+    assert first_results["total"] == len(ITEMS)
+    texts = {result["id"]: result["text"] for result in first_results["results"]}
+    assert texts == {item: "\n".join(f"{item} {n}" for n in range(EVENTS_PER_STREAM)) for item in ITEMS}
+    runs = sum(
+        (endpoint.request_counts for endpoint in tier.engines), start=type(tier.engines[0].request_counts)()
+    )
     assert {item: runs[item] for item in ITEMS} == dict.fromkeys(ITEMS, 1)
 
 
@@ -110,7 +112,7 @@
 def _(tier: Tier, generation: int, base: int) -> None:
     assert tier.put(document(generation, route("more")), base) == 200
     edge = tier.of("edge")[0]
-    wait_until(lambda: tier.ask(edge, "/more/x", "r-more")[0] == 200, "the new route in force")
+    wait_until(lambda: tier.ask(edge, "/more/x", "r-more")[0] == 200, "the new route is active")
 
 
 @then("the same change sent again is acknowledged again")
@@ -124,42 +126,45 @@
 
 
 @then("the results of the batch job are those read before")
-def _(tier: Tier, read: dict[str, Any]) -> None:
+def _(tier: Tier, first_results: dict[str, Any]) -> None:
     for edge in tier.of("edge"):
-        assert finished(tier, edge, "job1", len(ITEMS)) == read
+        assert wait_for_results(tier, edge, "job1", len(ITEMS)) == first_results
 
 
 @then("another batch job is run")
 def _(tier: Tier) -> None:
     edge = tier.of("edge")[0]
-    wait_until(lambda: tier.submit(edge, "job2", ["b1"]) == 202, "the second batch job taken")
-    finished(tier, edge, "job2", 1)
+    wait_until(lambda: tier.submit(edge, "job2", ["b1"]) == 202, "the second batch job accepted")
+    wait_for_results(tier, edge, "job2", 1)
 
 
 @then("a stream that its endpoint breaks off in an event comes whole")
 def _(tier: Tier) -> None:
-    tier.cuts.append(1)
+    tier.break_at_events.append(1)
     status, body, _ = tier.ask(tier.of("edge")[0], "/live/x", "r-cut")
-    assert (status, body) == (200, whole("r-cut"))
-    assert sum(engine.runs["r-cut"] for engine in tier.engines) == 2
+    assert (status, body) == (200, complete_stream("r-cut"))
+    assert sum(endpoint.request_counts["r-cut"] for endpoint in tier.engines) == 2
 
 
 @then("a sidecar that is told to stop ends the stream that it carries")
 def _(tier: Tier) -> None:
     edge = tier.of("edge")[0]
     answers: list[tuple[int, bytes, dict[str, str]]] = []
-    for engine in tier.engines:
-        engine.hold.clear()
+    for endpoint in tier.engines:
+        endpoint.hold.clear()
     asking = threading.Thread(target=lambda: answers.append(tier.ask(edge, "/live/x", "r-stop")))
     asking.start()
-    wait_until(lambda: any(engine.runs["r-stop"] for engine in tier.engines), "the stream at its endpoint")
+    wait_until(
+        lambda: any(endpoint.request_counts["r-stop"] for endpoint in tier.engines),
+        "the stream has reached its endpoint",
+    )
     assert edge.process is not None
     edge.process.send_signal(signal.SIGTERM)
-    wait_until(lambda: tier.call(edge, "readiness", "GET", "/readyz")[0] == 503, "the sidecar draining")
-    for engine in tier.engines:
-        engine.hold.set()
+    wait_until(lambda: tier.call(edge, "readiness", "GET", "/readyz")[0] == 503, "the sidecar is draining")
+    for endpoint in tier.engines:
+        endpoint.hold.set()
     asking.join()
-    assert [(status, body) for status, body, _ in answers] == [(200, whole("r-stop"))]
+    assert [(status, body) for status, body, _ in answers] == [(200, complete_stream("r-stop"))]
     assert edge.process.wait(30.0) == 0
 
 
@@ -167,8 +172,8 @@
 REQUEST_TOKENS = 1_000
 
 
-def capped(generation: int, cap: int) -> dict[str, Any]:
-    """Two tenants with a live and a batch route each; one has a cap."""
+def capped_configuration(generation: int, cap: int) -> dict[str, Any]:
+    """Two tenants with a live and a batch route each; one has a spending cap."""
     batch = {"completion_window_ms": 10_000, "retention_s": 600, "max_queued_tokens": 0}
     routes = [route("other-live"), route("other-lots", "batch", **batch)]
     tenants = [
@@ -178,29 +183,29 @@
     return document(generation, *routes) | {"tenants": tenants}
 
 
-def answered(tier: Tier, edge: Program, request_id: str, status: int) -> bool:
+def is_answered_with(tier: Tier, edge: Program, request_id: str, status: int) -> bool:
     return tier.ask(edge, "/live/x", request_id, tokens=1)[0] == status
 
 
 @pytest.fixture
-def evening() -> dict[str, Any]:
-    """What the capped tenant was answered, by request."""
+def capped_answers() -> dict[str, Any]:
+    """Status and body of each answer to the capped tenant, by request id."""
     return {}
 
 
 @when("the operator puts a configuration in which one tenant has a cap")
 def _(tier: Tier) -> None:
-    assert tier.put(capped(5, CAP_TOKENS), 0) == 200
+    assert tier.put(capped_configuration(5, CAP_TOKENS), 0) == 200
 
 
 @then("the tenant is served until its cap has run out, and no further")
-def _(tier: Tier, evening: dict[str, Any]) -> None:
+def _(tier: Tier, capped_answers: dict[str, Any]) -> None:
     edges = tier.of("edge")
-    wait_until(lambda: tier.submit(edges[0], "job1", ITEMS) == 202, "the batch job taken")
+    wait_until(lambda: tier.submit(edges[0], "job1", ITEMS) == 202, "the batch job accepted")
     spent = 20 * len(ITEMS)
     for number in range(2 * CAP_TOKENS // REQUEST_TOKENS):
         status, body, _ = tier.ask(edges[number % 2], "/live/x", f"r-{number}", tokens=REQUEST_TOKENS)
-        evening[f"r-{number}"] = (status, body)
+        capped_answers[f"r-{number}"] = (status, body)
         if status == 200:
             spent += REQUEST_TOKENS
         else:
@@ -208,15 +213,15 @@
             break
     assert spent <= CAP_TOKENS
     assert spent > CAP_TOKENS / 2
-    assert evening[f"r-{number}"][0] == 429
+    assert capped_answers[f"r-{number}"][0] == 429
 
 
 @then("every edge refuses the tenant at once, quick checks and batches alike")
 def _(tier: Tier) -> None:
     for edge in tier.of("edge"):
-        wait_until(partial(answered, tier, edge, f"late-{edge.name}", 429), "refused")
+        wait_until(partial(is_answered_with, tier, edge, f"late-{edge.name}", 429), "refused")
         assert tier.submit(edge, f"late-job-{edge.name}", ["late-item"]) == 429
-    assert not any(engine.runs["late-item"] for engine in tier.engines)
+    assert not any(endpoint.request_counts["late-item"] for endpoint in tier.engines)
 
 
 @then("another tenant is served at every edge, quick checks and batches alike")
@@ -224,16 +229,18 @@
     for number, edge in enumerate(tier.of("edge")):
         assert tier.ask(edge, "/other-live/x", f"o-{number}", tokens=REQUEST_TOKENS)[0] == 200
         assert tier.submit(edge, f"other-{number}", [f"o-item-{number}"], "/other-lots/") == 202
-        finished(tier, edge, f"other-{number}", 1)
+        wait_for_results(tier, edge, f"other-{number}", 1)
 
 
 @then("what the tenant had under way came back exactly once")
-def _(tier: Tier, evening: dict[str, Any]) -> None:
-    page = finished(tier, tier.of("edge")[1], "job1", len(ITEMS))
+def _(tier: Tier, capped_answers: dict[str, Any]) -> None:
+    page = wait_for_results(tier, tier.of("edge")[1], "job1", len(ITEMS))
     assert sorted(result["id"] for result in page["results"]) == ITEMS
-    runs = sum((engine.runs for engine in tier.engines), start=type(tier.engines[0].runs)())
-    for request_id, (status, body) in evening.items():
-        assert (runs[request_id], body) == ((1, whole(request_id)) if status == 200 else (0, b""))
+    runs = sum(
+        (endpoint.request_counts for endpoint in tier.engines), start=type(tier.engines[0].request_counts)()
+    )
+    for request_id, (status, body) in capped_answers.items():
+        assert (runs[request_id], body) == ((1, complete_stream(request_id)) if status == 200 else (0, b""))
 
 
 @then("the cap holds after the control primary was killed")
@@ -249,6 +256,6 @@
 
 @then("a raised cap lets the tenant spend again")
 def _(tier: Tier) -> None:
-    assert tier.put(capped(7, 2 * CAP_TOKENS), 5) == 200
+    assert tier.put(capped_configuration(7, 2 * CAP_TOKENS), 5) == 200
     for edge in tier.of("edge"):
-        wait_until(partial(answered, tier, edge, f"again-{edge.name}", 200), "served again")
+        wait_until(partial(is_answered_with, tier, edge, f"again-{edge.name}", 200), "served again")
--- a/tests/test_tier_commands.py
+++ b/tests/test_tier_commands.py
@@ -1,4 +1,4 @@
-"""`ottercleat tier`: what it prints, and its exit statuses."""
+"""`ottercleat tier`: output and exit statuses."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "status", "says"),
+    ("change", "status", "message"),
     [
         ({}, 0, "valid, 2 routes"),
         (
@@ -31,15 +31,15 @@
         ({"backends": []}, 1, "unknown service"),
     ],
 )
-def test_config_check(tmp_path: Path, change: dict[str, object], status: int, says: str) -> None:
+def test_config_check(tmp_path: Path, change: dict[str, object], status: int, message: str) -> None:
     file = tmp_path / "c.json"
     file.write_text(json.dumps(document(1) | change))
-    done = ottercleat("config-check", str(file))
-    assert done.returncode == status
-    assert says in done.stdout + done.stderr
+    completed = ottercleat("config-check", str(file))
+    assert completed.returncode == status
+    assert message in completed.stdout + completed.stderr
 
 
-def test_store_is_read_offline(tmp_path: Path) -> None:
+def test_store_is_inspected_offline(tmp_path: Path) -> None:
     store = LmdbStore(tmp_path, 16.0, "id@h:1")
     store.apply([Update(Position(2, 5), [Write("config/current", b"{}")])])
     store.close()
@@ -55,16 +55,16 @@
     "words",
     [["store-check", "/nowhere"], ["run", "cook", "/nowhere"], ["run", "edge", "/nowhere"], ["no-such"], []],
 )
-def test_wrong_use_is_one_plain_error_and_status_2(words: list[str]) -> None:
-    done = ottercleat(*words)
-    assert done.returncode == 2
-    assert "Traceback" not in done.stderr
+def test_usage_error_has_status_2_and_no_traceback(words: list[str]) -> None:
+    completed = ottercleat(*words)
+    assert completed.returncode == 2
+    assert "Traceback" not in completed.stderr
 
 
-def test_nobody_listens(tmp_path: Path) -> None:
-    done = ottercleat("status", "127.0.0.1:1")
-    assert done.returncode == 1
-    assert "no answer" in done.stderr
+def test_unreachable_node_is_an_error(tmp_path: Path) -> None:
+    completed = ottercleat("status", "127.0.0.1:1")
+    assert completed.returncode == 1
+    assert "no answer" in completed.stderr
 
 
 def test_operating_a_tier(tmp_path: Path) -> None:
@@ -78,20 +78,20 @@
             lambda: ottercleat("config-put", address, str(file), "--base", "0").returncode == 0, "a primary"
         )
         assert json.loads(ottercleat("config-get", address).stdout) == document(3)
-        again = ottercleat("config-put", address, str(file), "--base", "0")
-        assert again.returncode == 0  # it is in force already
+        repeated = ottercleat("config-put", address, str(file), "--base", "0")
+        assert repeated.returncode == 0  # it is already active
         file.write_text(json.dumps(document(4)))
         assert "412" in ottercleat("config-put", address, str(file), "--base", "1").stderr
         node = tier.of("storage")[0].name
-        wait_until(lambda: ottercleat("retire", address, node).returncode == 0, "the retirement taken")
+        wait_until(lambda: ottercleat("retire", address, node).returncode == 0, "the retirement accepted")
         wait_until(
-            lambda: "succeeded" in ottercleat("retire", address, node, "--ask").stdout, "the node empty"
+            lambda: "succeeded" in ottercleat("retire", address, node, "--ask").stdout, "the retirement done"
         )
         other = ottercleat("retire", address, tier.of("storage")[1].name)
         assert other.returncode == 1
         assert "409" in other.stderr
-        told = ottercleat("status", address)
-        assert told.returncode == 0
-        assert node in told.stdout
+        status = ottercleat("status", address)
+        assert status.returncode == 0
+        assert node in status.stdout
     finally:
         tier.close()
--- a/tests/tier_support.py
+++ b/tests/tier_support.py
@@ -1,4 +1,4 @@
-"""A whole tier on loopback: its real programs, with stand-ins for the list and the model endpoints."""
+"""A complete tier on loopback: its real programs, with a fake platform list and fake model endpoints."""
 
 from __future__ import annotations
 
@@ -19,32 +19,32 @@
 from pathlib import Path
 from typing import Any
 
-BOUND_S = 30.0  # for anything to come about, on however slow a machine
-POLL_S = 0.02
+TIMEOUT_S = 30.0  # generous, for slow machines
+POLL_INTERVAL_S = 0.02
 SERVICE = "svc"
 HOST = "tier.example"
-EVENTS = 3
-FAILING = "fails"  # how the ids of requests begin that endpoints answer with 500
-MOST_PROGRAMS = 400
+EVENTS_PER_STREAM = 3
+FAILING = "fails"  # endpoints answer requests whose id starts with it with 500
+MAX_PROGRAMS = 400
 
 
-def wait_until(found: Callable[[], Any], what: str, bound_s: float = BOUND_S) -> Any:
-    """The first true value of `found`, asked again and again."""
-    end = time.monotonic() + bound_s
+def wait_until(condition: Callable[[], Any], description: str, timeout_s: float = TIMEOUT_S) -> Any:
+    """Poll `condition` until it returns a true value, and return that."""
+    deadline = time.monotonic() + timeout_s
     pause = threading.Event()
-    while time.monotonic() < end:
-        value = found()
+    while time.monotonic() < deadline:
+        value = condition()
         if value:
             return value
-        pause.wait(POLL_S)
-    raise AssertionError(f"not within {bound_s:g} s: {what}")
+        pause.wait(POLL_INTERVAL_S)
+    raise AssertionError(f"timed out after {timeout_s:g} s: {description}")
 
 
-class Handler(BaseHTTPRequestHandler):
+class FakeServerHandler(BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Nothing."""
+        """Suppress the request log."""
 
     def reply(self, status: int, body: bytes = b"", **headers: str) -> None:
         self.send_response(status)
@@ -55,10 +55,10 @@
         self.wfile.write(body)
 
 
-class StandIn:
-    """An HTTP server in threads of its own."""
+class FakeServer:
+    """An HTTP server with its own threads."""
 
-    def __init__(self, handler: type[Handler]) -> None:
+    def __init__(self, handler: type[FakeServerHandler]) -> None:
         self.server = ThreadingHTTPServer(("127.0.0.1", 0), handler)
         self.server.daemon_threads = True
         self.address = f"127.0.0.1:{self.server.server_address[1]}"
@@ -69,28 +69,29 @@
         self.server.server_close()
 
 
-class Engine(StandIn):
-    """A model endpoint: a stream of events for each request.
+class FakeEndpoint(FakeServer):
+    """A model endpoint that answers each request with a stream of events.
 
-    `cuts` is shared by all: each entry breaks one stream off in its event of that number.
+    The list of event numbers is shared by all endpoints: each entry breaks one stream in the middle of that
+    event.
     """
 
-    def __init__(self, identity: str, cuts: list[int]) -> None:
-        engine = self
+    def __init__(self, identity: str, break_at_events: list[int]) -> None:
+        endpoint = self
         self.identity = identity
-        self.runs: Counter[str] = Counter()
-        self.cuts = cuts
-        self.hold = threading.Event()  # while it is clear, streams wait after their first event
+        self.request_counts: Counter[str] = Counter()
+        self.break_at_events = break_at_events
+        self.hold = threading.Event()  # while cleared, a stream pauses after each event
         self.hold.set()
 
-        class EngineHandler(Handler):
+        class EndpointHandler(FakeServerHandler):
             def do_POST(self) -> None:
                 self.rfile.read(int(self.headers.get("Content-Length", 0)))
                 if self.headers.get("Expect-Instance", identity) != identity:
                     self.reply(421)
                     return
                 request_id = self.headers["Request-Id"]
-                engine.runs[request_id] += 1
+                endpoint.request_counts[request_id] += 1
                 if request_id.startswith(FAILING):
                     self.reply(500, Request_Id=request_id)
                     return
@@ -101,9 +102,9 @@
                 self.send_header("Response-Signature", f"{identity}.{request_id}")
                 self.send_header("Transfer-Encoding", "chunked")
                 self.end_headers()
-                for number in range(first, EVENTS):
-                    if number in engine.cuts:
-                        engine.cuts.remove(number)
+                for number in range(first, EVENTS_PER_STREAM):
+                    if number in endpoint.break_at_events:
+                        endpoint.break_at_events.remove(number)
                         self.wfile.write(b"5\r\nid: ")  # in the middle of an event
                         self.wfile.flush()
                         self.connection.shutdown(socket.SHUT_RDWR)
@@ -112,20 +113,20 @@
                     event = f"id: {number}\ndata: {request_id} {number}\n\n".encode()
                     self.wfile.write(b"%x\r\n%s\r\n" % (len(event), event))
                     self.wfile.flush()
-                    engine.hold.wait(BOUND_S)
+                    endpoint.hold.wait(TIMEOUT_S)
                 self.wfile.write(b"0\r\n\r\n")
 
-        super().__init__(EngineHandler)
+        super().__init__(EndpointHandler)
 
 
-class Platform(StandIn):
-    """The platform's list of endpoints."""
+class FakePlatform(FakeServer):
+    """Serves the platform's list of endpoints."""
 
-    def __init__(self, engines: list[Any]) -> None:
+    def __init__(self, endpoints: list[Any]) -> None:
         platform = self
         self.draining: set[str] = set()
 
-        class PlatformHandler(Handler):
+        class PlatformHandler(FakeServerHandler):
             def do_GET(self) -> None:
                 instances = [
                     {
@@ -136,7 +137,7 @@
                         "capacity": 8,
                         "state": "draining" if e.identity in platform.draining else "ready",
                     }
-                    for e in engines
+                    for e in endpoints
                 ]
                 body = json.dumps({"instances": instances, "next_token": None}).encode()
                 self.reply(200, body, Content_Type="application/json")
@@ -167,7 +168,7 @@
 
 
 class Program:
-    """One process of the tier, at an address of its own."""
+    """One process of the tier, with its own IP address."""
 
     def __init__(self, role: str, number: int, folder: Path, settings: dict[str, str]) -> None:
         self.role = role
@@ -176,7 +177,7 @@
         self.file = folder / f"{self.name}.conf"
         self.log = folder / f"{self.name}.log"
         self.file.write_text("".join(f"{key}={value}\n" for key, value in settings.items()))
-        self.source: Path | None = None  # folder of the packages that it runs; None: those under test
+        self.source: Path | None = None  # folder with the packages to run; None: the code under test
         self.module = f"eiderhub.programs.{role}"
         self.process: subprocess.Popen[bytes] | None = None
 
@@ -189,28 +190,32 @@
     def stop(self, how: signal.Signals = signal.SIGKILL) -> int:
         assert self.process is not None
         self.process.send_signal(how)
-        return self.process.wait(BOUND_S)
+        return self.process.wait(TIMEOUT_S)
 
     def said(self, text: str) -> int:
-        """How often it has logged this."""
+        """Return how often the text occurs in the log."""
         return self.log.read_text().count(text)
 
 
 class Tier:
     """Three control nodes, `storage` storage nodes and `edges` sidecars, in three zones.
 
-    `engines`: endpoints of the caller's own, which it also closes; two stand-ins where there are none.
+    Endpoints may be passed in; the caller closes these. By default two fake endpoints are started.
     """
 
     def __init__(
-        self, folder: Path, storage: int = 3, edges: int = 2, engines: list[Any] | None = None
+        self, folder: Path, storage: int = 3, edges: int = 2, endpoints: list[Any] | None = None
     ) -> None:
-        self.cuts: list[int] = []
-        self.engines = [Engine("i-1", self.cuts), Engine("i-2", self.cuts)] if engines is None else []
-        self.platform = Platform(self.engines if engines is None else engines)
+        self.break_at_events: list[int] = []
+        self.engines = (
+            [FakeEndpoint("i-1", self.break_at_events), FakeEndpoint("i-2", self.break_at_events)]
+            if endpoints is None
+            else []
+        )
+        self.platform = FakePlatform(self.engines if endpoints is None else endpoints)
         self.folder = folder
-        base = 127 << 24 | (os.getpid() % 199 + 2) << 16  # test processes side by side have addresses apart
-        addresses = iter(range(base + 1, base + 1 + MOST_PROGRAMS))
+        base = 127 << 24 | (os.getpid() % 199 + 2) << 16  # a separate subnet for each concurrent test process
+        addresses = iter(range(base + 1, base + 1 + MAX_PROGRAMS))
         ports = {"frontend": 18161, "readiness": 18167, "control": 18166}
         self.ports = ports
         roles = ["control"] * 3 + ["storage"] * storage + ["edge"] * edges
@@ -244,21 +249,21 @@
             program.start()
 
     def close(self) -> None:
-        for engine in self.engines:
-            engine.hold.set()
+        for endpoint in self.engines:
+            endpoint.hold.set()
         for program in self.programs:
             if program.process is not None and program.process.poll() is None:
                 program.stop()
-        for stand_in in (*self.engines, self.platform):
-            stand_in.close()
+        for server in (*self.engines, self.platform):
+            server.close()
 
     # --- calls ---
 
     def call(
         self, program: Program, port: str, method: str, path: str, body: bytes = b"", **headers: str
     ) -> tuple[int, bytes, dict[str, str]]:
-        """One call; status 0 where no answer came."""
-        connection = HTTPConnection(program.ip, self.ports[port], timeout=BOUND_S)
+        """Send one request; status 0 if there was no answer."""
+        connection = HTTPConnection(program.ip, self.ports[port], timeout=TIMEOUT_S)
         named = {name.replace("_", "-"): value for name, value in headers.items()}
         try:
             connection.request(method, path, body or None, named)
@@ -272,7 +277,7 @@
     def operate(
         self, method: str, path: str, body: bytes = b"", base: int | None = None
     ) -> tuple[int, bytes]:
-        """An operator's call at each control node in turn, until one gives a clear answer."""
+        """Send an operator request to each control node in turn until one gives a definite answer."""
         headers = {} if base is None else {"If_Match": str(base)}
         last = (0, b"")
         for program in self.of("control"):
@@ -288,12 +293,12 @@
                 break
         return last
 
-    def put(self, made: dict[str, Any], base: int) -> int:
-        body = json.dumps(made).encode()
+    def put(self, configuration: dict[str, Any], base: int) -> int:
+        body = json.dumps(configuration).encode()
         return int(
             wait_until(
                 lambda: next((s for s, _ in [self.operate("PUT", "/config", body, base)] if 0 < s < 500), 0),
-                f"an answer to configuration {made['generation']}",
+                f"an answer to configuration {configuration['generation']}",
             )
         )
 
@@ -344,7 +349,7 @@
         return json.loads(body) if status == 200 else None
 
     def leader(self, role: str) -> Program:
-        """The program that said last that it leads."""
+        """Return the running program that logged the highest epoch as primary."""
         running = [p for p in self.of(role) if p.process is not None and p.process.poll() is None]
 
         def last(program: Program) -> int:
