--- a/eiderhub/programs/control_service.py
+++ b/eiderhub/programs/control_service.py
@@ -242,9 +242,9 @@
 
         That is the case after all control nodes have restarted.
         """
-        endpoints = provisional_list(self._store, self.tables.endpoints)
-        if endpoints is not None:
-            self.tables.apply(EndpointsUpdate(self._next_version(), endpoints))
+        records = provisional_list(self._store, self.tables.endpoints)
+        if records is not None:
+            self.tables.apply(EndpointsUpdate(self._next_version(), records))
             self._send_updates()
 
     def _on_configuration(self) -> None:
@@ -317,14 +317,14 @@
             nodes = [*(node for node in nodes if (node.name, node.role) != own_key), self._node]
         retirements = retirement.published(self.operator.retire_orders())
         current = self.tables.nodes
-        wire_versions = self._session_table.wire_versions(self._now(), self._node)
+        version_counts = self._session_table.wire_versions(self._now(), self._node)
         update = NodesUpdate(
             current.version,
             nodes,
             sidecars,
             self._storage_group.founding_members(),
             retirements,
-            wire_versions,
+            version_counts,
         )
         if update != current:
             self.tables.apply(msgspec.structs.replace(update, version=self._next_version()))
@@ -341,23 +341,23 @@
                 continue
             started_at, epoch = self._now(), self._publication.epoch
             try:
-                endpoints = await asyncio.to_thread(self._platform_reader.read)
+                records = await asyncio.to_thread(self._platform_reader.read)
             except PlatformUnavailable as error:
                 log.warning("could not read the platform's endpoint list: %s", error)
             else:
                 if self._leads() and self._publication.epoch == epoch:
-                    self._publish_endpoints(endpoints)
-                    await self._store_endpoints(endpoints)
+                    self._publish_endpoints(records)
+                    await self._store_endpoints(records)
             await asyncio.sleep(max(0.05, interval_s - (self._now() - started_at)))
 
-    def _publish_endpoints(self, endpoints: list[EndpointRecord]) -> None:
+    def _publish_endpoints(self, records: list[EndpointRecord]) -> None:
         current = self.tables.endpoints
-        if endpoints != current.endpoints or current.version.epoch != self._publication.epoch:
-            self.tables.apply(EndpointsUpdate(self._next_version(), endpoints))
+        if records != current.endpoints or current.version.epoch != self._publication.epoch:
+            self.tables.apply(EndpointsUpdate(self._next_version(), records))
             self._send_updates()
 
-    async def _store_endpoints(self, endpoints: list[EndpointRecord]) -> None:
-        writes = writes_of(self._store, endpoints)
+    async def _store_endpoints(self, records: list[EndpointRecord]) -> None:
+        writes = writes_of(self._store, records)
         try:
             if writes:
                 await self.group.write(writes)
--- a/eiderhub/programs/dead_letters.py
+++ b/eiderhub/programs/dead_letters.py
@@ -64,9 +64,8 @@
         keys: list[ItemKey] = []
 
         def change() -> list[Write]:
-            items = self._jobs.hopeless(
-                time.time(), self._known_routes()
-            )  # evaluated again at the time of the write
+            # Evaluated again, since the table may have changed before the write.
+            items = self._jobs.hopeless(time.time(), self._known_routes())
             keys.extend(item.key for item in items)
             return [write for key in keys for write in self._jobs.finish(key, False, "")]
 
--- a/eiderhub/programs/settings.py
+++ b/eiderhub/programs/settings.py
@@ -55,7 +55,7 @@
         self._source = source
         self._values = values
 
-    def get(self, key: str, kind: type[T], default: T | None = None) -> T:
+    def get_value(self, key: str, kind: type[T], default: T | None = None) -> T:
         text = self._values.get(key, "").strip()
         if not text:
             if default is None:
@@ -115,32 +115,32 @@
         one_line = " ".join(str(error).split())
         raise DocumentError(source, [Fault("", one_line)]) from None
     reader = _Reader(source, values)
-    ports = reader.get("port_range", list)
+    ports = reader.get_value("port_range", list)
     if len(ports) != 2 or not all(port.isdigit() for port in ports):
         raise DocumentError(source, [Fault("port_range", "must be two ports, such as 7720,7735")])
     return TierSettings(
-        node_name=reader.get("node_name", str),
-        role=reader.get("role", str, "role"),
-        ip=reader.get("ip", str),
-        zone=reader.get("zone", str),
-        region=reader.get("region", str, "region"),
+        node_name=reader.get_value("node_name", str),
+        role=reader.get_value("role", str, "role"),
+        ip=reader.get_value("ip", str),
+        zone=reader.get_value("zone", str),
+        region=reader.get_value("region", str, "region"),
         zones=reader.with_prefix("zones."),
-        frontend=reader.get("listen.frontend", str, ""),
-        readiness=reader.get("listen.readiness", str, ""),
-        control=reader.get("listen.control", str, ""),
+        frontend=reader.get_value("listen.frontend", str, ""),
+        readiness=reader.get_value("listen.readiness", str, ""),
+        control=reader.get_value("listen.control", str, ""),
         first_port=int(ports[0]),
         last_port=int(ports[1]),
-        seeds=reader.get("seeds", list, []),
-        bootstrap=reader.get("bootstrap", bool, False),
-        data_dir=reader.get("data_dir", str, ""),
-        disk_mb=reader.get("limits.disk_mb", float, 64.0),
-        memory_mb=reader.get("limits.memory_mb", float, 300.0),
-        platform=reader.get("cloud_api.address", str, ""),
-        link_mbps=reader.get("limits.link_mbps", float, 0.0),
-        catch_up_s=reader.get("bounds.catch_up_s", float, 4.7),
-        drain_ms=reader.get("bounds.drain_ms", float, 3000.0),
-        grace_s=reader.get("bounds.grace_s", float, 8.0),
-        status_ttl_s=reader.get("bounds.status_ttl_s", float, 120.0),
-        fault_tolerance=reader.get("fault_tolerance.machines", int, 1),
-        zones_lost=reader.get("fault_tolerance.zones", int, 0),
+        seeds=reader.get_value("seeds", list, []),
+        bootstrap=reader.get_value("bootstrap", bool, False),
+        data_dir=reader.get_value("data_dir", str, ""),
+        disk_mb=reader.get_value("limits.disk_mb", float, 64.0),
+        memory_mb=reader.get_value("limits.memory_mb", float, 300.0),
+        platform=reader.get_value("cloud_api.address", str, ""),
+        link_mbps=reader.get_value("limits.link_mbps", float, 0.0),
+        catch_up_s=reader.get_value("bounds.catch_up_s", float, 4.7),
+        drain_ms=reader.get_value("bounds.drain_ms", float, 3000.0),
+        grace_s=reader.get_value("bounds.grace_s", float, 8.0),
+        status_ttl_s=reader.get_value("bounds.status_ttl_s", float, 120.0),
+        fault_tolerance=reader.get_value("fault_tolerance.machines", int, 1),
+        zones_lost=reader.get_value("fault_tolerance.zones", int, 0),
     )
--- a/eiderhub/programs/storage_service.py
+++ b/eiderhub/programs/storage_service.py
@@ -45,7 +45,7 @@
 
 DISPATCH_INTERVAL_S = 0.02
 ERROR_PAUSE_S = 1.0  # after an unexpected exception in the dispatch loop
-SPACE_SHARE = 0.85  # that jobs and the expected results of all accepted items may need
+SPACE_SHARE = 0.85  # of the store, for jobs and the expected results of all accepted items
 PROGRESS_CHECK_INTERVAL_S = 1.0  # between checks for items without progress
 STUCK_LOG_INTERVAL_S = 5.0  # between log lines about items without progress
 
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -21,11 +21,11 @@
 
 @pytest.fixture
 def tier(tmp_path: Path) -> Iterator[Tier]:
-    made = Tier(tmp_path)
+    created = Tier(tmp_path)
     try:
-        yield made
+        yield created
     finally:
-        made.close()
+        created.close()
 
 
 @pytest.fixture
--- a/tests/tier_support.py
+++ b/tests/tier_support.py
@@ -146,7 +146,7 @@
 
 
 def route(name: str, kind: str = "streaming", **fields: Any) -> dict[str, Any]:
-    made = {
+    defaults = {
         "name": name,
         "host": HOST,
         "path_prefix": f"/{name}/",
@@ -158,7 +158,7 @@
         "max_attempts": 2,
         "resumable": True,
     }
-    return made | fields
+    return defaults | fields
 
 
 def document(generation: int, *routes: dict[str, Any]) -> dict[str, Any]:
@@ -283,11 +283,11 @@
         for program in self.of("control"):
             if program.process is None or program.process.poll() is not None:
                 continue
-            status, answer, told = self.call(program, "control", method, path, body, **headers)
+            status, answer, answer_headers = self.call(program, "control", method, path, body, **headers)
             if status == 307:
-                host = told["Location"].split("//")[1].split(":")[0]
+                host = answer_headers["Location"].split("//")[1].split(":")[0]
                 target = next(p for p in self.programs if p.ip == host)
-                status, answer, told = self.call(target, "control", method, path, body, **headers)
+                status, answer, answer_headers = self.call(target, "control", method, path, body, **headers)
             last = (status, answer)
             if status and status < 500 and status != 307:
                 break
