--- a/eiderhub/coordination/__init__.py
+++ b/eiderhub/coordination/__init__.py
@@ -1,4 +1,4 @@
-"""Coordination parts for others to embed: replication, sessions, versioned distribution, leadership.
+"""Coordination components for other programs to embed: replication, versioned wire features and leadership.
 
-Nothing in here knows of routes, endpoints or jobs.
+They are independent of routes, endpoints and jobs.
 """
--- a/eiderhub/coordination/catch_up.py
+++ b/eiderhub/coordination/catch_up.py
@@ -1,9 +1,9 @@
-"""How a primary brings a replica to its own state: recent updates, or a snapshot in chunks.
+"""How a primary brings another replica up to date: with recent updates or with a snapshot sent in chunks.
 
-A snapshot is not taken at one moment. Its chunks are read as they are sent, in the order of the keys, and the
-updates made meanwhile go between them over the same ordered connection. The replica applies both to what it
-stages, so that after the last chunk it has the primary's state at that chunk's position. A transfer goes on
-where it broke off if the primary still knows the updates since.
+A snapshot is not taken at one point in time. Its chunks are read as they are sent, in key order, and the
+updates made in the meantime are sent between them over the same ordered connection. The replica applies both
+to its staged copy, so that after the last chunk it holds the primary's state at that chunk's position. An
+interrupted transfer is resumed if the primary still has the updates made since the staged position.
 """
 
 from __future__ import annotations
@@ -14,37 +14,37 @@
 from eiderhub.coordination.messages import Position, Replicated, Staged, Update
 from eiderhub.coordination.store import Chunk
 
-HISTORY_UPDATES = 512  # recent updates kept in memory for replicas that are a little behind
-CHUNK_BYTES = 512 << 10  # of a snapshot, in one message
-CHUNKS_UNANSWERED = 4  # that a replica may have before it
+HISTORY_UPDATES = 512  # recent updates kept in memory for replicas that are slightly behind
+CHUNK_BYTES = 512 << 10  # of snapshot data in one message
+MAX_UNACKNOWLEDGED_CHUNKS = 4  # in flight to one replica
 
 
 class History:
-    """The updates of one primary in its epoch, the latest of them."""
+    """The most recent updates that a primary made in its epoch."""
 
-    def __init__(self, opened_at: Position) -> None:
-        self._opened_at = opened_at  # the state that the epoch began with
-        self._first_version = opened_at.version + 1
+    def __init__(self, initial_position: Position) -> None:
+        self._initial_position = initial_position  # at the start of the epoch
+        self._first_version = initial_position.version + 1
         self._updates: deque[Update] = deque(maxlen=HISTORY_UPDATES)
 
     def add(self, update: Update) -> None:
         self._updates.append(update)
 
-    def knows(self, position: Position) -> bool:
-        """Whether a replica's state there is a state that the primary's has been in."""
-        return self._index(position) is not None
+    def contains(self, position: Position) -> bool:
+        """Whether the primary has been at this position, as far as the kept updates show."""
+        return self._index_of(position) is not None
 
     def since(self, position: Position) -> list[Update] | None:
-        """The updates that follow a state; None: it is unknown, or too old."""
-        index = self._index(position)
+        """The updates that follow a position; None if it is unknown or too old."""
+        index = self._index_of(position)
         return None if index is None else list(self._updates)[index + 1 :]
 
-    def _index(self, position: Position) -> int | None:
-        """Of the update that led to the state; -1: the epoch began with it."""
+    def _index_of(self, position: Position) -> int | None:
+        """Index of the update that led to the position; -1 if the epoch started at it."""
         if not self._updates:
-            return -1 if position == self._opened_at else None
+            return -1 if position == self._initial_position else None
         first = self._updates[0].position.version
-        if position == self._opened_at and first == self._first_version:
+        if position == self._initial_position and first == self._first_version:
             return -1
         index = position.version - first
         if not 0 <= index < len(self._updates) or self._updates[index].position != position:
@@ -53,52 +53,55 @@
 
 
 class SnapshotTransfer:
-    """A snapshot on its way to one replica."""
+    """The progress of sending a snapshot to one replica."""
 
-    __slots__ = ("_sent_at", "_unanswered", "finished", "through")
+    __slots__ = ("_last_sent_at", "_unacknowledged", "finished", "through")
 
     def __init__(self, resumed: Staged | None) -> None:
-        self.through = resumed.through if resumed else ""  # keys up to here have been sent
-        self.finished = False  # the last chunk has been sent
-        self._sent_at = 0.0  # when a chunk was sent last
-        self._unanswered: deque[str] = deque()  # where the chunks end that were not answered yet
+        self.through = resumed.through if resumed else ""  # last key that has been sent
+        self.finished = False  # whether the last chunk has been sent
+        self._last_sent_at = 0.0
+        self._unacknowledged: deque[str] = deque()  # last key of each chunk in flight
 
     @property
-    def may_send(self) -> bool:
-        return not self.finished and len(self._unanswered) < CHUNKS_UNANSWERED
+    def can_send(self) -> bool:
+        return not self.finished and len(self._unacknowledged) < MAX_UNACKNOWLEDGED_CHUNKS
 
-    def sent(self, now: float, chunk: Chunk) -> None:
-        self._sent_at = now
+    def record_sent(self, now: float, chunk: Chunk) -> None:
+        self._last_sent_at = now
         self.through = chunk.through
         self.finished = chunk.last
-        self._unanswered.append(chunk.through)
+        self._unacknowledged.append(chunk.through)
 
-    def is_lost(self, told: Replicated) -> bool:
-        """Whether a chunk has not arrived, by an answer to what was sent after all of them."""
-        through = told.staged.through if told.staged is not None else None
-        return told.sent_at > self._sent_at and through != self.through
+    def lost_chunk(self, reply: Replicated) -> bool:
+        """Whether a reply to a message sent after all chunks shows that one of them did not arrive."""
+        through = reply.staged.through if reply.staged is not None else None
+        return reply.sent_at > self._last_sent_at and through != self.through
 
-    def answered(self, through: str) -> None:
-        """The replica has staged the keys up to there."""
-        while self._unanswered and self._unanswered[0] <= through:
-            self._unanswered.popleft()
+    def record_acknowledged(self, through: str) -> None:
+        """The replica has staged all keys up to `through`."""
+        while self._unacknowledged and self._unacknowledged[0] <= through:
+            self._unacknowledged.popleft()
 
 
 class Peer:
-    """What a primary knows of another replica."""
+    """What a primary knows about another replica."""
 
-    __slots__ = ("caught_up_at", "heard", "matched", "reads_form", "sent", "transfer")
+    __slots__ = (
+        "catch_up_sent_at", "last_heard_at", "readable_format", "sent_position", "snapshot_transfer",
+        "synced_position",
+    )  # fmt: skip
 
     def __init__(self, now: float) -> None:
-        self.caught_up_at = 0.0  # when it was last sent what it lacked
-        self.heard = now  # when it answered last
-        self.matched: Position | None = None  # synced there, as told in this epoch
-        self.reads_form = FIRST_FORM  # newest form of the state that it has said that it reads
-        self.sent: Position | None = None  # sent up to here on this connection; None: ask first
-        self.transfer: SnapshotTransfer | None = None
-
-    def disconnected(self) -> None:
-        """What was sent on the old connection may be lost."""
-        self.sent = None
-        self.transfer = None
-        self.reads_form = FIRST_FORM  # another program may have been started there
+        self.catch_up_sent_at = 0.0  # when missing updates or a snapshot were last sent to it
+        self.last_heard_at = now  # when its last reply arrived
+        self.synced_position: Position | None = None  # as reported in this epoch
+        self.readable_format = FIRST_FORM  # newest record format that it has reported
+        self.sent_position: Position | None = None  # sent on this connection; None: unknown
+        self.snapshot_transfer: SnapshotTransfer | None = None
+
+    def reset_connection(self) -> None:
+        """Forget what was sent on the previous connection: it may be lost."""
+        self.sent_position = None
+        self.snapshot_transfer = None
+        self.readable_format = FIRST_FORM  # a different program version may be running there now
--- a/eiderhub/coordination/commits.py
+++ b/eiderhub/coordination/commits.py
@@ -1,4 +1,4 @@
-"""Writes that somebody waits for: committed in the epoch in which they were proposed, or of unknown fate."""
+"""Writes that a caller waits for: committed in the epoch that proposed them, or of unknown outcome."""
 
 from __future__ import annotations
 
@@ -13,41 +13,41 @@
 
 class Fate(Enum):
     COMMITTED = "committed"
-    UNKNOWN = "unknown"  # the write may or may not outlive this primary
+    UNKNOWN = "unknown"  # the write may or may not survive a change of primary
 
 
-class _Waiting(NamedTuple, Generic[T]):
+class _PendingWrite(NamedTuple, Generic[T]):
     position: Position
     waiter: T
 
 
 class CommitQueue(Generic[T]):
-    """Of one replica. A waiter is told its fate once."""
+    """The pending writes of one replica; each outcome is returned once."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
-        self._waiting: list[_Waiting[T]] = []
+        self._pending: list[_PendingWrite[T]] = []
 
     def add(self, position: Position, waiter: T) -> None:
-        """A write that this replica has proposed at that position."""
-        self._waiting.append(_Waiting(position, waiter))
+        """Track a write that this replica has proposed at the position."""
+        self._pending.append(_PendingWrite(position, waiter))
 
     def take(self) -> list[tuple[T, Fate]]:
-        """Those whose fate is known now."""
-        if not self._waiting:
+        """Remove and return the waiters whose outcome is now known."""
+        if not self._pending:
             return []
-        told: list[tuple[T, Fate]] = []
-        rest = []
-        for each in self._waiting:
-            fate = self._fate(each.position)
-            if fate is None:
-                rest.append(each)
+        resolved: list[tuple[T, Fate]] = []
+        unresolved = []
+        for write in self._pending:
+            outcome = self._outcome(write.position)
+            if outcome is None:
+                unresolved.append(write)
             else:
-                told.append((each.waiter, fate))
-        self._waiting = rest
-        return told
+                resolved.append((write.waiter, outcome))
+        self._pending = unresolved
+        return resolved
 
-    def _fate(self, position: Position) -> Fate | None:
+    def _outcome(self, position: Position) -> Fate | None:
         if not self._leads_epoch(position.epoch):
             return Fate.UNKNOWN
         return Fate.COMMITTED if position.version <= self._replica.committed else None
--- a/eiderhub/coordination/forms.py
+++ b/eiderhub/coordination/forms.py
@@ -1,8 +1,9 @@
-"""Forms of the replicated state's records: which a program reads, and which a group may write.
+"""Record formats of the replicated state: which ones a program reads, and which one a group may write.
 
-A form is a whole number. A program reads all forms up to its newest; a group writes one that each of its
-members reads. A landing that brings a new form only reads it, the landing after it writes it: so a member
-that is put back by one landing still reads what the group has written. See docs/upgrades.md.
+A format is a whole number; messages, the store and logs call it `form`. A program reads all formats up to its
+newest; a group writes one that every member reads. A release that adds a format only reads it, and the next
+release writes it, so that a member rolled back by one release can still read what the group has written. See
+docs/upgrades.md.
 """
 
 from __future__ import annotations
@@ -15,30 +16,30 @@
 
 
 class StateForms(NamedTuple):
-    """What one program does."""
+    """The newest record formats that one program supports."""
 
-    reads: int = FIRST_FORM  # the newest form that it reads
-    writes: int = FIRST_FORM  # the newest that it writes, once all members read it
+    reads: int = FIRST_FORM
+    writes: int = FIRST_FORM  # only once all members read it
 
 
 OWN_FORMS = StateForms()
 
 
 def decode_form(value: bytes | None) -> int:
-    """The form that a group writes, as its state says."""
+    """The format that a group writes, from its replicated state."""
     return int(value) if value else FIRST_FORM
 
 
-def encode_form(form: int) -> bytes:
-    return str(form).encode()
+def encode_format(record_format: int) -> bytes:
+    return str(record_format).encode()
 
 
-def next_form(current: int, own: StateForms, members_read: Iterable[int]) -> int | None:
-    """The form that the primary may go on to, one at a time; None: none.
+def next_form(current: int, own: StateForms, readable_by_members: Iterable[int]) -> int | None:
+    """The format that the primary may raise the group to, one step at a time; None if there is none.
 
-    Danger: a member that does not read it could not follow, nor lead, nor start again.
+    A member that cannot read the new format could no longer follow, lead or restart.
     """
-    wanted = current + 1
-    if wanted > own.writes or any(reads < wanted for reads in members_read):
+    candidate = current + 1
+    if candidate > own.writes or any(reads < candidate for reads in readable_by_members):
         return None
-    return wanted
+    return candidate
--- a/eiderhub/coordination/membership.py
+++ b/eiderhub/coordination/membership.py
@@ -1,9 +1,9 @@
-"""Changes of a group's membership: one at a time, each a write like any other.
+"""Membership changes of a group: one at a time, each a replicated write like any other.
 
-The primary teaches a replica that wants to belong (a learner), makes it a member once it has all that is
-committed, and removes members that leave or are silent, as long as enough live ones have all that is
-committed. A replica that is to leave for good is barred: the write that removes it also names it among those
-that no primary of the group will ever admit again.
+The primary replicates to a replica that asks to join (a learner) and makes it a member once it has all
+committed writes. It removes members that are leaving or silent, as long as enough live members have all
+committed writes. A replica that leaves permanently is barred: the write that removes it also adds it to the
+identities that no primary of the group will ever admit again.
 """
 
 from __future__ import annotations
@@ -29,16 +29,16 @@
 
 
 class GroupView(NamedTuple):
-    """What the primary knows of its group at one moment."""
+    """What the primary knows about its group at one point in time."""
 
     identity: str  # the primary's own
     members: frozenset[str]
     barred: frozenset[str]
-    retiring: frozenset[str]  # must leave for good
-    replaced: frozenset[str]  # their disks are gone
-    silent: frozenset[str]  # members not heard of for too long
-    synced: Callable[[str], bool]  # whether a replica has all that is committed
-    heard: Callable[[str], bool]  # whether a replica has answered within a lease
+    retiring: frozenset[str]  # must leave permanently
+    replaced: frozenset[str]  # their disks are lost
+    silent: frozenset[str]  # members without a reply for too long
+    synced: Callable[[str], bool]  # whether a replica has all committed writes
+    heard: Callable[[str], bool]  # whether a replica has replied within the lease time
 
     @property
     def leaving(self) -> frozenset[str]:
@@ -46,7 +46,7 @@
 
     @property
     def live(self) -> frozenset[str]:
-        """Members that stay and answer."""
+        """Members that are neither leaving nor silent."""
         return self.members - self.leaving - self.silent
 
 
@@ -55,30 +55,30 @@
     barred: frozenset[str]
 
     def writes(self, view: GroupView) -> list[Write]:
-        """What makes the change; `view` is the group before it."""
-        made = []
+        """The writes that make the change; `view` is the group before it."""
+        result = []
         if self.members != view.members:
-            made.append(Write(MEMBERS_KEY, encode_identities(self.members)))
+            result.append(Write(MEMBERS_KEY, encode_identities(self.members)))
         if self.barred != view.barred:
-            made.append(Write(BARRED_KEY, encode_identities(self.barred)))
-        return made
+            result.append(Write(BARRED_KEY, encode_identities(self.barred)))
+        return result
 
 
 def may_admit(view: GroupView, learner: str) -> bool:
-    """Whether a learner becomes a member: it has all that is committed, and answers."""
+    """Whether a learner may become a member: it has all committed writes and replies."""
     return learner not in view.leaving and view.synced(learner) and view.heard(learner)
 
 
 def may_remove(view: GroupView, size: GroupSize) -> bool:
-    """Whether a member may go: enough live ones remain, and each has all that is committed."""
+    """Whether a member may be removed: enough live ones remain, each with all committed writes."""
     return len(view.live) >= size.least and all(view.synced(member) for member in view.live)
 
 
 def next_change(view: GroupView, learners: Collection[str], size: GroupSize) -> MembershipChange | None:
-    """The next change of membership, where one is due."""
-    outsiders = view.retiring - view.members - view.barred
-    if outsiders:
-        return MembershipChange(view.members, view.barred | outsiders)
+    """The next membership change, if one is due."""
+    unbarred_outsiders = view.retiring - view.members - view.barred
+    if unbarred_outsiders:
+        return MembershipChange(view.members, view.barred | unbarred_outsiders)
     for learner in sorted(learners):
         if learner not in view.members and may_admit(view, learner):
             return MembershipChange(view.members | {learner}, view.barred)
@@ -88,19 +88,22 @@
     return None
 
 
-def wants_learner(view: GroupView, learners: Collection[str], size: GroupSize) -> bool:
+def needs_learner(view: GroupView, learners: Collection[str], size: GroupSize) -> bool:
     return size.target is None or len(view.live) + len(learners) < size.target
 
 
 def next_learner(
-    view: GroupView, learners: Collection[str], candidates: Collection[str], given_up: Mapping[str, float]
+    view: GroupView,
+    learners: Collection[str],
+    join_candidates: Collection[str],
+    failed_at: Mapping[str, float],
 ) -> str | None:
-    """The first of those that want to belong.
+    """The replica to start as a learner next, from those that ask to join.
 
-    Danger: one that never catches up, its disk being full, must not keep all others out: whoever was given up
-    lately goes to the end of the line.
+    One that never catches up, for example because its disk is full, must not keep all others out: a replica
+    that has recently failed as a learner is tried last.
     """
-    for candidate in sorted(candidates, key=lambda c: given_up.get(c, 0.0)):
+    for candidate in sorted(join_candidates, key=lambda c: failed_at.get(c, 0.0)):
         if candidate not in view.members and candidate not in view.leaving and candidate not in learners:
             return candidate
     return None
--- a/eiderhub/coordination/replication.py
+++ b/eiderhub/coordination/replication.py
@@ -1,14 +1,15 @@
-"""Primary-backup replication of a keyed state, with epochs that a majority of witnesses grants.
+"""Primary-backup replication of a key-value state, with epochs granted by a majority of witnesses.
 
-A pure state machine: it is told the time and what arrives, and leaves what is to be sent in `outbox`. The
-witness of a replica stores the epoch that it has granted last and nothing else; the replica stores the state
-itself and how far it has come. There is no log: a replica that is too far behind is sent the whole state.
+A pure state machine: callers pass in the time and received messages, and send what it leaves in `outbox`. The
+witness of a replica stores only the epoch that it granted last; the replica stores the state and its
+position. There is no log: a replica that is too far behind is sent the whole state.
 
-Guarantees, each held by tests/test_replication.py and the planted faults of tests/test_planted_faults.py:
+Guarantees, each checked by tests/test_replication.py and the injected faults of tests/test_planted_faults.py:
 
-* one primary acknowledges writes in an epoch;
+* only one primary acknowledges writes in an epoch;
 * a write is committed once a majority of the members has synced it, and every later primary has it;
-* `leads` is true only while a majority has answered within the lease, which a frozen process outlives.
+* `leads` is true only while a majority has replied within the lease time; a process that was suspended for
+  longer finds its lease expired.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
     OWN_FORMS,
     StateForms,
     decode_form,
-    encode_form,
+    encode_format,
     next_form,
 )
 from eiderhub.coordination.lease import Lease
@@ -35,9 +36,9 @@
     GroupView,
     decode_identities,
     encode_identities,
+    needs_learner,
     next_change,
     next_learner,
-    wants_learner,
 )
 from eiderhub.coordination.messages import (
     EpochAnswer,
@@ -54,9 +55,9 @@
 )
 from eiderhub.coordination.store import NOWHERE, ReplicaStore, StoreFailed
 from eiderhub.coordination.timing import GroupSize, Timing, majority
-from eiderhub.coordination.witness import WitnessView, judge
+from eiderhub.coordination.witness import WitnessView, decide
 
-GROUP_KEYS = frozenset({MEMBERS_KEY, BARRED_KEY, FORM_KEY})
+GROUP_STATE_KEYS = frozenset({MEMBERS_KEY, BARRED_KEY, FORM_KEY})
 
 
 class Role(Enum):
@@ -81,46 +82,46 @@
         rng: random.Random,
         size: GroupSize | None = None,
         timing: Timing | None = None,
-        forms: StateForms = OWN_FORMS,
+        formats: StateForms = OWN_FORMS,
     ) -> None:
         self.identity = identity
-        self.forms = forms
+        self.formats = formats
         self.store = store
         self.timing = timing or Timing()
-        self.candidates: list[str] = []  # replicas that want to belong, the one preferred first
+        self.candidates: list[str] = []  # replicas that ask to join, the preferred ones first
         self.outbox: list[Outgoing] = []
         self.role = Role.BACKUP
         self.primary: str | None = None  # of the epoch that this replica follows
-        self.committed = 0  # version; not stored: told by the primary
-        self.unreadable_form: int | None = None  # that a primary writes, and this program does not read
+        self.committed = 0  # version; not stored: reported by the primary
+        self.unreadable_form: int | None = None  # written by the primary, not readable here
         self._size = size or GroupSize()
-        self._random = rng
-        self._read_group()
-        self._last_heard = now  # from a primary
+        self._rng = rng
+        self._load_group()
+        self._primary_heard_at = now
         self._started_at = now
-        self._election_at = now + self._wait(now)
-        # as a candidate
+        self._election_due_at = now + self._election_timeout(now)
+        # while a candidate
         self._votes: set[str] = set()
-        self._unled: set[str] = set()  # members that follow nobody, and were started again lately
-        self._trial = False
-        self._asked_epoch = 0
-        # as a primary
+        self._unled: set[str] = set()  # that follow no primary and restarted recently
+        self._pre_vote = False
+        self._requested_epoch = 0
+        # while the primary
         self._peers: dict[str, Peer] = {}
         self._lease = Lease(identity, self.timing)
         self._history = History(NOWHERE)
-        self._first_version = 0  # of this primary's own epoch
-        self._group_version = 0  # of the latest change of the group; earlier epochs' are committed
-        self._committed_before = (0, 0)  # at the heartbeat before the last, and at the last
-        self._led_since = 0.0
-        self._transfer_until: float | None = None  # a transfer of leadership is under way until then
-        self._successor: str | None = None  # that is to take over, and does not have all yet
-        self._next_heartbeat = 0.0
+        self._epoch_first_version = 0  # first version of this primary's epoch
+        self._group_change_version = 0  # of the latest group change; earlier epochs' are committed
+        self._committed_at_heartbeats = (0, 0)  # the last but one, and the last
+        self._primary_since = 0.0
+        self._transfer_until: float | None = None  # of a running transfer of leadership
+        self._successor: str | None = None  # still missing updates before it can take over
+        self._next_heartbeat_at = 0.0
         self._learners: set[str] = set()
-        self._given_up: dict[str, float] = {}  # when a learner last had not caught up
+        self._learner_failed_at: dict[str, float] = {}  # when a replica last failed as a learner
         self._replaced: set[str] = set()
         self._retiring: set[str] = set()
 
-    # --- what others may ask ---
+    # --- queries ---
 
     @property
     def epoch(self) -> int:
@@ -132,7 +133,7 @@
 
     @property
     def told_version(self) -> int:
-        """Of the state, for figures alone; 0 where it can't be told."""
+        """The version of the state, for status output only; 0 if the store cannot report it."""
         try:
             return self.position.version
         except StoreFailed:
@@ -144,16 +145,16 @@
 
     @property
     def barred(self) -> frozenset[str]:
-        """Identities that no primary of this group will ever admit."""
+        """Identities that no primary of this group will ever admit again."""
         return self._barred
 
     @property
     def form(self) -> int:
-        """The newest form in which records of the state may be written."""
-        return self._form
+        """The newest format in which records of the state may be written."""
+        return self._format
 
     def leads(self, now: float) -> bool:
-        """Whether this replica is the primary for certain: reads may be answered from its state."""
+        """Whether this replica is certainly the primary, so that reads may be answered from its state."""
         return (
             self.role is Role.PRIMARY
             and self._transfer_until is None
@@ -162,57 +163,63 @@
         )
 
     def settled(self, now: float) -> bool:
-        """Primary: whether all of its state, its members included, is committed."""
+        """On the primary: whether all of its state, including its membership, is committed."""
         return self.leads(now) and self.committed == self.position.version
 
     def members_settled(self, now: float) -> bool:
-        """Primary: whether the latest change of its group is committed; writes behind it may be under way."""
-        return self.leads(now) and self.committed >= self._group_version
+        """On the primary: whether the latest change of the group is committed, regardless of later writes."""
+        return self.leads(now) and self.committed >= self._group_change_version
 
     def synced(self, identity: str) -> bool:
-        """Primary: whether that replica has the latest change of the group, and all that was committed before
-        the last two heartbeats: under a steady stream of writes an answer is always a few of them late.
+        """On the primary: whether a replica has the latest group change and all but the newest writes.
+
+        It must have what was committed at the heartbeat before the last: under a continuous stream of writes,
+        the last reply of a replica is always a few writes behind.
         """
         if identity == self.identity:
             return True
         peer = self._peers.get(identity)
-        wanted = max(self._group_version, self._committed_before[0])
-        return peer is not None and peer.matched is not None and peer.matched.version >= wanted
+        required_version = max(self._group_change_version, self._committed_at_heartbeats[0])
+        return (
+            peer is not None
+            and peer.synced_position is not None
+            and peer.synced_position.version >= required_version
+        )
 
-    # --- what the driver tells ---
+    # --- input from the driver ---
 
     def bootstrap(self, members: Iterable[str]) -> None:
-        """First start of a new group: all its members are told the same."""
+        """Initialize a new group: every member is given the same list."""
         if self.position == NOWHERE and not self._members:
-            first = Update(Position(1, 1), [Write(MEMBERS_KEY, encode_identities(list(members)))])
-            self.store.apply([first])
+            initial = Update(Position(1, 1), [Write(MEMBERS_KEY, encode_identities(list(members)))])
+            self.store.apply([initial])
             self.store.grant(1)
-            self._read_group()
+            self._load_group()
 
     def connected(self, now: float, identity: str) -> None:
-        """A new connection to the replica: what was sent on the old one may be lost."""
+        """A new connection to the replica is open; what was sent on the previous one may be lost."""
         peer = self._peers.get(identity)
         if peer is not None:
-            peer.disconnected()
+            peer.reset_connection()
             if self.role is Role.PRIMARY:
-                self._probe(now, identity, peer)
+                self._send_heartbeat(now, identity, peer)
 
-    def expel(self, identity: str) -> None:
-        """A member whose disk is gone: another replica has taken its place."""
+    def mark_replaced(self, identity: str) -> None:
+        """Mark a member whose disk is lost: another replica has replaced it."""
         self._replaced.add(identity)
 
-    def retire(self, identity: str) -> None:
-        """A replica that is to leave for good, a member or not."""
+    def mark_retiring(self, identity: str) -> None:
+        """Mark a replica, whether a member or not, that must leave permanently."""
         self._retiring.add(identity)
 
     def propose(self, now: float, writes: list[Write]) -> Position:
-        """Primary: make writes durable here and send them to the others; committed later, or never.
+        """On the primary: make writes durable locally and replicate them; they may never be committed.
 
         Raises:
-            StoreFailed: the own disk did not take it; the replica has stepped down.
+            StoreFailed: the local store failed, and the replica has stepped down.
         """
         if self.role is not Role.PRIMARY:
-            raise StoreFailed("not the primary")
+            raise StoreFailed("this replica is not the primary")
         update = Update(Position(self.epoch, self.position.version + 1), writes)
         previous = self.position
         try:
@@ -221,60 +228,64 @@
             self._step_down(now)
             raise
         self._history.add(update)
-        if self._note(writes):
-            self._group_version = update.position.version
+        if self._reload_group_if_changed(writes):
+            self._group_change_version = update.position.version
         for identity, peer in self._peers.items():
-            if peer.sent == previous:
-                self._send(identity, self._replicate(now, peer, previous, [update]))
-                peer.sent = update.position
-        self._advance()
+            if peer.sent_position == previous:
+                self._send(identity, self._make_replicate(now, peer, previous, [update]))
+                peer.sent_position = update.position
+        self._advance_committed()
         return update.position
 
     def resign(self, now: float) -> None:
-        """Primary: give the epoch up, since what was made of its state may not be what is written."""
+        """On the primary: give up the epoch if data derived from its state may differ from the store."""
         if self.role is Role.PRIMARY:
             self._step_down(now)
 
     def transfer(self, now: float) -> bool:
-        """Primary: hand over to the backup that has most, as soon as it has all; false where none answers.
+        """On the primary: hand over to the most recent backup once it has caught up; false if there is none.
 
-        From here on this replica does not lead, so that nothing more is written.
+        From now on this replica does not lead, so that no more writes are made.
         """
         if self.role is not Role.PRIMARY or self._transfer_until is not None:
             return False
-        fit = [i for i in sorted(self._members - {self.identity} - self._leaving()) if self._is_fit(now, i)]
-        if not fit:
+        eligible = [
+            i for i in sorted(self._members - {self.identity} - self._leaving()) if self._can_succeed(now, i)
+        ]
+        if not eligible:
             return False
-        most = max(self._matched_version(identity) for identity in fit)
-        self._successor = self._random.choice([i for i in fit if self._matched_version(i) == most])
+        highest_version = max(self._synced_version(identity) for identity in eligible)
+        self._successor = self._rng.choice(
+            [i for i in eligible if self._synced_version(i) == highest_version]
+        )
         self._transfer_until = now + self.timing.transfer
-        self._tell_successor()
+        self._notify_successor()
         return True
 
-    def _is_fit(self, now: float, identity: str) -> bool:
-        """Whether a member could lead as soon as it has what is on its way to it."""
+    def _can_succeed(self, now: float, identity: str) -> bool:
+        """Whether a member could lead once it has received the updates already sent to it."""
         peer = self._peers.get(identity)
-        if peer is None or peer.matched is None or peer.transfer is not None:
+        if peer is None or peer.synced_position is None or peer.snapshot_transfer is not None:
             return False
-        return now - peer.heard < self.timing.lease
+        return now - peer.last_heard_at < self.timing.lease
 
-    def _matched_version(self, identity: str) -> int:
+    def _synced_version(self, identity: str) -> int:
         peer = self._peers.get(identity)
-        return peer.matched.version if peer is not None and peer.matched is not None else 0
+        return peer.synced_position.version if peer is not None and peer.synced_position is not None else 0
 
-    def _tell_successor(self) -> None:
-        """Have the replica that is to follow take over, once it has all."""
-        if self._successor is not None and self._peers[self._successor].matched == self.position:
+    def _notify_successor(self) -> None:
+        """Ask the successor to take over once it has the whole state."""
+        if self._successor is not None and self._peers[self._successor].synced_position == self.position:
             self._send(self._successor, TakeOver(self.epoch))
             self._successor = None
 
     def tick(self, now: float) -> None:
-        """Let time pass; at least as often as the heartbeat."""
+        """Advance the time; to be called at least once per heartbeat interval."""
         try:
             if self.role is Role.PRIMARY:
                 self._tick_primary(now)
-            elif now >= self._election_at and self.identity in self._members:
-                self._stand(now, trial=True)
+            elif now >= self._election_due_at and self.identity in self._members:
+                self._start_election(now, pre_vote=True)
         except StoreFailed:
             self._step_down(now)
 
@@ -282,43 +293,43 @@
         if self._transfer_until is not None and now >= self._transfer_until:
             self._take_back(now)
             return
-        if now >= self._next_heartbeat:
-            self._heartbeat(now)
-        heard = max(self._lease.majority_heard(self._members), self._led_since)
-        if now - heard > 2 * self.timing.election_least:
+        if now >= self._next_heartbeat_at:
+            self._send_heartbeats(now)
+        confirmed_at = max(self._lease.majority_confirmed_at(self._members), self._primary_since)
+        if now - confirmed_at > 2 * self.timing.election_timeout_min:
             self._step_down(now)
             return
-        self._tend_members(now)
+        self._maintain_membership(now)
 
     def _take_back(self, now: float) -> None:
-        """The transfer has not come about.
+        """Abandon a transfer of leadership that did not complete in time.
 
-        Danger: whoever was to take over may still do so, and the witnesses let it without waiting for a
-        lease. So this replica never leads again in the epoch that it gave away: it asks for the next one.
+        The successor may still take over, and the witnesses grant it the epoch without waiting for a lease to
+        expire. So this replica must not lead again in the epoch that it offered: it requests the next one.
         """
         self._step_down(now)
-        self._stand(now, trial=False, transfer=True)
+        self._start_election(now, pre_vote=False, transfer=True)
 
     def receive(self, now: float, sender: str, message: ReplicaMessage) -> None:
         try:
             if isinstance(message, Replicate | SnapshotChunk):
-                self._from_primary(now, sender, message)
+                self._on_primary_message(now, sender, message)
             elif isinstance(message, Replicated):
                 self._on_replicated(now, sender, message)
             elif isinstance(message, RequestEpoch):
-                self._on_request(now, sender, message)
+                self._on_epoch_request(now, sender, message)
             elif isinstance(message, EpochAnswer):
-                self._on_answer(now, sender, message)
+                self._on_epoch_answer(now, sender, message)
             elif message.epoch == self.epoch and self.identity in self._members:
-                self._stand(now, trial=False, transfer=True)
+                self._start_election(now, pre_vote=False, transfer=True)
         except StoreFailed:
             self._step_down(now)
 
     # --- backup ---
 
-    def _from_primary(self, now: float, sender: str, message: Replicate | SnapshotChunk) -> None:
+    def _on_primary_message(self, now: float, sender: str, message: Replicate | SnapshotChunk) -> None:
         if self._is_outdated(message):
-            self._send(sender, self._replicated(message, gap=True))
+            self._send(sender, self._make_replicated(message, gap=True))
             return
         self._refuse_unreadable(message)
         if message.epoch > self.epoch:
@@ -326,74 +337,80 @@
         if self.role is not Role.BACKUP:
             self._step_down(now)
         self.primary = sender
-        self._last_heard = now
-        self._election_at = now + self._wait(now)
+        self._primary_heard_at = now
+        self._election_due_at = now + self._election_timeout(now)
         if isinstance(message, SnapshotChunk):
-            follows = self._take_chunk(message)
+            accepted = self._take_chunk(message)
         else:
-            follows = self._take_updates(message)
-        if follows and self.position >= self._told_position(message):
+            accepted = self._apply_updates(message)
+        if accepted and self.position >= self._resulting_position(message):
             self.committed = max(self.committed, min(message.committed, self.position.version))
-        self._send(sender, self._replicated(message, not follows, self.store.staged))
+        self._send(sender, self._make_replicated(message, not accepted, self.store.staged))
 
-    def _replicated(
+    def _make_replicated(
         self, message: Replicate | SnapshotChunk, gap: bool, staged: Staged | None = None
     ) -> Replicated:
-        """The answer to what a primary has sent."""
-        return Replicated(self.epoch, self.position, message.sent_at, gap, staged, self.forms.reads)
+        """The reply to a message of a primary."""
+        return Replicated(self.epoch, self.position, message.sent_at, gap, staged, self.formats.reads)
 
     def _is_outdated(self, message: Replicate | SnapshotChunk) -> bool:
-        """Whether it comes from a primary whose epoch has passed."""
+        """Whether the message comes from the primary of an earlier epoch."""
         return message.epoch < self.epoch
 
     def _refuse_unreadable(self, message: Replicate | SnapshotChunk) -> None:
-        """Take nothing of a form that this program does not read: its state would be told wrongly.
+        """Refuse a record format that this program cannot read: it would misinterpret the state.
 
         Raises:
-            StoreFailed: the message would have the group write such a form.
+            StoreFailed: the message raises the group to such a format.
         """
         updates = message.updates if isinstance(message, Replicate) else []
         entries = message.entries if isinstance(message, SnapshotChunk) else []
         writes = [*entries, *(write for update in updates for write in update.writes)]
-        told = [decode_form(write.value) for write in writes if write.key == FORM_KEY]
-        if any(form > self.forms.reads for form in told):
-            self.unreadable_form = max(told)
-            raise StoreFailed(f"records of form {max(told)}; this program reads up to {self.forms.reads}")
+        record_formats = [decode_form(write.value) for write in writes if write.key == FORM_KEY]
+        if any(record_format > self.formats.reads for record_format in record_formats):
+            self.unreadable_form = max(record_formats)
+            raise StoreFailed(
+                f"records of form {max(record_formats)}; this program reads up to {self.formats.reads}"
+            )
 
     @staticmethod
-    def _told_position(message: Replicate | SnapshotChunk) -> Position:
-        """The state that the message leads to."""
+    def _resulting_position(message: Replicate | SnapshotChunk) -> Position:
+        """The position of the state after the message."""
         if isinstance(message, SnapshotChunk):
             return message.position
         return message.updates[-1].position if message.updates else message.previous
 
-    def _take_updates(self, message: Replicate) -> bool:
-        """Apply what follows the own state or the staged one; false where there is a gap."""
+    def _apply_updates(self, message: Replicate) -> bool:
+        """Apply updates that follow the current or the staged state; false if there is a gap."""
         if self._follows(message.previous):
             if message.updates:
                 self.store.apply(message.updates)
-                self._note([write for update in message.updates for write in update.writes])
+                self._reload_group_if_changed(
+                    [write for update in message.updates for write in update.writes]
+                )
             return True
         staged = self.store.staged
         if message.staged and staged is not None and message.previous == staged.position:
             if message.updates:
                 self.store.stage_updates(message.updates)
             return True
-        own = [index for index, update in enumerate(message.updates) if update.position == self.position]
-        if not own:
+        own_indexes = [
+            index for index, update in enumerate(message.updates) if update.position == self.position
+        ]
+        if not own_indexes:
             return False
-        rest = message.updates[own[0] + 1 :]
-        if rest:
-            self.store.apply(rest)
-            self._note([write for update in rest for write in update.writes])
+        missing = message.updates[own_indexes[0] + 1 :]
+        if missing:
+            self.store.apply(missing)
+            self._reload_group_if_changed([write for update in missing for write in update.writes])
         return True
 
     def _follows(self, previous: Position) -> bool:
-        """Whether what follows that state follows the own one."""
+        """Whether updates after the given position follow the current state."""
         return previous == self.position
 
     def _take_chunk(self, chunk: SnapshotChunk) -> bool:
-        """Stage a part of a snapshot, and install the snapshot once it is whole; false: there is a gap."""
+        """Stage a chunk of a snapshot and install it after the last chunk; false if there is a gap."""
         if self._is_behind_us(chunk):
             return True
         if not self._continues(chunk):
@@ -401,94 +418,98 @@
         self.store.stage(chunk.entries, Staged(chunk.position, chunk.through), first=not chunk.after)
         if chunk.last:
             self.store.install_staged()
-            self._read_group()
+            self._load_group()
         return True
 
     def _is_behind_us(self, chunk: SnapshotChunk) -> bool:
-        """Whether this replica already has what the snapshot leads to.
+        """Whether this replica is already at the position of the snapshot or later.
 
-        Danger: bytes of an old connection may be read after those of a new one. A state that the primary
-        counts as synced must never be replaced by an older one.
+        Data of an old connection may be read after that of a new one. A state that the primary counts as
+        synced must never be replaced by an older one.
         """
         return self.position.epoch == chunk.epoch and self.position >= chunk.position
 
     def _continues(self, chunk: SnapshotChunk) -> bool:
-        """Whether the chunk begins a snapshot or follows what is staged."""
+        """Whether the chunk starts a snapshot or follows the staged part."""
         return not chunk.after or self.store.staged == Staged(chunk.position, chunk.after)
 
-    def _note(self, writes: list[Write]) -> bool:
-        """Follow what was written of the group itself; whether anything was."""
-        of_group = any(write.key in GROUP_KEYS for write in writes)
-        if of_group:
-            self._read_group()
-        return of_group
+    def _reload_group_if_changed(self, writes: list[Write]) -> bool:
+        """Reload the group's records if a write changes one of them; whether any did."""
+        changes_group = any(write.key in GROUP_STATE_KEYS for write in writes)
+        if changes_group:
+            self._load_group()
+        return changes_group
 
-    def _read_group(self) -> None:
+    def _load_group(self) -> None:
         self._members = decode_identities(self.store.get(MEMBERS_KEY))
         self._barred = decode_identities(self.store.get(BARRED_KEY))
-        self._form = decode_form(self.store.get(FORM_KEY))
+        self._format = decode_form(self.store.get(FORM_KEY))
 
     # --- witness and candidate ---
 
-    def _wait(self, now: float) -> float:
+    def _election_timeout(self, now: float) -> float:
         if self._young(now) and self.primary is None:
-            return self.timing.first_election * (0.5 + self._random.random())
-        return self.timing.election_least + self.timing.election_spread * self._random.random()
+            return self.timing.initial_election_timeout * (0.5 + self._rng.random())
+        return self.timing.election_timeout_min + self.timing.election_timeout_spread * self._rng.random()
 
     def _witness_view(self, now: float) -> WitnessView:
-        followed_for = None if self.primary is None else now - self._last_heard
+        since_primary_heard_s = None if self.primary is None else now - self._primary_heard_at
         leads = (
             self.role is Role.PRIMARY
             and now < self._lease.end(self._members)
             and self._transfer_until is None
         )
-        return WitnessView(self.epoch, self.position, followed_for, leads, now - self._started_at)
+        return WitnessView(self.epoch, self.position, since_primary_heard_s, leads, now - self._started_at)
 
     def _young(self, now: float) -> bool:
         return now - self._started_at < self.timing.lease
 
-    def _stand(self, now: float, trial: bool, transfer: bool = False, unled: bool = False) -> None:
-        """Ask the witnesses for the next epoch; first whether they would grant it."""
-        self._trial = trial
-        self._asked_epoch = self.epoch + 1
-        self._election_at = now + self._wait(now)
-        if not trial:
-            self.store.grant(self._asked_epoch)  # our own witness
+    def _start_election(
+        self, now: float, pre_vote: bool, transfer: bool = False, without_leader: bool = False
+    ) -> None:
+        """Request the next epoch from the witnesses; a pre-vote only asks whether they would grant it."""
+        self._pre_vote = pre_vote
+        self._requested_epoch = self.epoch + 1
+        self._election_due_at = now + self._election_timeout(now)
+        if not pre_vote:
+            self.store.grant(self._requested_epoch)  # by this replica's own witness
             self.role = Role.CANDIDATE
             self.primary = None
         self._votes = {self.identity}
         self._unled = set()
-        request = RequestEpoch(self._asked_epoch, self.position, trial, transfer, unled)
+        request = RequestEpoch(self._requested_epoch, self.position, pre_vote, transfer, without_leader)
         for member in sorted(self._members - {self.identity}):
             self._send(member, request)
-        self._count(now)
-
-    def _on_request(self, now: float, sender: str, message: RequestEpoch) -> None:
-        verdict = judge(self._witness_view(now), message, self.timing)
-        if verdict.granted or verdict.young:
-            # Danger: where all that are left must grant, two that stand at once undo each other.
-            self._election_at = now + self._wait(now)
-        if verdict.granted and not message.trial:
+        self._check_votes(now)
+
+    def _on_epoch_request(self, now: float, sender: str, message: RequestEpoch) -> None:
+        decision = decide(self._witness_view(now), message, self.timing)
+        if decision.granted or decision.recently_started:
+            # Where every remaining member must vote, two simultaneous candidates would block each other.
+            self._election_due_at = now + self._election_timeout(now)
+        if decision.granted and not message.trial:
             if self.role is not Role.BACKUP:
                 self._step_down(now)
             self.store.grant(message.epoch)
             self.primary = None
-        answer = EpochAnswer(message.epoch, verdict.granted, message.trial, self.epoch, verdict.young)
+        answer = EpochAnswer(
+            message.epoch, decision.granted, message.trial, self.epoch, decision.recently_started
+        )
         self._send(sender, answer)
 
-    def _on_answer(self, now: float, sender: str, message: EpochAnswer) -> None:
-        current = message.epoch == self._asked_epoch and message.trial == self._trial
-        if message.young and message.trial and current and self.role is Role.BACKUP:
+    def _on_epoch_answer(self, now: float, sender: str, message: EpochAnswer) -> None:
+        is_current = message.epoch == self._requested_epoch and message.trial == self._pre_vote
+        if message.young and message.trial and is_current and self.role is Role.BACKUP:
             self._unled.add(sender)
-            self._count(now)
+            self._check_votes(now)
         elif not message.granted:
-            self._on_refusal(now, message)
-        elif current and self.role is not Role.PRIMARY and sender in self._members:
+            self._on_epoch_refused(now, message)
+        elif is_current and self.role is not Role.PRIMARY and sender in self._members:
             self._votes.add(sender)
-            self._count(now)
+            self._check_votes(now)
 
-    def _on_refusal(self, now: float, message: EpochAnswer) -> None:
-        """Others have moved on while we were away: ask above their epoch next time."""
+    def _on_epoch_refused(self, now: float, message: EpochAnswer) -> None:
+        """Adopt a newer epoch that a witness reports, so that the next request is above it."""
         if message.highest <= self.epoch:
             return
         if self.role is Role.CANDIDATE:
@@ -497,37 +518,37 @@
         elif message.trial and self.role is Role.BACKUP:
             self.store.grant(message.highest)
 
-    def _count(self, now: float) -> None:
-        if self._trial and self.role is Role.BACKUP and self._nobody_is_led(now):
-            self._stand(now, trial=False, unled=True)
+    def _check_votes(self, now: float) -> None:
+        if self._pre_vote and self.role is Role.BACKUP and self._nobody_is_led(now):
+            self._start_election(now, pre_vote=False, without_leader=True)
             return
         if len(self._votes & self._members) < majority(len(self._members)):
             return
-        if self._trial:
-            if self._asked_epoch == self.epoch + 1 and not self._young(now):
-                self._stand(now, trial=False)
-        elif self.epoch == self._asked_epoch and self.role is Role.CANDIDATE:
-            self._lead(now)
+        if self._pre_vote:
+            if self._requested_epoch == self.epoch + 1 and not self._young(now):
+                self._start_election(now, pre_vote=False)
+        elif self.epoch == self._requested_epoch and self.role is Role.CANDIDATE:
+            self._become_primary(now)
 
     def _nobody_is_led(self, now: float) -> bool:
-        """Whether no lease can run, as every member has said that it follows nobody."""
-        needed = self._young(now) or bool(self._unled)
-        return needed and self._members <= self._votes | self._unled
+        """Whether no lease can be valid, because every member has said that it follows no primary."""
+        lease_wait_applies = self._young(now) or bool(self._unled)
+        return lease_wait_applies and self._members <= self._votes | self._unled
 
     # --- primary ---
 
-    def _lead(self, now: float) -> None:
+    def _become_primary(self, now: float) -> None:
         self.role = Role.PRIMARY
         self.primary = self.identity
         self._transfer_until = None
         self._peers = {i: Peer(now) for i in (self._members | self._learners) - {self.identity}}
         self._lease = Lease(self.identity, self.timing)
         self._history = History(self.position)
-        self._first_version = self._group_version = self.position.version + 1
-        self._committed_before = (self._first_version, self._first_version)
-        self._led_since = now
-        self._heartbeat(now)
-        # Commits what earlier epochs left behind, and opens the epoch.
+        self._epoch_first_version = self._group_change_version = self.position.version + 1
+        self._committed_at_heartbeats = (self._epoch_first_version, self._epoch_first_version)
+        self._primary_since = now
+        self._send_heartbeats(now)
+        # An empty update commits the writes of earlier epochs and starts this one.
         self.propose(now, [])
 
     def _step_down(self, now: float) -> None:
@@ -537,23 +558,23 @@
         self._successor = None
         self._peers = {}
         self._votes = set()
-        self._election_at = now + self._wait(now)
+        self._election_due_at = now + self._election_timeout(now)
 
     def _epoch_is_committed(self) -> bool:
-        """Whether this epoch's first write is committed, and with it all that earlier epochs left."""
-        return self.committed >= self._first_version
+        """Whether this epoch's first write is committed, and with it all writes of earlier epochs."""
+        return self.committed >= self._epoch_first_version
 
-    def _heartbeat(self, now: float) -> None:
-        self._next_heartbeat = now + self.timing.heartbeat
-        self._committed_before = (self._committed_before[1], self.committed)
+    def _send_heartbeats(self, now: float) -> None:
+        self._next_heartbeat_at = now + self.timing.heartbeat
+        self._committed_at_heartbeats = (self._committed_at_heartbeats[1], self.committed)
         for identity, peer in self._peers.items():
-            self._probe(now, identity, peer)
+            self._send_heartbeat(now, identity, peer)
 
-    def _probe(self, now: float, identity: str, peer: Peer) -> None:
-        self._send(identity, self._replicate(now, peer, peer.sent or self.position, []))
+    def _send_heartbeat(self, now: float, identity: str, peer: Peer) -> None:
+        self._send(identity, self._make_replicate(now, peer, peer.sent_position or self.position, []))
 
-    def _replicate(self, now: float, peer: Peer, previous: Position, updates: list[Update]) -> Replicate:
-        staged = peer.transfer is not None
+    def _make_replicate(self, now: float, peer: Peer, previous: Position, updates: list[Update]) -> Replicate:
+        staged = peer.snapshot_transfer is not None
         return Replicate(self.epoch, previous, updates, self.committed, now, staged)
 
     def _on_replicated(self, now: float, sender: str, message: Replicated) -> None:
@@ -564,107 +585,107 @@
         peer = self._peers.get(sender)
         if self.role is not Role.PRIMARY or peer is None or message.epoch != self.epoch:
             return
-        peer.heard = now
-        peer.reads_form = message.reads_form
+        peer.last_heard_at = now
+        peer.readable_format = message.reads_form
         self._lease.confirm(sender, message.sent_at)
-        if message.gap and peer.sent is not None and message.sent_at <= peer.caught_up_at:
-            return  # answers what was sent before that; the next heartbeat shows whether it arrived
-        if message.gap or peer.sent is None:
+        if message.gap and peer.sent_position is not None and message.sent_at <= peer.catch_up_sent_at:
+            return  # a reply to an earlier message; the next heartbeat shows whether the catch-up arrived
+        if message.gap or peer.sent_position is None:
             self._catch_up(now, sender, peer, message)
             return
         if self._knows(message.position):
-            peer.matched = message.position
-            peer.transfer = None
-            self._advance()
-            self._tell_successor()
-        elif peer.transfer is not None:
-            self._go_on(now, sender, peer, peer.transfer, message)
+            peer.synced_position = message.position
+            peer.snapshot_transfer = None
+            self._advance_committed()
+            self._notify_successor()
+        elif peer.snapshot_transfer is not None:
+            self._continue_snapshot(now, sender, peer, peer.snapshot_transfer, message)
 
     def _knows(self, position: Position) -> bool:
-        """Whether the replica's state at this position is a state that ours has been in.
+        """Whether this primary has itself been at the position that a replica reports.
 
-        Danger: under many writes an answer is older than the updates that are kept in memory. What was
-        written in this epoch this primary has written itself.
+        Under many writes, a reply may be older than the updates kept in memory, but every update of this
+        epoch was made by this primary itself.
         """
-        own = position.epoch == self.epoch and position.version <= self.position.version
-        return own or position == self.position or self._history.knows(position)
-
-    def _catch_up(self, now: float, identity: str, peer: Peer, told: Replicated) -> None:
-        """Send a replica what it lacks, from the state on that it says it has."""
-        peer.caught_up_at = now
-        peer.transfer = None
-        rest = [] if told.position == self.position else self._history.since(told.position)
-        if rest is None:
-            rest = self._changes_since(told.position)
-        if rest is None:
-            self._begin_snapshot(now, identity, peer, told.staged)
+        from_own_epoch = position.epoch == self.epoch and position.version <= self.position.version
+        return from_own_epoch or position == self.position or self._history.contains(position)
+
+    def _catch_up(self, now: float, identity: str, peer: Peer, reply: Replicated) -> None:
+        """Send a replica the updates since the position that it reports, or a snapshot."""
+        peer.catch_up_sent_at = now
+        peer.snapshot_transfer = None
+        missing = [] if reply.position == self.position else self._history.since(reply.position)
+        if missing is None:
+            missing = self._merged_changes_since(reply.position)
+        if missing is None:
+            self._start_snapshot(now, identity, peer, reply.staged)
             return
-        peer.matched = told.position
-        peer.sent = self.position
-        if rest:
-            self._send(identity, self._replicate(now, peer, told.position, rest))
-        self._advance()
-
-    def _changes_since(self, position: Position) -> list[Update] | None:
-        """One update that leads from a state of an earlier epoch to the present one; None: not known."""
+        peer.synced_position = reply.position
+        peer.sent_position = self.position
+        if missing:
+            self._send(identity, self._make_replicate(now, peer, reply.position, missing))
+        self._advance_committed()
+
+    def _merged_changes_since(self, position: Position) -> list[Update] | None:
+        """One update from a position of an earlier epoch to the current one; None if it is not known."""
         writes = self.store.changed_since(position)
         return None if writes is None else [Update(self.position, writes)]
 
-    def _begin_snapshot(self, now: float, identity: str, peer: Peer, staged: Staged | None) -> None:
-        """Begin a snapshot, or go on with what the replica has of one."""
-        missed = self._history.since(staged.position) if staged is not None else None
-        peer.transfer = SnapshotTransfer(staged if missed is not None else None)
-        peer.sent = self.position
-        if staged is not None and missed:
-            self._send(identity, self._replicate(now, peer, staged.position, missed))
-        self._send_chunks(now, identity, peer.transfer)
-
-    def _go_on(
-        self, now: float, identity: str, peer: Peer, transfer: SnapshotTransfer, told: Replicated
+    def _start_snapshot(self, now: float, identity: str, peer: Peer, staged: Staged | None) -> None:
+        """Start a snapshot transfer, or resume it after the part that the replica has staged."""
+        updates_since_staged = self._history.since(staged.position) if staged is not None else None
+        peer.snapshot_transfer = SnapshotTransfer(staged if updates_since_staged is not None else None)
+        peer.sent_position = self.position
+        if staged is not None and updates_since_staged:
+            self._send(identity, self._make_replicate(now, peer, staged.position, updates_since_staged))
+        self._send_chunks(now, identity, peer.snapshot_transfer)
+
+    def _continue_snapshot(
+        self, now: float, identity: str, peer: Peer, transfer: SnapshotTransfer, reply: Replicated
     ) -> None:
-        """A replica has answered while a snapshot is on its way to it."""
-        if transfer.is_lost(told):
-            self._catch_up(now, identity, peer, told)
-        elif told.staged is not None:
-            transfer.answered(told.staged.through)
+        """Handle a reply received while a snapshot transfer is running."""
+        if transfer.lost_chunk(reply):
+            self._catch_up(now, identity, peer, reply)
+        elif reply.staged is not None:
+            transfer.record_acknowledged(reply.staged.through)
             self._send_chunks(now, identity, transfer)
 
     def _send_chunks(self, now: float, identity: str, transfer: SnapshotTransfer) -> None:
-        while transfer.may_send:
+        while transfer.can_send:
             after = transfer.through
             chunk = self.store.chunk(after, CHUNK_BYTES)
-            transfer.sent(now, chunk)
+            transfer.record_sent(now, chunk)
             through, last = chunk.through, chunk.last
             message = SnapshotChunk(
                 self.epoch, self.position, after, through, chunk.entries, last, self.committed, now
             )
             self._send(identity, message)
 
-    def _advance(self) -> None:
-        """Count what a majority of the members has synced as committed.
+    def _advance_committed(self) -> None:
+        """Advance `committed` to the version that a majority of the members has synced.
 
-        Danger: a majority may have synced what an earlier epoch wrote, and another primary may still
-        overwrite it; only what this epoch wrote on top commits it.
+        Another primary may still overwrite a write of an earlier epoch that a majority has synced; it is
+        committed only together with a later write of this epoch.
         """
         versions = [self.position.version] if self.identity in self._members else []
-        versions += [self._matched_version(identity) for identity in self._members - {self.identity}]
+        versions += [self._synced_version(identity) for identity in self._members - {self.identity}]
         versions.sort(reverse=True)
         needed = majority(len(self._members))
-        reached = versions[needed - 1] if len(versions) >= needed else 0
-        if self._commits(reached):
-            self.committed = max(self.committed, reached)
+        majority_version = versions[needed - 1] if len(versions) >= needed else 0
+        if self._commits(majority_version):
+            self.committed = max(self.committed, majority_version)
 
     def _commits(self, version: int) -> bool:
-        """Whether a version that a majority has synced is committed by that."""
-        return version >= self._first_version
+        """Whether a version synced by a majority is thereby committed."""
+        return version >= self._epoch_first_version
 
     # --- membership ---
 
     def _leaving(self) -> frozenset[str]:
         return self._barred | self._retiring | self._replaced
 
-    def _view(self, now: float) -> GroupView:
-        silent = {i for i in self._members if self._silent(now, i, self.timing.replace_after)}
+    def _group_view(self, now: float) -> GroupView:
+        silent = {i for i in self._members if self._is_silent(now, i, self.timing.replace_after)}
         return GroupView(
             identity=self.identity,
             members=self._members,
@@ -673,25 +694,26 @@
             replaced=frozenset(self._replaced),
             silent=frozenset(silent),
             synced=self.synced,
-            heard=lambda identity: not self._silent(now, identity, self.timing.lease),
+            heard=lambda identity: not self._is_silent(now, identity, self.timing.lease),
         )
 
     def _may_change_members(self, now: float) -> bool:
-        """Whether the group may change: one change at a time, on top of a committed one.
+        """Whether the group may change: one change at a time, after the previous one is committed.
 
-        Other writes need not be committed. The majorities of two groups that differ by one member share a
-        member; updates are taken in order, so whoever has the change has all before it.
+        Other writes need not be committed. Any majorities of two groups that differ by one member have a
+        member in common, and updates are applied in order, so a replica that has the change has everything
+        before it.
         """
         return self.members_settled(now)
 
-    def _tend_members(self, now: float) -> None:
+    def _maintain_membership(self, now: float) -> None:
         if not self._may_change_members(now):
             return
-        view = self._view(now)
+        view = self._group_view(now)
         self._drop_learners(now, view)
-        form = self._next_form(view)
-        if form is not None:
-            self.propose(now, [Write(FORM_KEY, encode_form(form))])
+        record_format = self._next_format(view)
+        if record_format is not None:
+            self.propose(now, [Write(FORM_KEY, encode_format(record_format))])
             return
         change = next_change(view, self._learners, self._size)
         if change is not None:
@@ -700,42 +722,42 @@
             for removed in view.members - change.members:
                 self._peers.pop(removed, None)
             return
-        if wants_learner(view, self._learners, self._size):
-            self._teach(now, view)
+        if needs_learner(view, self._learners, self._size):
+            self._add_learner(now, view)
         if self.identity in view.leaving and len(view.live) >= self._size.least:
             self.transfer(now)
 
-    def _next_form(self, view: GroupView) -> int | None:
-        """The form that the group may go on to: each member reads it, those that are silent included."""
+    def _next_format(self, view: GroupView) -> int | None:
+        """The format that the group may be raised to: every member, including silent ones, can read it."""
         others = view.members - {self.identity}
-        return next_form(self._form, self.forms, [self._reads_form(other) for other in others])
+        return next_form(self._format, self.formats, [self._readable_format(other) for other in others])
 
-    def _reads_form(self, identity: str) -> int:
-        """The newest form that another replica's program has said that it reads."""
+    def _readable_format(self, identity: str) -> int:
+        """The newest format that another replica's program has reported it can read."""
         peer = self._peers.get(identity)
-        return peer.reads_form if peer is not None else FIRST_FORM
+        return peer.readable_format if peer is not None else FIRST_FORM
 
-    def _teach(self, now: float, view: GroupView) -> None:
-        learner = next_learner(view, self._learners, self.candidates, self._given_up)
+    def _add_learner(self, now: float, view: GroupView) -> None:
+        learner = next_learner(view, self._learners, self.candidates, self._learner_failed_at)
         if learner is not None:
             self._learners.add(learner)
             self._peers[learner] = Peer(now)
-            self._probe(now, learner, self._peers[learner])
+            self._send_heartbeat(now, learner, self._peers[learner])
 
     def _drop_learners(self, now: float, view: GroupView) -> None:
-        """Give up learners that are silent or must leave."""
+        """Drop learners that are silent, must leave or have become members."""
         for learner in sorted(self._learners):
-            silent = self._silent(now, learner, self.timing.replace_after)
-            if silent or learner in view.leaving or learner in view.members:
+            is_silent = self._is_silent(now, learner, self.timing.replace_after)
+            if is_silent or learner in view.leaving or learner in view.members:
                 self._learners.discard(learner)
                 if learner not in view.members:
-                    self._given_up[learner] = now
+                    self._learner_failed_at[learner] = now
                     self._peers.pop(learner, None)
 
-    def _silent(self, now: float, identity: str, for_s: float) -> bool:
+    def _is_silent(self, now: float, identity: str, for_s: float) -> bool:
         if identity == self.identity:
             return False
-        return now - self._peers.setdefault(identity, Peer(now)).heard > for_s
+        return now - self._peers.setdefault(identity, Peer(now)).last_heard_at > for_s
 
     def _send(self, recipient: str, message: ReplicaMessage) -> None:
         self.outbox.append(Outgoing(recipient, message))
--- a/eiderhub/coordination/roster.py
+++ b/eiderhub/coordination/roster.py
@@ -1,7 +1,7 @@
-"""Which replicas a group can be made of: who is there, who came in whose place, who must leave.
+"""The replicas that may form a group: which are connected, which replace another, and which must leave.
 
-Pure. A replica is told apart by its identity, which is made with its disk: `name@host:port`. One that lost
-its disk comes back at its address under another identity.
+Pure state without I/O. A replica is identified by `name@host:port`, generated when its disk is initialized. A
+replica that lost its disk comes back at the same address with a new identity.
 """
 
 from __future__ import annotations
@@ -12,60 +12,64 @@
 
 
 def address_of(identity: str) -> str:
-    """Where the replica of this identity listens."""
+    """The address at which the replica with this identity listens."""
     return identity.partition("@")[2]
 
 
 class Roster:
-    """What a replica's driver knows of the other replicas."""
+    """What a replica's driver knows about the other replicas."""
 
     def __init__(self, identity: str, zone: str) -> None:
-        self.retired: frozenset[str] = frozenset()  # identities that must leave for good
-        self.retired_names: frozenset[str] = frozenset()  # machines that must leave for good
-        self.gathers = False  # whether members are wanted in few zones; else in many
-        self.informed = True  # whether the names above are known to be all
-        self._present: dict[str, str] = {}  # identities by address, of those that have greeted us
-        self._names: dict[str, str] = {}  # machines' names by identity
+        self.retired: frozenset[str] = frozenset()  # identities that must leave permanently
+        self.retired_names: frozenset[str] = frozenset()  # machines that must leave permanently
+        self.gathers = False  # whether to place members in few zones rather than in many
+        self.informed = True  # whether the retirements above are known to be complete
+        self._present: dict[str, str] = {}  # connected identities by address
+        self._node_names: dict[str, str] = {}  # by identity
         self._zones = {identity: zone}
 
     def greeted(self, identity: str, name: str, zone: str) -> None:
-        """Another replica is there; whoever was at its address before is gone."""
+        """Another replica has introduced itself; it replaces any earlier replica at its address."""
         self._present[address_of(identity)] = identity
-        self._names[identity] = name
+        self._node_names[identity] = name
         self._zones[identity] = zone
 
     def lost(self, identity: str) -> None:
-        """Its connection has ended."""
+        """The connection to a replica has ended."""
         if self._present.get(address_of(identity)) == identity:
             del self._present[address_of(identity)]
 
     def retiring(self, members: Collection[str]) -> frozenset[str]:
-        """Identities that must leave for good: those named, and whatever runs on a machine that retires."""
+        """Identities that must leave permanently: those listed, and all on machines being retired."""
         known = set(members) | set(self._present.values())
-        return self.retired | {i for i in known if self._names.get(i, "") in self.retired_names}
+        return self.retired | {i for i in known if self._node_names.get(i, "") in self.retired_names}
 
     def tend(self, replica: Replica) -> None:
-        """Tell a primary who wants to belong, and who must not."""
+        """Pass a primary the replicas that may join and those that must leave."""
         if replica.role is not Role.PRIMARY:
             return
         retiring = self.retiring(replica.members)
         for identity in retiring:
-            replica.retire(identity)
+            replica.mark_retiring(identity)
         for member in replica.members:
             if self._present.get(address_of(member), member) != member:
-                replica.expel(member)
+                replica.mark_replaced(member)
         replica.candidates = self.candidates(replica, retiring)
 
     def candidates(self, replica: Replica, retiring: Collection[str]) -> list[str]:
-        """Those that could become members; from zones that have no member first, or that have some.
+        """Replicas that could become members, ordered by preference.
 
-        Danger: what came in the place of a barred replica may be on a machine that is about to be taken away.
+        Those in zones without a member come first, or those in zones with one if few zones are preferred.
+        While the retirements may be incomplete, replicas at the address of a barred one are left out: they
+        may run on a machine that is about to be removed.
         """
-        closed = set() if self.informed else {address_of(identity) for identity in replica.barred}
-        wanting: Iterable[str] = (
+        excluded_addresses = set() if self.informed else {address_of(identity) for identity in replica.barred}
+        eligible: Iterable[str] = (
             identity
             for address, identity in self._present.items()
-            if identity not in retiring and identity not in replica.members and address not in closed
+            if identity not in retiring
+            and identity not in replica.members
+            and address not in excluded_addresses
         )
-        covered = {self._zones.get(member, "") for member in replica.members - set(retiring)}
-        return sorted(wanting, key=lambda i: ((self._zones.get(i, "") in covered) != self.gathers, i))
+        covered_zones = {self._zones.get(member, "") for member in replica.members - set(retiring)}
+        return sorted(eligible, key=lambda i: ((self._zones.get(i, "") in covered_zones) != self.gathers, i))
--- a/eiderhub/coordination/store.py
+++ b/eiderhub/coordination/store.py
@@ -1,4 +1,4 @@
-"""What a replica asks of its durable state."""
+"""The interface of a replica to its durable state."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 class StoreFailed(Exception):
-    """The state could not be made durable; nothing of the call has taken effect."""
+    """The state could not be made durable; the call has had no effect."""
 
 
 class Chunk(NamedTuple):
-    """A part of the state, in the order of its keys."""
+    """A part of the state in key order."""
 
     entries: list[Write]
     through: str  # the last key that it covers
-    last: bool  # nothing follows it
+    last: bool  # whether no entry follows
 
 
 class ReplicaStore(Protocol):
-    """Durable state of one replica. Each method returns once its effect would outlive a loss of power.
+    """Durable state of one replica. Each method returns once its effect would survive a power failure.
 
-    A snapshot that arrives in chunks is kept beside the state, and takes its place in one step.
+    A snapshot received in chunks is staged separately and replaces the state atomically.
 
     Raises:
-        StoreFailed: nothing has changed.
+        StoreFailed: the call has changed nothing.
     """
 
     @property
@@ -39,7 +39,7 @@
 
     @property
     def staged(self) -> Staged | None:
-        """How much of a snapshot has arrived, where one is on its way."""
+        """How much of a snapshot is staged; None if there is none."""
 
     def grant(self, epoch: int) -> None: ...
 
@@ -47,20 +47,20 @@
 
     def get(self, key: str) -> bytes | None: ...
 
-    def chunk(self, after: str, most_bytes: int) -> Chunk:
-        """The entries behind a key, as many as fit; at least one where there is any."""
+    def chunk(self, after: str, max_bytes: int) -> Chunk:
+        """The entries after a key, as many as fit; at least one if there is any."""
 
     def changed_since(self, position: Position) -> list[Write] | None:
-        """The present values of all that has changed since the state was at that position.
+        """The current values of all keys changed since the state was at this position.
 
-        None: it is not known, or more than is worth sending in place of a snapshot.
+        None if they are not known, or too large to be sent instead of a snapshot.
         """
 
     def stage(self, entries: Iterable[Write], staged: Staged, first: bool) -> None:
-        """Keep a chunk of a snapshot; the first one replaces any other snapshot."""
+        """Stage a chunk of a snapshot; the first one replaces any staged snapshot."""
 
     def stage_updates(self, updates: list[Update]) -> None:
-        """Keep updates that came while the snapshot is on its way."""
+        """Apply updates to the staged snapshot, received while its transfer is running."""
 
     def install_staged(self) -> None:
-        """Put the snapshot in the place of the state."""
+        """Replace the state with the staged snapshot."""
--- a/eiderhub/coordination/tail.py
+++ b/eiderhub/coordination/tail.py
@@ -1,8 +1,9 @@
-"""The last updates of a replica's state, by the keys that they changed: kept in its store, over restarts.
+"""The keys changed by the most recent updates, kept in the store of a replica across restarts.
 
-A replica whose state is one that ours has been in lately lacks the present values of the keys that have
-changed since, and nothing else. So after a loss of all power a backup that is an update behind is sent that
-update, not the whole state. Positions name states: two replicas at one position have the same.
+A replica at a position that this one has recently passed lacks only the current values of the keys changed
+since. So after a power failure of all machines, a backup that is one update behind is sent that update
+instead of the whole state. A position identifies a state: two replicas at the same position have the same
+state.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 from eiderhub.coordination.messages import Position, Update
 
-KEPT_UPDATES = 24  # the newest; few enough to share a page of the store with what is written anyway
-MOST_KEYS = 40  # of one update; one that changes more is not kept
-MOST_BYTES = 4 << 20  # of values that are sent in place of a snapshot
+KEPT_UPDATES = 24  # so few that they share a store page with data that each update writes anyway
+MAX_KEYS_PER_ENTRY = 40  # no entry is kept for an update that changes more
+MOST_BYTES = 4 << 20  # of values sent instead of a snapshot
 
 
 class ChangedKeys(Struct, array_like=True, frozen=True):
-    """One step of the state."""
+    """The keys that differ between two consecutive positions of the state."""
 
     previous: Position
     position: Position
@@ -27,22 +28,22 @@
 
 
 def step(previous: Position, updates: list[Update]) -> ChangedKeys | None:
-    """The step that updates make together; None: it changes too many keys to be kept."""
+    """The entry for updates applied together; None if they change too many keys for one."""
     keys = list(dict.fromkeys(write.key for update in updates for write in update.writes))
-    if len(keys) > MOST_KEYS:
+    if len(keys) > MAX_KEYS_PER_ENTRY:
         return None
     return ChangedKeys(previous, updates[-1].position, keys)
 
 
-def changed_since(steps: Iterable[ChangedKeys], position: Position, current: Position) -> list[str] | None:
-    """The keys that have changed on the way from one state to the current one; None: the way is not known."""
-    by_position = {each.position: each for each in steps}
+def changed_since(entries: Iterable[ChangedKeys], position: Position, current: Position) -> list[str] | None:
+    """The keys changed between a position and the current one; None if the entries do not connect the two."""
+    entry_leading_to = {each.position: each for each in entries}
     keys: dict[str, None] = {}
-    at = current
-    while at != position:
-        last = by_position.pop(at, None)
-        if last is None:
+    reached = current
+    while reached != position:
+        entry = entry_leading_to.pop(reached, None)
+        if entry is None:
             return None
-        keys.update(dict.fromkeys(last.keys))
-        at = last.previous
+        keys.update(dict.fromkeys(entry.keys))
+        reached = entry.previous
     return list(keys)
--- a/eiderhub/coordination/timing.py
+++ b/eiderhub/coordination/timing.py
@@ -1,4 +1,4 @@
-"""Times and sizes of a group."""
+"""Time-outs and size of a group."""
 
 from __future__ import annotations
 
@@ -6,29 +6,29 @@
 
 
 class Timing(NamedTuple):
-    """Seconds. The lease must be shorter than the least election wait."""
+    """Durations in seconds. The lease must be shorter than the minimum election time-out."""
 
     heartbeat: float = 0.1
     lease: float = 0.35
-    election_least: float = 0.45
-    election_spread: float = 0.25
-    first_election: float = 0.1  # wait of a replica that was started lately, on the mean
-    replace_after: float = 1.5  # a member that is silent for so long is replaced or removed
-    transfer: float = 1.5  # a planned transfer of leadership is given up after so long
+    election_timeout_min: float = 0.45
+    election_timeout_spread: float = 0.25
+    initial_election_timeout: float = 0.1  # mean, for a replica that started recently
+    replace_after: float = 1.5  # a member that is silent for this long is replaced or removed
+    transfer: float = 1.5  # a planned transfer of leadership is abandoned after this long
 
 
 class GroupSize(NamedTuple):
-    """How many members a group has."""
+    """The intended number of members of a group."""
 
-    target: int | None = None  # live members that are wanted; None: all that want to belong
-    least: int = 3  # no member is removed unless so many live ones remain
+    target: int | None = None  # number of live members; None: every replica that asks to join
+    least: int = 3  # no member is removed unless this many live ones remain
 
 
-def copies_needed(losses: int) -> int:
-    """Members of a group that keeps a majority when so many are lost."""
-    return 2 * losses + 1
+def copies_needed(tolerated_losses: int) -> int:
+    """Number of members with which a group keeps its majority after this many losses."""
+    return 2 * tolerated_losses + 1
 
 
-def majority(count: int) -> int:
-    """How many of so many members are more than half."""
-    return count // 2 + 1
+def majority(members: int) -> int:
+    """The smallest number that is more than half of the members."""
+    return members // 2 + 1
--- a/eiderhub/coordination/wire.py
+++ b/eiderhub/coordination/wire.py
@@ -1,7 +1,8 @@
-"""What a process says that it speaks, so that nobody is sent what it does not take.
+"""Wire version and features that a process advertises, so that it is sent nothing that it does not support.
 
-The first message of each connection carries a `WireSupport`. A process that says nothing is of wire version 1
-and is sent the messages of that version alone. How a message or a record may change: docs/upgrades.md.
+The first message of each connection carries a `WireSupport`. A process that advertises nothing has wire
+version 1 and is sent only messages of that version. How messages and records may change is described in
+docs/upgrades.md.
 """
 
 from __future__ import annotations
@@ -11,25 +12,25 @@
 from msgspec import Struct
 
 WIRE_VERSION = 2
-UNTOLD_VERSION = 1  # of a process that says nothing of its version
+UNTOLD_VERSION = 1  # of a process that does not advertise its version
 
 
 class Feature(Enum):
-    """What a process may take beyond wire version 1."""
+    """Optional features beyond wire version 1."""
 
-    DEFLATE = "deflate"  # frames that are deflated, as a bit of their length says
+    DEFLATE = "deflate"  # deflated frames, marked by a bit of their length
     SHARED_LOAD = "shared-load"  # `LoadUpdate`
-    SESSION_ACCEPTED = "session-accepted"  # `SessionAccepted`, with what the control node speaks
+    SESSION_ACCEPTED = "session-accepted"  # `SessionAccepted`, with what the control node supports
 
 
 class WireSupport(Struct, array_like=True, frozen=True):
-    """What one process speaks. Names of features that this program does not know are skipped."""
+    """What one process supports. Unknown feature names are ignored."""
 
     version: int = UNTOLD_VERSION
     features: list[str] = []
 
     def takes(self, feature: Feature) -> bool:
-        """Whether the process may be sent that; no version before the second has features."""
+        """Whether the process supports the feature; wire version 1 has none."""
         return self.version > UNTOLD_VERSION and feature.value in self.features
 
 
--- a/eiderhub/coordination/witness.py
+++ b/eiderhub/coordination/witness.py
@@ -1,11 +1,12 @@
-"""The witness of a replica: whether a candidate may have the epoch that it asks for.
+"""The voting rules of a replica's witness: whether a candidate is granted the epoch that it requests.
 
-It stores the epoch that it granted last and nothing else. Each condition is one that safety needs:
+The witness stores only the epoch that it granted last. Each condition is needed for safety:
 
-* an epoch is granted once, to a candidate that has all that this replica has;
-* not while this replica follows a primary, or leads itself: a lease may run that it has confirmed;
-* not within a lease of its own start, when it does not know what it confirmed before, unless every member has
-  said that it follows nobody.
+* an epoch is granted once, to a candidate whose state is at least as recent as that of this replica;
+* it is not granted while this replica follows a primary or is one itself, because a lease that it has
+  confirmed may still be valid;
+* it is not granted within one lease time of the replica's start, because the replica does not know what it
+  confirmed before, unless every member has said that it follows no primary.
 """
 
 from __future__ import annotations
@@ -17,23 +18,23 @@
 
 
 class WitnessView(NamedTuple):
-    """What the witness knows of its replica at this moment."""
+    """What the witness knows about its replica at one point in time."""
 
     epoch: int
     position: Position
-    followed_for: float | None  # seconds since the primary was heard; None: it follows nobody
+    since_primary_heard_s: float | None  # None: it follows no primary
     leads: bool
-    age: float  # seconds since the replica's start
+    uptime_s: float  # since the replica's start
 
 
-class Verdict(NamedTuple):
+class Decision(NamedTuple):
     granted: bool
-    young: bool  # only the time since the start keeps it from granting
+    recently_started: bool  # refused only because the replica started recently
 
 
 def is_young(view: WitnessView, timing: Timing) -> bool:
-    """Whether a primary that this replica answered before its start may still have its lease."""
-    return view.age < timing.lease
+    """Whether a lease that this replica confirmed before its start may still be valid."""
+    return view.uptime_s < timing.lease
 
 
 def is_new_epoch(view: WitnessView, request: RequestEpoch) -> bool:
@@ -41,19 +42,21 @@
 
 
 def has_all(view: WitnessView, request: RequestEpoch) -> bool:
-    """Whether the candidate has all that this replica has."""
+    """Whether the candidate's state is at least as recent as that of this replica."""
     return request.position >= view.position
 
 
 def is_led(view: WitnessView, timing: Timing) -> bool:
-    """Whether a lease may run that this replica has confirmed, or its own."""
-    follows = view.followed_for is not None and view.followed_for < timing.election_least
-    return follows or view.leads
-
-
-def judge(view: WitnessView, request: RequestEpoch, timing: Timing) -> Verdict:
-    """Whether the epoch is granted, or would be."""
-    free = request.transfer or not is_led(view, timing)
-    willing = is_new_epoch(view, request) and has_all(view, request) and free
-    granted = willing and (request.unled or not is_young(view, timing))
-    return Verdict(granted, willing and not granted)
+    """Whether this replica leads, or a lease that it has confirmed may still be valid."""
+    hears_primary = (
+        view.since_primary_heard_s is not None and view.since_primary_heard_s < timing.election_timeout_min
+    )
+    return hears_primary or view.leads
+
+
+def decide(view: WitnessView, request: RequestEpoch, timing: Timing) -> Decision:
+    """Whether the requested epoch is granted; for a trial, whether it would be."""
+    no_active_lease = request.transfer or not is_led(view, timing)
+    eligible = is_new_epoch(view, request) and has_all(view, request) and no_active_lease
+    granted = eligible and (request.unled or not is_young(view, timing))
+    return Decision(granted, eligible and not granted)
--- a/tests/replication_support.py
+++ b/tests/replication_support.py
@@ -158,7 +158,7 @@
                 continue
             for member in replica.members:
                 if present.get(member.partition("@")[2], member) != member:
-                    replica.expel(member)
+                    replica.mark_replaced(member)
             wanting = set(present.values()) - replica.members
             replica.candidates = sorted(wanting)
 
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -11,7 +11,7 @@
 from eiderhub.coordination.messages import Position, Staged, Update, Write
 from eiderhub.coordination.replication import Replica
 from eiderhub.coordination.store import ReplicaStore
-from eiderhub.coordination.tail import MOST_KEYS, ChangedKeys, changed_since
+from eiderhub.coordination.tail import MAX_KEYS_PER_ENTRY, ChangedKeys, changed_since
 from eiderhub.storage.store import LmdbStore, MemoryStore
 from tests.model.schedules import recover, serve
 from tests.model.world import CONTROL_OF_THREE, World
@@ -36,7 +36,7 @@
 
 
 def test_an_update_of_many_keys_is_not_kept() -> None:
-    writes = [Write(f"k{number}", b"") for number in range(MOST_KEYS + 1)]
+    writes = [Write(f"k{number}", b"") for number in range(MAX_KEYS_PER_ENTRY + 1)]
     assert tail.step(at(1), [Update(at(2), writes)]) is None
     assert tail.step(at(1), [Update(at(2), writes[1:])]) is not None
 
@@ -108,14 +108,14 @@
     for machine in world.machines.values():
         world.timeline.after(world.rng.uniform(0.2, 0.6), machine.start)
     began: list[str] = []
-    begin_snapshot = Replica._begin_snapshot
+    begin_snapshot = Replica._start_snapshot
 
     def counted(self: Replica, now: float, identity: str, peer: Peer, staged: Staged | None) -> None:
         began.append(identity)
         begin_snapshot(self, now, identity, peer, staged)
 
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(Replica, "_begin_snapshot", counted)
+        patch.setattr(Replica, "_start_snapshot", counted)
         recover(world)
     serve(world)
     return len(began)
--- a/tests/test_members_under_writes.py
+++ b/tests/test_members_under_writes.py
@@ -21,13 +21,17 @@
 
 def _has_all_that_is_committed(self: Replica, identity: str) -> bool:
     peer = self._peers.get(identity)
-    matched = peer.matched if peer is not None else None
+    matched = peer.synced_position if peer is not None else None
     return identity == self.identity or (matched is not None and matched.version >= self.committed)
 
 
 def _successor_must_have_all(self: Replica, now: float, identity: str) -> bool:
     peer = self._peers.get(identity)
-    return peer is not None and peer.matched == self.position and now - peer.heard < self.timing.lease
+    return (
+        peer is not None
+        and peer.synced_position == self.position
+        and now - peer.last_heard_at < self.timing.lease
+    )
 
 
 @pytest.fixture(autouse=True)
@@ -61,7 +65,7 @@
     [
         (writes.replaced_under_writes, ((Replica, "_may_change_members", _settled_alone),)),
         (writes.slow_machine_joins_under_writes, ((Replica, "synced", _has_all_that_is_committed),)),
-        (writes.retired_under_writes, ((Replica, "_is_fit", _successor_must_have_all),)),
+        (writes.retired_under_writes, ((Replica, "_can_succeed", _successor_must_have_all),)),
     ],
     ids=["a change waits for a moment without writes", "a learner must have the newest write",
          "a successor must have the newest write"],
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -9,7 +9,7 @@
 import pytest
 
 from eiderhub.coordination.messages import Position, Staged, Update, Write
-from eiderhub.coordination.repair import copy_speed, judge, repair_time, timing_for
+from eiderhub.coordination.repair import copy_bytes_per_s, judge, repair_time, timing_for
 from eiderhub.coordination.timing import Timing
 from eiderhub.storage.store import LmdbStore
 from tests.model.schedules import LEADS_WITHIN_S, serve
@@ -40,10 +40,10 @@
 
 
 def test_the_largest_state_is_the_one_that_takes_all_of_the_time() -> None:
-    time, speed = repair_time(Timing()), copy_speed(LINK_MBPS)
-    largest = time.largest_state(4.7, speed)
-    assert time.total(largest, speed) == pytest.approx(4.7)
-    assert copy_speed(0.0) == copy_speed(10_000.0) > speed
+    time, speed = repair_time(Timing()), copy_bytes_per_s(LINK_MBPS)
+    largest = time.max_state_bytes(4.7, speed)
+    assert time.total_s(largest, speed) == pytest.approx(4.7)
+    assert copy_bytes_per_s(0.0) == copy_bytes_per_s(10_000.0) > speed
 
 
 def has_leader(world: World) -> bool:
--- a/tests/test_staged_snapshot.py
+++ b/tests/test_staged_snapshot.py
@@ -10,7 +10,7 @@
 import pytest
 
 from eiderhub.coordination import replication
-from eiderhub.coordination.catch_up import CHUNKS_UNANSWERED, Peer
+from eiderhub.coordination.catch_up import MAX_UNACKNOWLEDGED_CHUNKS, Peer
 from eiderhub.coordination.messages import Position, Replicated, SnapshotChunk, Staged, Update, Write
 from eiderhub.coordination.replication import Replica, Role
 from eiderhub.coordination.store import NOWHERE
@@ -54,7 +54,7 @@
         """Deliver messages both ways until none is left, or `stop` says so; how many chunks came."""
         chunks = 0
         self.now += 0.01
-        self.primary._probe(self.now, LEARNER, self.primary._peers[LEARNER])
+        self.primary._send_heartbeat(self.now, LEARNER, self.primary._peers[LEARNER])
         while True:
             outbox, self.primary.outbox = self.primary.outbox, []
             mine = [each.message for each in outbox if each.recipient == LEARNER]
@@ -89,7 +89,7 @@
     pair = Pair(tmp_path, monkeypatch)
     pair.primary.receive(pair.now, LEARNER, Replicated(2, NOWHERE, pair.now, gap=True))
     chunks = [each for each in pair.primary.outbox if isinstance(each.message, SnapshotChunk)]
-    assert len(chunks) == CHUNKS_UNANSWERED
+    assert len(chunks) == MAX_UNACKNOWLEDGED_CHUNKS
 
 
 @pytest.mark.parametrize("chunks", range(1, 10))
@@ -150,7 +150,7 @@
     other = Replica("e@5", LmdbStore(tmp_path / "two", DISK_MB, "e@5"), pair.now, random.Random(3))
     pair.primary._learners.add("e@5")
     pair.primary._peers["e@5"] = Peer(pair.now)
-    pair.primary._heartbeat(pair.now)
+    pair.primary._send_heartbeats(pair.now)
     replicas = {LEARNER: pair.learner, "e@5": other}
     while any(each.recipient in replicas for each in pair.primary.outbox):
         outbox, pair.primary.outbox = pair.primary.outbox, []
