--- a/eiderhub/coordination/lease.py
+++ b/eiderhub/coordination/lease.py
@@ -17,12 +17,10 @@
     def __init__(self, identity: str, timing: Timing) -> None:
         self._identity = identity
         self._timing = timing
-        self._confirmed_at: dict[
-            str, float
-        ] = {}  # sending time of the newest heartbeat acknowledged, by member
+        self._confirmed_at: dict[str, float] = {}  # send time of the newest acknowledged heartbeat
 
     def confirm(self, member: str, sent_at: float) -> None:
-        """A member has acknowledged a message sent at this time."""
+        """A member has acknowledged a message sent at `sent_at`."""
         self._confirmed_at[member] = max(self._confirmed_at.get(member, 0.0), sent_at)
 
     def majority_confirmed_at(self, members: Collection[str]) -> float:
--- a/eiderhub/coordination/repair.py
+++ b/eiderhub/coordination/repair.py
@@ -64,15 +64,12 @@
     repair, bytes_per_s = repair_time(timing), copy_bytes_per_s(link_mbps)
     max_bytes = repair.max_state_bytes(catch_up_s, bytes_per_s)
     if max_bytes < 0:
-        shortest_s = repair.total_s(0, bytes_per_s)
-        return (
-            False,
-            f"bounds.catch_up_s {catch_up_s:g} is not kept: a repair takes {shortest_s:.1f} s at least",
-        )
+        min_s = repair.total_s(0, bytes_per_s)
+        return False, f"bounds.catch_up_s {catch_up_s:g} is not kept: a repair takes {min_s:.1f} s at least"
     if state_bytes > max_bytes:
-        total_s = repair.total_s(state_bytes, bytes_per_s)
+        needed_s = repair.total_s(state_bytes, bytes_per_s)
         return False, (
-            f"bounds.catch_up_s {catch_up_s:g} is not kept: a repair takes {total_s:.1f} s with a state of "
+            f"bounds.catch_up_s {catch_up_s:g} is not kept: a repair takes {needed_s:.1f} s with a state of "
             f"{state_bytes / 1e6:.0f} MB, and is in time up to {max_bytes / 1e6:.0f} MB"
         )
     return True, f"repairs keep bounds.catch_up_s {catch_up_s:g} up to a state of {max_bytes / 1e6:.0f} MB"
--- a/tests/test_members_under_writes.py
+++ b/tests/test_members_under_writes.py
@@ -1,4 +1,4 @@
-"""Changes of members come within a bound though writes never rest; docs/control-guarantees.md, point 3."""
+"""Membership changes finish within a bound under continuous writes; docs/control-guarantees.md, point 3."""
 
 from __future__ import annotations
 
@@ -12,20 +12,22 @@
 from tests.test_model import set_small_sizes
 
 SEEDS = 20
-DRAWN = 10
+RANDOM_SCHEDULES = 10
 
 
-def _settled_alone(self: Replica, now: float) -> bool:
+def _requires_all_writes_committed(self: Replica, now: float) -> bool:
     return self.settled(now)
 
 
-def _has_all_that_is_committed(self: Replica, identity: str) -> bool:
+def _requires_newest_committed_write(self: Replica, identity: str) -> bool:
     peer = self._peers.get(identity)
-    matched = peer.synced_position if peer is not None else None
-    return identity == self.identity or (matched is not None and matched.version >= self.committed)
+    synced_position = peer.synced_position if peer is not None else None
+    return identity == self.identity or (
+        synced_position is not None and synced_position.version >= self.committed
+    )
 
 
-def _successor_must_have_all(self: Replica, now: float, identity: str) -> bool:
+def _requires_newest_write(self: Replica, now: float, identity: str) -> bool:
     peer = self._peers.get(identity)
     return (
         peer is not None
@@ -35,43 +37,43 @@
 
 
 @pytest.fixture(autouse=True)
-def small_sizes() -> None:
+def use_small_sizes() -> None:
     set_small_sizes()
 
 
-def test_a_replacement_belongs_within_its_bound() -> None:
+def test_replacement_joins_within_the_bound() -> None:
     for seed in range(SEEDS):
         assert 0.0 < writes.replaced_under_writes(World(seed, CONTROL_OF_THREE)) < writes.REPLACED_WITHIN_S
 
 
-def test_a_slow_machine_belongs_within_the_bound() -> None:
+def test_slow_machine_joins_within_the_bound() -> None:
     for seed in range(SEEDS):
         world = World(seed, CONTROL_OF_THREE)
         assert writes.slow_machine_joins_under_writes(world) < writes.REPLACED_WITHIN_S
 
 
-def test_a_primary_that_retires_is_empty_within_the_bound() -> None:
+def test_retiring_primary_is_removed_within_the_bound() -> None:
     for seed in range(SEEDS):
         assert writes.retired_under_writes(World(seed, STORAGE)) < writes.REPLACED_WITHIN_S
 
 
-def test_members_change_as_drawn() -> None:
-    for seed in range(DRAWN):
+def test_random_membership_changes() -> None:
+    for seed in range(RANDOM_SCHEDULES):
         writes.drawn_under_writes(World(seed, CONTROL_OF_THREE))
 
 
 @pytest.mark.parametrize(
     ("schedule", "patches"),
     [
-        (writes.replaced_under_writes, ((Replica, "_may_change_members", _settled_alone),)),
-        (writes.slow_machine_joins_under_writes, ((Replica, "synced", _has_all_that_is_committed),)),
-        (writes.retired_under_writes, ((Replica, "_can_succeed", _successor_must_have_all),)),
+        (writes.replaced_under_writes, ((Replica, "_may_change_members", _requires_all_writes_committed),)),
+        (writes.slow_machine_joins_under_writes, ((Replica, "synced", _requires_newest_committed_write),)),
+        (writes.retired_under_writes, ((Replica, "_can_succeed", _requires_newest_write),)),
     ],
-    ids=["a change waits for a moment without writes", "a learner must have the newest write",
-         "a successor must have the newest write"],
+    ids=["membership change requires all writes committed", "learner requires the newest committed write",
+         "successor requires the newest write"],
 )  # fmt: skip
-def test_each_wait_for_a_quiet_moment_breaks_the_bound(schedule: object, patches: tuple[Patch, ...]) -> None:
-    """Planted faults: what each of them was before."""
+def test_waiting_for_a_pause_in_writes_breaks_the_bound(schedule: object, patches: tuple[Patch, ...]) -> None:
+    """Each stricter condition, injected as a fault, is not met in time under continuous writes."""
     assert callable(schedule)
     shape = STORAGE if schedule is writes.retired_under_writes else CONTROL_OF_THREE
     with patched(patches), pytest.raises(Broken):
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -1,4 +1,4 @@
-"""Times of repair follow the deployment's bound, or the program says that they do not."""
+"""Repair times meet the deployment's catch-up bound, or the log line says that they do not."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 @pytest.mark.parametrize(
     ("catch_up_s", "silence_s"), [(60.0, 1.5), (6.0, 1.5), (4.7, 1.5), (3.0, 0.96), (2.0, 0.9), (0.1, 0.9)]
 )
-def test_silence_that_ends_membership_follows_the_bound(catch_up_s: float, silence_s: float) -> None:
+def test_replacement_timeout_follows_the_catch_up_bound(catch_up_s: float, silence_s: float) -> None:
     timing = timing_for(catch_up_s)
     assert timing.replace_after == pytest.approx(silence_s)
     assert timing._replace(replace_after=1.5) == Timing()
 
 
-def test_the_line_says_up_to_what_state_a_repair_is_in_time() -> None:
+def test_log_line_gives_the_largest_state_that_is_repaired_in_time() -> None:
     kept, line = judge(4.7, timing_for(4.7), LINK_MBPS, 10_000_000)
     assert kept and line == "repairs keep bounds.catch_up_s 4.7 up to a state of 270 MB"
     kept, line = judge(4.7, timing_for(4.7), LINK_MBPS, 300_000_000)
@@ -39,11 +39,11 @@
     assert len(line.splitlines()) == 1
 
 
-def test_the_largest_state_is_the_one_that_takes_all_of_the_time() -> None:
-    time, speed = repair_time(Timing()), copy_bytes_per_s(LINK_MBPS)
-    largest = time.max_state_bytes(4.7, speed)
-    assert time.total_s(largest, speed) == pytest.approx(4.7)
-    assert copy_bytes_per_s(0.0) == copy_bytes_per_s(10_000.0) > speed
+def test_largest_state_uses_exactly_the_allowed_time() -> None:
+    repair, bytes_per_s = repair_time(Timing()), copy_bytes_per_s(LINK_MBPS)
+    max_bytes = repair.max_state_bytes(4.7, bytes_per_s)
+    assert repair.total_s(max_bytes, bytes_per_s) == pytest.approx(4.7)
+    assert copy_bytes_per_s(0.0) == copy_bytes_per_s(10_000.0) > bytes_per_s
 
 
 def has_leader(world: World) -> bool:
@@ -51,16 +51,16 @@
 
 
 @pytest.mark.parametrize("catch_up_s", [3.0, 4.7])
-def test_the_next_loss_is_borne_once_the_bound_has_passed(catch_up_s: float) -> None:
-    """A replacement begins as a backup is lost; the primary is lost as soon as the new machine counts."""
+def test_next_loss_is_tolerated_once_the_bound_has_passed(catch_up_s: float) -> None:
+    """A backup is lost and replaced; the primary is lost as soon as the new machine should count."""
     set_small_sizes()
     for seed in range(SEEDS):
         world = World(seed, CONTROL_OF_THREE, timing=timing_for(catch_up_s))
         world.run(2.0)
         world.run_until(partial(has_leader, world), LEADS_WITHIN_S, "a leader")
         lost = next(m for m in world.machines.values() if m is not world.leader())
-        made = world.replace(lost)
-        made.start()
+        replacement = world.replace(lost)
+        replacement.start()
         world.run(catch_up_s)
         leader = world.leader()
         assert leader is not None
@@ -70,8 +70,8 @@
         serve(world)
 
 
-def test_a_store_that_is_nearly_full_is_copied_to_an_empty_machine(tmp_path: Path) -> None:
-    """To 0.9 of what it may grow to; jobs are refused from 0.85 on."""
+def test_nearly_full_store_is_copied_to_an_empty_machine(tmp_path: Path) -> None:
+    """Filled to 0.9 of its limit; new jobs are refused from 0.85 on."""
     disk_mb = 24.0
     source = LmdbStore(tmp_path / "source", disk_mb, "a@h:1")
     size, version = 100_000, 0
@@ -89,4 +89,4 @@
     assert target.entries() == source.entries()
     assert target.used_bytes >= 0.9 * target.limit_bytes
     shutil.rmtree(tmp_path / "source")
-    target.apply([Update(Position(2, version + 1), [Write("job/00001", None)])])  # it goes on
+    target.apply([Update(Position(2, version + 1), [Write("job/00001", None)])])  # the copy accepts writes
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The lmdb store: what it keeps over a restart, and what a full disk does to it."""
+"""The LMDB store: what survives a restart, and how it handles a full or failing disk."""
 
 from __future__ import annotations
 
@@ -31,29 +31,29 @@
     return Update(Position(1, version), list(writes))
 
 
-def test_state_position_and_epoch_outlive_a_restart(tmp_path: Path) -> None:
+def test_state_position_and_epoch_survive_a_restart(tmp_path: Path) -> None:
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
     store.apply([update(1, Write("a", b"1"), Write("b", b"2")), update(2, Write("a", None))])
     store.grant(7)
-    store.grant(3)  # an older one changes nothing
+    store.grant(3)  # an older epoch changes nothing
     store.close()
-    again = LmdbStore(tmp_path, DISK_MB, "other@h:1")
-    assert (again.identity, again.created) == ("id@h:1", False)
-    assert (again.position, again.epoch) == (Position(1, 2), 7)
-    assert again.entries() == [Write("b", b"2")]
+    reopened = LmdbStore(tmp_path, DISK_MB, "other@h:1")
+    assert (reopened.identity, reopened.created) == ("id@h:1", False)
+    assert (reopened.position, reopened.epoch) == (Position(1, 2), 7)
+    assert reopened.entries() == [Write("b", b"2")]
 
 
-def test_store_tells_what_its_state_takes_without_what_is_free_again(tmp_path: Path) -> None:
+def test_used_bytes_exclude_freed_space(tmp_path: Path) -> None:
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
-    before = store.used_bytes
+    used_before = store.used_bytes
     store.apply([update(1, Write("a", b"x" * 1_000_000))])
-    assert store.used_bytes >= before + 1_000_000
+    assert store.used_bytes >= used_before + 1_000_000
     store.apply([update(2, Write("a", None))])
-    assert store.used_bytes <= before + 4096
+    assert store.used_bytes <= used_before + 4096
     assert store.limit_bytes == int(DISK_MB * 0.9) << 20
 
 
-def test_snapshot_replaces_all(tmp_path: Path) -> None:
+def test_snapshot_replaces_the_whole_state(tmp_path: Path) -> None:
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
     store.apply([update(1, Write("old", b"1"))])
     store.stage([Write("new", b"2"), Write("new/1", b"3")], Staged(Position(4, 9), "new/1"), first=True)
@@ -63,24 +63,24 @@
     assert store.get("old") is None
 
 
-def test_empty_store_begins_nowhere(tmp_path: Path) -> None:
+def test_empty_store_is_at_the_initial_position(tmp_path: Path) -> None:
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
     assert (store.position, store.epoch, store.created) == (NOWHERE, 0, True)
 
 
-def test_reading_needs_a_store(tmp_path: Path) -> None:
+def test_read_only_open_requires_an_existing_store(tmp_path: Path) -> None:
     with pytest.raises(StoreUnusable, match="there is no store"):
         LmdbStore(tmp_path, DISK_MB, read_only=True)
 
 
-def test_file_that_is_no_store_is_refused(tmp_path: Path) -> None:
+def test_file_that_is_not_a_store_is_refused(tmp_path: Path) -> None:
     (tmp_path / "replica.lmdb").write_bytes(b"x" * 8192)
     with pytest.raises(StoreUnusable):
         LmdbStore(tmp_path, DISK_MB, "id@h:1")
 
 
-class BrokenDisk:
-    """An environment that writes and cannot sync."""
+class FailingSyncEnvironment:
+    """An LMDB environment whose writes succeed and whose sync fails."""
 
     def __init__(self, environment: Any) -> None:
         self._environment = environment
@@ -92,7 +92,7 @@
         raise OSError("the disk does not answer")
 
 
-def test_a_store_that_fails_twice_tells_no_position_until_it_could_be_opened_anew(
+def test_failed_store_reports_no_position_until_it_is_reopened(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     clock = [100.0]
@@ -100,32 +100,32 @@
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
     store.apply([update(1, Write("a", b"1"))])
     replica = Replica("id@h:1", store, 0.0, random.Random(1))
-    monkeypatch.setattr(store, "_environment", BrokenDisk(store._environment))
-    opened = store._open
+    monkeypatch.setattr(store, "_environment", FailingSyncEnvironment(store._environment))
+    real_open = store._open
 
-    def fails() -> None:
+    def failing_open() -> None:
         raise OSError("no such device")
 
-    monkeypatch.setattr(store, "_open", fails)
+    monkeypatch.setattr(store, "_open", failing_open)
     with pytest.raises(StoreFailed, match="the disk does not answer"):
         store.apply([update(2, Write("a", b"2"))])
     assert store.broken and not store.is_empty and (store.used_bytes, replica.told_version) == (0, 0)
     replica.receive(1.0, "p@h:2", Replicate(1, Position(1, 2), [], 2, 1.0))
     replica.receive(1.0, "p@h:2", RequestEpoch(7, Position(1, 9), False))
-    assert replica.outbox == []  # what it has is not known: it neither acknowledges nor votes
+    assert replica.outbox == []  # its state is unknown: it neither acknowledges nor votes
     for call in (lambda: store.position, lambda: store.staged, lambda: store.grant(9)):
         with pytest.raises(StoreFailed, match="no such device"):
             call()
-    monkeypatch.setattr(store, "_open", opened)
+    monkeypatch.setattr(store, "_open", real_open)
     with pytest.raises(StoreFailed):
-        store.grant(9)  # not tried again at once
+        store.grant(9)  # not retried immediately
     clock[0] += TRY_AGAIN_S
     assert store.position in (Position(1, 1), Position(1, 2)) and not store.broken
     replica.receive(2.0, "p@h:2", Replicate(1, store.position, [], 1, 2.0))
     assert [type(each.message) for each in replica.outbox] == [Replicated]
 
 
-FULL_DISK = """
+FULL_DISK_SCRIPT = """
     import resource, signal, sys
     from pathlib import Path
     from eiderhub.coordination.messages import Position, Update, Write
@@ -155,7 +155,7 @@
 """
 
 
-def test_full_disk_loses_nothing_and_takes_writes_again_once_there_is_room(tmp_path: Path) -> None:
-    command = [sys.executable, "-c", textwrap.dedent(FULL_DISK), str(tmp_path)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=60)
-    assert done.returncode == 0, done.stderr
+def test_full_disk_loses_no_data_and_accepts_writes_once_space_is_freed(tmp_path: Path) -> None:
+    command = [sys.executable, "-c", textwrap.dedent(FULL_DISK_SCRIPT), str(tmp_path)]
+    result = subprocess.run(command, capture_output=True, text=True, timeout=60)
+    assert result.returncode == 0, result.stderr
