--- a/eiderhub/address.py
+++ b/eiderhub/address.py
@@ -1,4 +1,4 @@
-"""An address and a port, as people and the platform write them: 10.0.0.4:7070, [::1]:7070 or ::1:7070."""
+"""Host and port pairs in the accepted notations: 10.0.0.4:7070, [::1]:7070 and ::1:7070."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Address(NamedTuple):
-    """Where something listens; `host` without brackets."""
+    """Host and port of a listener; `host` has no brackets."""
 
     host: str
     port: int
@@ -22,22 +22,22 @@
 
 
 def parse(text: str) -> Address:
-    """The last colon parts the port; an IPv6 address may stand in brackets.
+    """Parse `host:port`; the last colon separates the port, and an IPv6 address may be in brackets.
 
     Raises:
-        ValueError: where it is no address:port.
+        ValueError: the text is not a valid address:port.
     """
     host, _, port = text.rpartition(":")
     bracketed = host.startswith("[") and host.endswith("]")
-    bare = host[1:-1] if bracketed else host
+    unbracketed = host[1:-1] if bracketed else host
     try:
-        if ":" in bare or bracketed:
-            import ipaddress  # few addresses are such, and each sidecar would hold it
+        if ":" in unbracketed or bracketed:
+            import ipaddress  # only when needed: it would add to the memory of every sidecar
 
-            ipaddress.IPv6Address(bare)
-        valid = bool(bare) and not any(c.isspace() or c in "[]" for c in bare)
+            ipaddress.IPv6Address(unbracketed)
+        valid = bool(unbracketed) and not any(c.isspace() or c in "[]" for c in unbracketed)
     except ValueError:
         valid = False
     if not valid or not (port.isascii() and port.isdigit()) or len(port) > 5 or int(port) > 65535:
-        raise ValueError(f"no address:port: {text!r}")
-    return Address(bare, int(port))
+        raise ValueError(f"invalid address:port: {text!r}")
+    return Address(unbracketed, int(port))
--- a/eiderhub/http1.py
+++ b/eiderhub/http1.py
@@ -1,6 +1,7 @@
-"""HTTP/1.1 for the list service and stand-ins: what a server reads and answers, and what a caller asks.
+"""HTTP/1.1 server connections and a client connection pool on asyncio.
 
-Parsing is httptools'; here is only who is told what, when a connection is used again, and what is too much.
+httptools parses the messages. This module dispatches requests and replies, decides when a connection is
+reused, and enforces size limits.
 """
 
 from __future__ import annotations
@@ -16,57 +17,57 @@
 
 import httptools
 
-OUR_LIMIT = (errno.EMFILE, errno.ENFILE)  # no descriptor is left in this process, or on this machine
-RESET = struct.pack("ii", 1, 0)  # a linger of no time: closing resets the connection
+OUR_LIMIT = (errno.EMFILE, errno.ENFILE)  # out of file descriptors: this process, this machine
+RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing sends a reset
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-MOST_HEAD = 64 * 1024  # bytes of a request's target and headers
-MOST_QUEUED = 16  # requests that a caller may send before their turn
-MOST_ANSWER = 64 << 20  # bytes of an answer's body
+MAX_HEAD_BYTES = 64 * 1024  # request target and headers
+MAX_PIPELINED_REQUESTS = 16  # received while an earlier request is still being answered
+MAX_RESPONSE_BODY_BYTES = 64 << 20
 
 
-def head(status: int, headers: list[tuple[bytes, bytes]], length: int) -> bytes:
+def render_head(status: int, headers: list[tuple[bytes, bytes]], length: int) -> bytes:
     lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
     lines += [b"%s: %s" % header for header in headers]
     return b"\r\n".join(lines) + b"\r\nContent-Length: %d\r\n\r\n" % length
 
 
 def render(status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
-    return head(status, headers, len(body)) + body
+    return render_head(status, headers, len(body)) + body
 
 
 class Bounds(NamedTuple):
-    """What one caller may take."""
+    """Limits for each client connection."""
 
-    body_bytes: int = 1 << 20  # of a request
-    unsent_bytes: int = 4 << 20  # of answers that the caller has not read yet
-    reader_s: float = 0.0  # for so long, and no longer, it may leave them; 0: for ever
+    body_bytes: int = 1 << 20  # request body
+    unsent_bytes: int = 4 << 20  # write buffer size above which the client counts as slow
+    reader_s: float = 0.0  # a slow client must empty the write buffer within this time; 0: no limit
 
 
 class Exchange:
-    """One request as a server got it; it is answered at most once, and its caller may go before that."""
+    """A request received by a server. It is answered at most once; the client may disconnect before that."""
 
     __slots__ = (
         "_connection", "body", "first", "first_us", "gone", "headers", "keep", "method", "on_gone", "url",
     )  # fmt: skip
 
-    def __init__(self, connection: ServerConnection, first: bool, first_us: int) -> None:
+    def __init__(self, connection: ServerConnection, is_first: bool, started_us: int) -> None:
         self._connection = connection
         self.method = b""
         self.url = b""
         self.headers: dict[bytes, bytes] = {}
         self.body = b""
-        self.first = first  # on its connection
-        self.first_us = first_us  # when its first byte came
-        self.keep = True  # whether the connection goes on after the answer
-        self.gone = False
+        self.first = is_first  # whether it is the first request on its connection
+        self.first_us = started_us  # time at which its first byte arrived
+        self.keep = True  # whether the connection stays open after the response
+        self.gone = False  # whether it was answered or the client disconnected
         self.on_gone: Callable[[Exchange], None] | None = None
 
     def answer(self, status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> None:
         if self.gone:
             return
         lines = list(headers) if self.keep else [*headers, (b"Connection", b"close")]
-        # Two writes: the body may be many callers', and is not copied for each.
-        self._connection.transport.write(head(status, lines, len(body)))
+        # The body is written separately: one body may be shared by many responses and must not be copied.
+        self._connection.transport.write(render_head(status, lines, len(body)))
         if body:
             self._connection.transport.write(body)
         self._connection.over(self)
@@ -81,7 +82,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection to a stand-in."""
+    """A server's side of one client connection."""
 
     def __init__(
         self,
@@ -91,11 +92,11 @@
         on_open: Callable[[ServerConnection], None] = lambda _: None,
         bounds: Bounds | None = None,
     ) -> None:
-        self._bounds = bounds or Bounds()
-        self._waiting: deque[Exchange] = deque()  # that came before their turn
+        self._limits = bounds or Bounds()
+        self._pipelined: deque[Exchange] = deque()  # received while an earlier request is being answered
         self._reading: Exchange | None = None
         self._head = 0
-        self._slow: asyncio.TimerHandle | None = None
+        self._write_timer: asyncio.TimerHandle | None = None
         self._serve = serve
         self._clock = clock
         self._connections = connections
@@ -105,10 +106,10 @@
         self._count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not `isinstance`: uvloop's transports only have the shape of asyncio's.
+        # No isinstance check: uvloop's transports do not derive from asyncio.Transport.
         self.transport = cast(asyncio.Transport, transport)
-        if self._bounds.reader_s:
-            self.transport.set_write_buffer_limits(high=self._bounds.unsent_bytes, low=0)
+        if self._limits.reader_s:
+            self.transport.set_write_buffer_limits(high=self._limits.unsent_bytes, low=0)
         self._connections.add(self)
         self._on_open(self)
 
@@ -120,24 +121,24 @@
                 self.refuse(400)
 
     def refuse(self, status: int, *headers: tuple[bytes, bytes]) -> None:
-        """An answer to no request in particular, and the end of the connection."""
+        """Send an error response that belongs to no particular request, and close the connection."""
         self.transport.write(render(status, [*headers, (b"Connection", b"close")], b""))
         self.transport.close()
 
     def pause_writing(self) -> None:
-        if self._bounds.reader_s and self._slow is None:
+        if self._limits.reader_s and self._write_timer is None:
             loop = asyncio.get_running_loop()
-            self._slow = loop.call_later(self._bounds.reader_s, self.transport.abort)
+            self._write_timer = loop.call_later(self._limits.reader_s, self.transport.abort)
 
     def resume_writing(self) -> None:
-        if self._slow is not None:
-            self._slow.cancel()
-            self._slow = None
+        if self._write_timer is not None:
+            self._write_timer.cancel()
+            self._write_timer = None
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.resume_writing()
         self._connections.discard(self)
-        self._waiting.clear()
+        self._pipelined.clear()
         exchange, self._exchange = self._exchange, None
         if exchange is not None:
             exchange.gone = True
@@ -150,12 +151,12 @@
             self._exchange = None
         if not exchange.keep:
             self.transport.close()
-        elif self._waiting and self._exchange is None:
-            asyncio.get_running_loop().call_soon(self._next)
+        elif self._pipelined and self._exchange is None:
+            asyncio.get_running_loop().call_soon(self._serve_next)
 
-    def _next(self) -> None:
-        if self._waiting and self._exchange is None and not self.transport.is_closing():
-            self._exchange = self._waiting.popleft()
+    def _serve_next(self) -> None:
+        if self._pipelined and self._exchange is None and not self.transport.is_closing():
+            self._exchange = self._pipelined.popleft()
             self._serve(self._exchange)
 
     def reset(self) -> None:
@@ -163,35 +164,35 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         self.transport.abort()
 
-    # --- the parser's calls ---
+    # --- parser callbacks ---
 
     def on_message_begin(self) -> None:
         self._reading = Exchange(self, self._count == 0, self._clock())
         self._count += 1
         self._head = 0
 
-    def _more_head(self, size: int) -> None:
+    def _add_head_bytes(self, size: int) -> None:
         self._head += size
-        if self._head > MOST_HEAD:
+        if self._head > MAX_HEAD_BYTES:
             self.refuse(431)
-            raise ValueError("the head is too long")
+            raise ValueError("request head too long")
 
     def on_url(self, url: bytes) -> None:
-        self._more_head(len(url))
+        self._add_head_bytes(len(url))
         if self._reading is not None:
             self._reading.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._more_head(len(name) + len(value))
+        self._add_head_bytes(len(name) + len(value))
         if self._reading is not None:
             self._reading.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
         if self._reading is not None:
             self._reading.body += body
-            if len(self._reading.body) > self._bounds.body_bytes:
+            if len(self._reading.body) > self._limits.body_bytes:
                 self.refuse(413)
-                raise ValueError("the body is too long")
+                raise ValueError("request body too long")
 
     def on_message_complete(self) -> None:
         exchange, self._reading = self._reading, None
@@ -200,16 +201,16 @@
         exchange.method = self._parser.get_method()
         exchange.keep = self._parser.should_keep_alive()
         if self._exchange is not None:
-            if len(self._waiting) >= MOST_QUEUED:
+            if len(self._pipelined) >= MAX_PIPELINED_REQUESTS:
                 self.transport.abort()
-            self._waiting.append(exchange)
+            self._pipelined.append(exchange)
             return
         self._exchange = exchange
         self._serve(exchange)
 
 
 class Reply:
-    """A whole answer."""
+    """A complete HTTP response."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -226,52 +227,55 @@
             return 0
 
 
-class Asker(Protocol):
-    """Who asked: told of one end of each exchange."""
+class ReplyHandler(Protocol):
+    """Receives the outcome of a request: exactly one of reply, broken connection or unreachable server."""
 
     def on_written(self) -> None:
-        """A connection is up, and the request has gone out on it."""
+        """The request has been written to an established connection."""
 
     def on_reply(self, reply: Reply) -> None: ...
 
     def on_broken(self, first: bool) -> None:
-        """The connection ended without a whole answer; `first`: it had carried nothing before."""
+        """The connection ended before the reply was complete.
+
+        `first`: this was the first request on the connection.
+        """
 
     def on_unreachable(self) -> None: ...
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection that we opened: one exchange at a time."""
+    """A client's side of a connection; it carries one request at a time."""
 
     def __init__(self, pool: Pool) -> None:
         self._pool = pool
-        self._asker: Asker | None = None
+        self._handler: ReplyHandler | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._count = 0
+        self._request_count = 0
         self._headers: dict[bytes, bytes] = {}
         self._body: list[bytes] = []
-        self._size = 0
-        self._reply: Reply | None = None  # whole, until what came with it has been read
-        self._keep = False
+        self._body_bytes = 0
+        self._reply: Reply | None = None  # complete; delivered once all received data is parsed
+        self._keep_alive = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self._pool.open.add(self)
 
-    def ask(self, data: bytes, asker: Asker) -> None:
-        self._asker = asker
-        self._count += 1
+    def send(self, data: bytes, handler: ReplyHandler) -> None:
+        self._handler = handler
+        self._request_count += 1
         self.transport.write(data)
-        asker.on_written()
+        handler.on_written()
 
     def close(self) -> None:
-        """Give the exchange up: nobody hears of its end."""
-        self._asker = None
-        self._pool.forget(self)
+        """Abort the connection without calling the handler."""
+        self._handler = None
+        self._pool.remove(self)
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self._asker is None:  # nobody has asked for it
+        if self._handler is None:  # data without a request
             self.close()
             return
         try:
@@ -280,113 +284,113 @@
             if self._reply is None:
                 self.transport.abort()
                 return
-            self._keep = False  # bytes behind a whole answer belong to no request
+            self._keep_alive = False  # bytes after a complete response belong to no request
         if self._reply is not None:
             self._complete(self._reply)
 
     def _complete(self, reply: Reply) -> None:
-        asker, self._asker, self._reply = self._asker, None, None
-        if self._keep:
+        handler, self._handler, self._reply = self._handler, None, None
+        if self._keep_alive:
             self._pool.idle.append(self)
         else:
-            self._pool.forget(self)
+            self._pool.remove(self)
             self.transport.close()
-        if asker is not None:
-            asker.on_reply(reply)
+        if handler is not None:
+            handler.on_reply(reply)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._pool.forget(self)
-        asker, self._asker = self._asker, None
-        if asker is not None:
-            asker.on_broken(self._count == 1)
+        self._pool.remove(self)
+        handler, self._handler = self._handler, None
+        if handler is not None:
+            handler.on_broken(self._request_count == 1)
 
-    # --- the parser's calls ---
+    # --- parser callbacks ---
 
     def on_message_begin(self) -> None:
         if self._reply is not None:
-            raise ValueError("bytes after a whole answer")
-        self._headers, self._body, self._size = {}, [], 0
+            raise ValueError("unexpected bytes after a complete response")
+        self._headers, self._body, self._body_bytes = {}, [], 0
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        self._size += len(body)
-        if self._size > MOST_ANSWER:
-            raise ValueError("the answer is too long")
+        self._body_bytes += len(body)
+        if self._body_bytes > MAX_RESPONSE_BODY_BYTES:
+            raise ValueError("response body too long")
         self._body.append(body)
 
     def on_message_complete(self) -> None:
         reply = Reply(self._parser.get_status_code(), self._headers, b"".join(self._body))
-        if reply.status >= 200:  # others are interim: the final one follows
+        if reply.status >= 200:  # 1xx responses are interim: the final one follows
             self._reply = reply
-            self._keep = self._parser.should_keep_alive()
+            self._keep_alive = self._parser.should_keep_alive()
 
 
-class Ticket:
-    """An exchange that is under way: it may be given up."""
+class PendingRequest:
+    """A request that has not ended yet and can be cancelled."""
 
-    __slots__ = ("connection", "dropped")
+    __slots__ = ("connection", "is_cancelled")
 
     def __init__(self) -> None:
         self.connection: ClientConnection | None = None
-        self.dropped = False
+        self.is_cancelled = False
 
     def drop(self) -> None:
-        self.dropped = True
+        self.is_cancelled = True
         if self.connection is not None:
             self.connection.close()
 
 
 class Pool:
-    """Kept connections to one address; more are opened where all are busy."""
+    """Persistent connections to one address; a new one is opened when all are busy."""
 
-    def __init__(self, host: str, port: int, connect_s: float = 1.0) -> None:
+    def __init__(self, host: str, port: int, connect_timeout_s: float = 1.0) -> None:
         self.host = host
         self.port = port
         self.idle: list[ClientConnection] = []
         self.open: set[ClientConnection] = set()
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
         self._connecting: set[asyncio.Task[None]] = set()
 
-    def ask(self, data: bytes, asker: Asker, fresh: bool = False) -> Ticket:
-        """Send a request; `fresh` asks for a new connection. The asker hears of no end within this call."""
-        ticket = Ticket()
+    def ask(self, data: bytes, handler: ReplyHandler, fresh: bool = False) -> PendingRequest:
+        """Send a request, if asked to on a new connection. Its outcome is never reported within this call."""
+        pending = PendingRequest()
         if self.idle and not fresh:
-            ticket.connection = self.idle.pop()
-            ticket.connection.ask(data, asker)
+            pending.connection = self.idle.pop()
+            pending.connection.send(data, handler)
         else:
-            task = asyncio.get_running_loop().create_task(self._connect(data, asker, ticket))
+            task = asyncio.get_running_loop().create_task(self._connect(data, handler, pending))
             self._connecting.add(task)
-            task.add_done_callback(self._connected)
-        return ticket
+            task.add_done_callback(self._on_connect_done)
+        return pending
 
-    def _connected(self, task: asyncio.Task[None]) -> None:
+    def _on_connect_done(self, task: asyncio.Task[None]) -> None:
         self._connecting.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
-            told = {"message": f"no connection to {self.host}:{self.port}", "exception": error}
-            asyncio.get_running_loop().call_exception_handler(told)
+            context = {"message": f"cannot connect to {self.host}:{self.port}", "exception": error}
+            asyncio.get_running_loop().call_exception_handler(context)
 
-    async def _connect(self, data: bytes, asker: Asker, ticket: Ticket) -> None:
+    async def _connect(self, data: bytes, handler: ReplyHandler, pending: PendingRequest) -> None:
         connection = ClientConnection(self)
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(self._connect_s):
+            async with asyncio.timeout(self._connect_timeout_s):
                 await loop.create_connection(lambda: connection, self.host, self.port)
         except (OSError, TimeoutError) as error:
             if isinstance(error, OSError) and error.errno in OUR_LIMIT:
-                raise  # that says nothing of the other side
-            if not ticket.dropped:
-                asker.on_unreachable()
+                raise  # a local descriptor shortage does not mean that the server is unreachable
+            if not pending.is_cancelled:
+                handler.on_unreachable()
             return
-        if ticket.dropped:
+        if pending.is_cancelled:
             if not connection.transport.is_closing():
                 self.idle.append(connection)
             return
-        ticket.connection = connection
-        connection.ask(data, asker)
+        pending.connection = connection
+        connection.send(data, handler)
 
-    def forget(self, connection: ClientConnection) -> None:
+    def remove(self, connection: ClientConnection) -> None:
         self.open.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
@@ -399,45 +403,45 @@
 
 
 class Unanswered(Exception):
-    """A call has brought no whole answer, and why."""
+    """A request got no complete reply; the message gives the reason."""
 
 
-class _Fetch:
-    """Who waits for one answer."""
+class _FetchHandler:
+    """Resolves a future with the outcome of one request."""
 
     def __init__(self) -> None:
-        self.told: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
+        self.future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
 
-    def _fail(self, why: str) -> None:
-        if not self.told.done():
-            self.told.set_exception(Unanswered(why))
+    def _fail(self, reason: str) -> None:
+        if not self.future.done():
+            self.future.set_exception(Unanswered(reason))
 
     def on_written(self) -> None: ...
 
     def on_reply(self, reply: Reply) -> None:
-        if not self.told.done():
-            self.told.set_result(reply)
+        if not self.future.done():
+            self.future.set_result(reply)
 
     def on_broken(self, first: bool) -> None:
-        self._fail("the connection broke")
+        self._fail("connection lost before the reply was complete")
 
     def on_unreachable(self) -> None:
-        self._fail("no connection")
+        self._fail("could not connect")
 
 
-async def fetch(pool: Pool, data: bytes, wait_s: float, fresh: bool = False) -> Reply:
-    """One request and its answer.
+async def fetch(pool: Pool, data: bytes, timeout_s: float, new_connection: bool = False) -> Reply:
+    """Send a request and wait for its reply.
 
     Raises:
-        Unanswered: none came in time, or the connection broke or never came up.
+        Unanswered: timed out, could not connect, or lost the connection.
     """
-    asker = _Fetch()
-    ticket = pool.ask(data, asker, fresh)
+    handler = _FetchHandler()
+    pending = pool.ask(data, handler, new_connection)
     try:
-        async with asyncio.timeout(wait_s):
-            return await asker.told
+        async with asyncio.timeout(timeout_s):
+            return await handler.future
     except TimeoutError:
-        raise Unanswered(f"no answer within {wait_s:.3g} s") from None
+        raise Unanswered(f"no reply within {timeout_s:.3g} s") from None
     finally:
-        if not asker.told.done() or asker.told.cancelled() or asker.told.exception() is not None:
-            ticket.drop()
+        if not handler.future.done() or handler.future.cancelled() or handler.future.exception() is not None:
+            pending.drop()
--- a/eiderhub/reading.py
+++ b/eiderhub/reading.py
@@ -1,8 +1,8 @@
-"""Turns a parsed document into structs, and names every fault in it by the path of its key.
+"""Validates parsed documents, converts them to structs, and reports every fault with the path of its key.
 
-A struct's fields have two names: the attribute's, which people write in TOML, and the encoded one, which
-the platform writes in JSON. People's documents are read strictly; the platform's may hold keys that nobody
-here knows, and nulls, which stand for absent values.
+A document has one of two formats. The human format (TOML) uses the attribute names of the struct's fields;
+unknown keys are faults in it. The platform's format (JSON) uses the encoded names; unknown keys are ignored
+in it, and a null means that the value is absent.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 import msgspec
 
 T = TypeVar("T")
-PLAIN = {  # what msgspec calls the types of values, and what people call them
+TYPE_DESCRIPTIONS = {  # type names in msgspec's messages, and their wording in ours
     "float | array": "a number or a range, [lowest, highest]",
     "float": "a number",
     "int": "a whole number",
@@ -25,11 +25,11 @@
     "array": "a list",
     "object": "a table",
 }
-MOST_BYTES = 32 << 20  # of a document; more is no configuration
+MAX_DOCUMENT_BYTES = 32 << 20
 
 
 class Fault(NamedTuple):
-    path: str  # of the key, as the document has it; empty: the document as a whole
+    path: str  # of the key, as written in the document; empty: the whole document
     why: str
 
     def __str__(self) -> str:
@@ -37,7 +37,7 @@
 
 
 class DocumentError(ValueError):
-    """A document that can't be used. `faults` holds all that is wrong with it, in its order."""
+    """An invalid document. `faults` lists everything wrong with it, in document order."""
 
     def __init__(self, source: str, faults: list[Fault]) -> None:
         self.source = source
@@ -49,29 +49,29 @@
         return [": ".join(filter(None, (self.source, str(fault)))) for fault in self.faults]
 
 
-def convert(document: Any, kind: type[T], source: str = "", people: bool = False) -> T:
-    """The document as a struct of this kind.
+def convert(document: Any, target_type: type[T], source: str = "", people: bool = False) -> T:
+    """Convert a document, by default one in the platform's format, to a struct of the given type.
 
     Raises:
-        DocumentError: with every fault that was found.
+        DocumentError: lists every fault found.
     """
     if not people:
         try:
-            return msgspec.convert(_without_nulls(document), kind)
+            return msgspec.convert(_without_nulls(document), target_type)
         except msgspec.ValidationError:
-            pass  # the walk below words it, and finds what else there is
+            pass  # the converter below finds all faults and words them
     faults: list[Fault] = []
-    found = _Walk(people, faults).take(document, kind, "")
+    converted = _Converter(people, faults).convert_value(document, target_type, "")
     if faults:
         raise DocumentError(source, faults)
     try:
-        return msgspec.convert(found, kind)
+        return msgspec.convert(converted, target_type)
     except msgspec.ValidationError as error:
-        raise DocumentError(source, [Fault("", _why(error))]) from None
+        raise DocumentError(source, [Fault("", _reason(error))]) from None
 
 
 def by_people(value: Any) -> Any:
-    """A struct as plain data under its attributes' names; what is not told is left out."""
+    """Convert a struct to plain data in the human format; values that are None are left out."""
     if isinstance(value, msgspec.Struct):
         pairs = ((name, getattr(value, name)) for name in value.__struct_fields__)
         return {name.rstrip("_"): by_people(item) for name, item in pairs if item is not None}
@@ -81,28 +81,30 @@
 
 
 def parse(path: Path) -> tuple[Any, bool]:
-    """A file's document, and whether it is written for people: TOML, by its name.
+    """Read a file; returns the document and whether it is in the human format, which .toml files are.
 
     Raises:
-        DocumentError: where it can't be read, or is no TOML or JSON.
+        DocumentError: the file can't be read, is too large, or is not valid TOML or JSON.
     """
     try:
         with path.open("rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_DOCUMENT_BYTES + 1)
     except OSError as error:
         raise DocumentError(str(path), [Fault("", error.strerror or str(error))]) from None
-    people = path.suffix == ".toml"
-    form = "TOML" if people else "JSON"
-    if len(data) > MOST_BYTES:
-        raise DocumentError(str(path), [Fault("", f"over {MOST_BYTES >> 20} MiB: no {form} for us")])
+    human_format = path.suffix == ".toml"
+    format_name = "TOML" if human_format else "JSON"
+    if len(data) > MAX_DOCUMENT_BYTES:
+        raise DocumentError(
+            str(path), [Fault("", f"larger than {MAX_DOCUMENT_BYTES >> 20} MiB, the limit for {format_name}")]
+        )
     try:
-        if people:
-            import tomllib  # not with every sidecar, whose memory is bounded
+        if human_format:
+            import tomllib  # only when needed: sidecars that read JSON save its memory
 
-            return tomllib.loads(data.decode("utf-8")), people
-        return msgspec.json.decode(data), people
+            return tomllib.loads(data.decode("utf-8")), human_format
+        return msgspec.json.decode(data), human_format
     except (ValueError, RecursionError) as error:
-        raise DocumentError(str(path), [Fault("", f"no {form}: {error}")]) from None
+        raise DocumentError(str(path), [Fault("", f"no {format_name}: {error}")]) from None
 
 
 def _without_nulls(value: Any) -> Any:
@@ -113,108 +115,114 @@
     return value
 
 
-def _why(error: msgspec.ValidationError) -> str:
+def _reason(error: msgspec.ValidationError) -> str:
     text = str(error).partition(" - at `$")[0]
     if not text.startswith("Expected "):
         return text
-    for type_name, plain in PLAIN.items():
-        text = text.replace(f"`{type_name}`", plain)
+    for type_name, description in TYPE_DESCRIPTIONS.items():
+        text = text.replace(f"`{type_name}`", description)
     return "must be " + text.removeprefix("Expected ").replace("`", "").partition(", got ")[0]
 
 
 def nearest(name: str, known: typing.Iterable[str]) -> str:
-    """A clause that names the known name which this one was meant to be, or all where none is near."""
-    import difflib  # only for those who have mistyped something
+    """A clause for an error message that suggests the closest known name, or lists all if none is close."""
+    import difflib  # needed only for error messages
 
     known = list(known)
-    near = difflib.get_close_matches(name, known, 1, 0.6)
-    return f"did you mean {near[0]}?" if near else f"there are {', '.join(known)}"
+    matches = difflib.get_close_matches(name, known, 1, 0.6)
+    return f"did you mean {matches[0]}?" if matches else f"expected one of {', '.join(known)}"
 
 
-class _Walk:
-    """Goes along a document and the type that it should have."""
+class _Converter:
+    """Walks through a document and its expected type together, and collects the faults."""
 
-    def __init__(self, people: bool, faults: list[Fault]) -> None:
-        self._people = people
+    def __init__(self, human_format: bool, faults: list[Fault]) -> None:
+        self._human_format = human_format
         self._faults = faults
 
-    def _fault(self, path: str, why: str) -> None:
-        self._faults.append(Fault(path, why))
-
-    def take(self, value: Any, kind: Any, path: str) -> Any:
-        """The value with the platform's names in it; its faults are noted."""
-        kinds = _alternatives(kind)
-        struct = next((k for k in kinds if isinstance(k, type) and issubclass(k, msgspec.Struct)), None)
-        if struct is not None and not (value is None and type(None) in kinds):
-            return self._struct(value, struct, path)
-        items = next((k for k in kinds if typing.get_origin(k) is list), None)
-        if items is not None and isinstance(value, list):
-            (item,) = typing.get_args(items)
-            for bounds in (m for m in typing.get_args(kind) if isinstance(m, msgspec.Meta)):
+    def _add_fault(self, path: str, reason: str) -> None:
+        self._faults.append(Fault(path, reason))
+
+    def convert_value(self, value: Any, expected_type: Any, path: str) -> Any:
+        """Return the value with its keys in the platform's format, and record its faults."""
+        alternatives = _alternatives(expected_type)
+        struct = next(
+            (k for k in alternatives if isinstance(k, type) and issubclass(k, msgspec.Struct)), None
+        )
+        if struct is not None and not (value is None and type(None) in alternatives):
+            return self._convert_struct(value, struct, path)
+        list_type = next((k for k in alternatives if typing.get_origin(k) is list), None)
+        if list_type is not None and isinstance(value, list):
+            (item_type,) = typing.get_args(list_type)
+            for constraints in (m for m in typing.get_args(expected_type) if isinstance(m, msgspec.Meta)):
                 try:
-                    msgspec.convert(value, typing.Annotated[list[Any], bounds])
+                    msgspec.convert(value, typing.Annotated[list[Any], constraints])
                 except msgspec.ValidationError as error:
-                    self._fault(path, _why(error))
-            return [self.take(each, item, f"{path}[{i}]") for i, each in enumerate(value)]
+                    self._add_fault(path, _reason(error))
+            return [self.convert_value(item, item_type, f"{path}[{i}]") for i, item in enumerate(value)]
         try:
-            msgspec.convert(value, kind)
+            msgspec.convert(value, expected_type)
         except msgspec.ValidationError as error:
-            self._fault(path, _worded(value, kind, error))
+            self._add_fault(path, _value_fault(value, expected_type, error))
         return value
 
-    def _struct(self, value: Any, struct: type[msgspec.Struct], path: str) -> Any:
+    def _convert_struct(self, value: Any, struct: type[msgspec.Struct], path: str) -> Any:
         if not isinstance(value, dict):
-            self._fault(path, f"must be a table, not {value!r}"[:200])
+            self._add_fault(path, f"must be a table, not {value!r}"[:200])
             return value
-        before = len(self._faults)
+        faults_before = len(self._faults)
         hints = typing.get_type_hints(struct, include_extras=True)
-        fields = {(f.name if self._people else f.encode_name): f for f in msgspec.structs.fields(struct)}
-        found = {}
+        fields = {
+            (f.name if self._human_format else f.encode_name): f for f in msgspec.structs.fields(struct)
+        }
+        converted = {}
         for key, item in value.items():
-            where = f"{path}.{key}" if path else str(key)
+            key_path = f"{path}.{key}" if path else str(key)
             field = fields.get(key)
-            if field is not None and (item is not None or self._people):
-                found[field.encode_name] = self.take(item, hints[field.name], where)
-            elif field is None and self._people:
-                self._fault(where, f"unknown key; {nearest(str(key), fields)}")
+            if field is not None and (item is not None or self._human_format):
+                converted[field.encode_name] = self.convert_value(item, hints[field.name], key_path)
+            elif field is None and self._human_format:
+                self._add_fault(key_path, f"unknown key; {nearest(str(key), fields)}")
         for key, field in fields.items():
-            if field.required and field.encode_name not in found:
-                self._fault(f"{path}.{key}" if path else key, "missing")
-        if len(self._faults) == before:
+            if field.required and field.encode_name not in converted:
+                self._add_fault(f"{path}.{key}" if path else key, "missing")
+        if len(self._faults) == faults_before:
             try:
-                msgspec.convert(found, struct)  # what the struct itself checks across its fields
+                msgspec.convert(converted, struct)  # checks across fields in the struct's __post_init__
             except msgspec.ValidationError as error:
-                self._fault(path, _why(error))
-        return found
+                self._add_fault(path, _reason(error))
+        return converted
 
 
-def _alternatives(kind: Any) -> list[Any]:
-    """The types that a value may have: the members of a union, without their bounds."""
-    if typing.get_origin(kind) is typing.Annotated:
-        return _alternatives(typing.get_args(kind)[0])
-    if typing.get_origin(kind) in (typing.Union, types.UnionType):
-        return [one for member in typing.get_args(kind) for one in _alternatives(member)]
-    return [kind]
+def _alternatives(expected_type: Any) -> list[Any]:
+    """The types that a value may have: the members of a union, without their annotations."""
+    if typing.get_origin(expected_type) is typing.Annotated:
+        return _alternatives(typing.get_args(expected_type)[0])
+    if typing.get_origin(expected_type) in (typing.Union, types.UnionType):
+        return [
+            alternative for member in typing.get_args(expected_type) for alternative in _alternatives(member)
+        ]
+    return [expected_type]
 
 
-def _described(kind: Any) -> str | None:
-    """What the type's own annotation says that its values are."""
-    for member in typing.get_args(kind):
+def _description(expected_type: Any) -> str | None:
+    """The description in the annotation of the type or of one of its members."""
+    for member in typing.get_args(expected_type):
         if isinstance(member, msgspec.Meta) and member.description:
             return member.description
-        if (below := _described(member)) is not None:
-            return below
+        if (nested := _description(member)) is not None:
+            return nested
     return None
 
 
-def _worded(value: Any, kind: Any, error: msgspec.ValidationError) -> str:
-    kinds = _alternatives(kind)
-    described = _described(kind)
-    if described is not None:
-        return f"must be {described}; it is {value!r}"[:200]
-    choices = next((k for k in kinds if isinstance(k, type) and issubclass(k, enum.Enum)), None)
+def _value_fault(value: Any, expected_type: Any, error: msgspec.ValidationError) -> str:
+    alternatives = _alternatives(expected_type)
+    description = _description(expected_type)
+    if description is not None:
+        return f"must be {description}; it is {value!r}"[:200]
+    choices = next((k for k in alternatives if isinstance(k, type) and issubclass(k, enum.Enum)), None)
     if choices is not None:
-        known = [str(each.value) for each in choices]
-        hint = nearest(value, known) if isinstance(value, str) else f"there are {', '.join(known)}"
+        known = [str(choice.value) for choice in choices]
+        hint = nearest(value, known) if isinstance(value, str) else f"expected one of {', '.join(known)}"
         return f"impossible value {value!r}; {hint}"
-    return f"{_why(error)}; it is {value!r}"[:200]
+    return f"{_reason(error)}; it is {value!r}"[:200]
--- a/eiderhub/settings.py
+++ b/eiderhub/settings.py
@@ -1,7 +1,7 @@
-"""The settings object that a host is given for an instance, on the wire and in a configuration file alike.
+"""The settings object that a host receives for an instance, both on the wire and in a configuration file.
 
-Each struct has the platform's names as encoded names and people's as attributes; `Setup.settings` makes of
-them what the module works with. Names and units: WIRE, "Start-up settings".
+Each struct has the platform's key names as encoded names and those of the human format (TOML) as attributes;
+`Setup.settings` converts them to the balancer's `Settings`. Names and units: WIRE, "Start-up settings".
 """
 
 from __future__ import annotations
@@ -26,27 +26,27 @@
 from eiderhub.reading import convert
 
 Name = Annotated[str, Meta(min_length=1)]
-Time = Annotated[int, Meta(gt=0)]  # microseconds
-TimeOrNone = Annotated[int, Meta(ge=0)]
-Figure = Annotated[float, Meta(ge=0)]
-Part = Annotated[float, Meta(ge=0, le=1)]
+PositiveUs = Annotated[int, Meta(gt=0)]
+NonNegativeUs = Annotated[int, Meta(ge=0)]
+NonNegativeFloat = Annotated[float, Meta(ge=0)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 
 
 class Category(Struct, rename="pascal", frozen=True, kw_only=True):
-    """A class of requests."""
+    """A request class."""
 
     name: Name
-    aim_us: Time
-    deadline_us: Time
+    aim_us: PositiveUs
+    deadline_us: PositiveUs
     effect: Effect
     group: Group | None = None
-    dedup_window_us: TimeOrNone | None = None
-    credit: Figure = 1.0
-    late_share: Part = 0.0
+    dedup_window_us: NonNegativeUs | None = None
+    credit: NonNegativeFloat = 1.0
+    late_share: Fraction = 0.0
     streaming: bool = False
-    stays_in: list[str] | None = None  # zones; an empty list allows nothing
-    served_on: list[str] | None = None  # kinds of machine
-    reach: Annotated[str, Meta(pattern="^(zone|region|world)$")] = "world"  # no farther than this ring
+    stays_in: list[str] | None = None  # the only allowed zones; an empty list allows none
+    served_on: list[str] | None = None  # the only allowed machine types
+    reach: Annotated[str, Meta(pattern="^(zone|region|world)$")] = "world"  # the farthest allowed ring
 
     def __post_init__(self) -> None:
         if self.effect is Effect.DEDUPLICATED and (self.group is None or self.dedup_window_us is None):
@@ -73,49 +73,49 @@
     """A tenant."""
 
     name: Name
-    share: Figure = 0.0
-    quota_per_s: Figure = 0.0
+    share: NonNegativeFloat = 0.0
+    quota_per_s: NonNegativeFloat = 0.0
 
 
 class Allowed(Struct, rename="pascal", frozen=True, kw_only=True):
-    """What the site permits."""
+    """What the site permits the balancer to do, and its limits."""
 
     max_attempts: Annotated[int, Meta(ge=1)] = 3
-    max_retry_after_us: TimeOrNone = 1_000_000
+    max_retry_after_us: NonNegativeUs = 1_000_000
     second_copies: bool = False
     may_cancel: bool = False
-    conn_idle_us: TimeOrNone = 0  # idle connections are closed after this; 0: not told
-    connect_timeout_us: Time = 250_000
+    conn_idle_us: NonNegativeUs = 0  # the server closes idle connections after this time; 0: unknown
+    connect_timeout_us: PositiveUs = 250_000
     retry_after: bool = False
 
 
 class Charges(Struct, rename="pascal", frozen=True, kw_only=True):
-    """Points taken off the result."""
+    """Penalties, in points of the result, for calls that leave the zone or region."""
 
     cross_zone: float = 0.0
-    cross_region: Figure = 0.0  # for a call to another region, in place of that
+    cross_region: NonNegativeFloat = 0.0  # for a call to another region, instead of cross_zone
 
 
 class Figures(Struct, rename="pascal", frozen=True, kw_only=True):
-    """The figures of the rules."""
+    """Parameters of the rules."""
 
-    cold_us: TimeOrNone = 10_000_000
+    cold_us: NonNegativeUs = 10_000_000
     cold_from: Annotated[float, Meta(gt=0, le=1)] = 0.1
     overload_factor: Annotated[float, Meta(gt=0)] = 2.0
-    ask_every_us: TimeOrNone = 0  # 0: not stated
+    ask_every_us: NonNegativeUs = 0  # changes count as delivered after this time without a poll; 0: unset
 
 
 class Weights(Struct, rename="pascal", frozen=True, kw_only=True):
-    """Weights of the parts of the result."""
+    """Weights of the components of the result."""
 
-    # Parts that add up worth,
-    whole: Figure = 0.0
-    worst_window: Figure = 0.0
-    worst_tenant: Figure = 0.0
-    availability: Figure = 0.0
-    # and those that look at each class alone.
-    worst_class: Figure = 0.0
-    tail: Figure = 0.0
+    # Components that sum the worth of requests.
+    whole: NonNegativeFloat = 0.0
+    worst_window: NonNegativeFloat = 0.0
+    worst_tenant: NonNegativeFloat = 0.0
+    availability: NonNegativeFloat = 0.0
+    # Components that are computed for each class separately.
+    worst_class: NonNegativeFloat = 0.0
+    tail: NonNegativeFloat = 0.0
 
     def goal(self) -> Goal:
         by_worth = self.whole + self.worst_window + self.worst_tenant + self.availability
@@ -124,7 +124,7 @@
 
 
 class Setup(Struct, rename="pascal", frozen=True, kw_only=True):
-    """All that an instance is told at its start."""
+    """The start-up settings of an instance."""
 
     categories: Annotated[list[Category], Meta(min_length=1)]
     parties: list[Party] = []
@@ -135,22 +135,22 @@
     rank: Annotated[int, Meta(ge=0)] = 0
     balancers: Annotated[int, Meta(ge=1)] = 1
     layer: Annotated[int, Meta(ge=0)] = 0
-    # Only their number counts here.
+    # Only the number of tiers is used.
     tiers: Annotated[list[Any], Meta(min_length=1)] = field(default_factory=lambda: [""])
     my_zone: str = ""
-    zone_verdicts: bool = False  # off until they are shown to cost nothing on ordinary days
-    over_share_worth: Figure = 1.0
+    zone_verdicts: bool = False  # off by default: not yet shown to cost nothing under normal conditions
+    over_share_worth: NonNegativeFloat = 1.0
     discovery: Discovery = Discovery.PUSH
 
     def __post_init__(self) -> None:
-        for what, names in (
+        for label, names in (
             ("Categories (categories)", [c.name for c in self.categories]),
-            ("Parties (parties)", [p.name for p in self.parties]),
+            ("Parties (parties)", [party.name for party in self.parties]),
         ):
             if len(set(names)) != len(names):
-                raise ValueError(f"{what}: names must differ")
+                raise ValueError(f"{label}: names must differ")
         if self.layer >= len(self.tiers):
-            raise ValueError("Tiers (tiers): must be more than Layer (layer)")
+            raise ValueError("Tiers (tiers): must have more entries than Layer (layer)")
 
     def settings(self) -> Settings:
         allowed, rules = self.allowed, self.rules
@@ -162,7 +162,7 @@
             tiers=len(self.tiers),
             zone=self.my_zone,
             zone_verdicts=self.zone_verdicts,
-            tenants=tuple(Tenant(p.name, p.share, p.quota_per_s) for p in self.parties),
+            tenants=tuple(Tenant(party.name, party.share, party.quota_per_s) for party in self.parties),
             over_share_worth=self.over_share_worth,
             discovery=self.discovery,
             limits=Limits(
@@ -186,9 +186,9 @@
 
 
 def settings_from(setup: Any) -> Settings:
-    """Read the settings of `power_on`; unknown keys are skipped, absent optional ones take defaults.
+    """Convert the settings passed to `power_on`; unknown keys are ignored, absent optional keys get defaults.
 
     Raises:
-        DocumentError: a ValueError that names each key with a fault.
+        DocumentError: a ValueError that names each invalid key.
     """
     return convert(setup, Setup).settings()
--- a/tests/http_reading.py
+++ b/tests/http_reading.py
@@ -1,4 +1,4 @@
-"""Requests as endpoints of tests read them from a connection."""
+"""Reads HTTP requests for the test endpoints."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 async def read_request(reader: asyncio.StreamReader) -> dict[str, str]:
-    """The headers of the next request, names in lower case, once its body has been read as well.
+    """Read the next request with its body; return its headers, with names in lower case.
 
     Raises:
-        asyncio.IncompleteReadError: the connection ended before.
+        asyncio.IncompleteReadError: the connection ended before the request was complete.
     """
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
     pairs = [line.split(": ", 1) for line in head.split("\r\n")[1:] if line]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the interface, and deployments with little in them."""
+"""Validation of the interface's settings, minimal deployments, and the handling of discovery and streams."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("count", [0, 1])
-def test_no_tenants_no_zones_and_hardly_an_endpoint(count: int) -> None:
+def test_settings_without_tenants_and_zones_and_at_most_one_endpoint(count: int) -> None:
     host = Host(Settings(classes=(SAFE,)), endpoints(count, zone=""))
     call = host.order(tenant="")
     if count:
@@ -21,12 +21,12 @@
     assert host.answers(call) == ([] if count else ["shed"])
 
 
-def test_tenant_not_met_before_is_served() -> None:
+def test_unknown_tenant_is_served() -> None:
     host = Host(entries=endpoints(4))
     assert host.sends(host.order(tenant="stranger"))
 
 
-def test_impossible_values_name_their_field() -> None:
+def test_invalid_values_name_their_field() -> None:
     with pytest.raises(ValueError, match="classes"):
         Settings(classes=())
     with pytest.raises(ValueError, match="deadline_us"):
@@ -43,45 +43,48 @@
 
 
 @pytest.mark.parametrize("ask_every_us", [3 * S, 10 * S])
-def test_discovery_that_is_back_is_asked_before_its_changes_count_as_told(ask_every_us: int) -> None:
-    """However long it was down: whoever has not asked for that time counts as told."""
+def test_recovered_discovery_is_polled_before_its_changes_count_as_delivered(ask_every_us: int) -> None:
+    """Changes count as delivered to a client that has not polled for `ask_every_us`.
+
+    Retries must therefore come more often than that, however long discovery has been failing.
+    """
     rules = replace(settings().rules, ask_every_us=ask_every_us)
     host = Host(settings(discovery=Discovery.ASK, rules=rules), endpoints(2))
     for _ in range(20):
         host.balancer.discovery(host.now, ListForm.FAILED, [])
-        wait = min(due for due, mark in host.timers if mark == "ask") - host.now
-        assert wait <= 0.75 * ask_every_us
-        host.advance(wait)
+        retry_delay = min(due for due, mark in host.timers if mark == "ask") - host.now
+        assert retry_delay <= 0.75 * ask_every_us
+        host.advance(retry_delay)
 
 
-def test_failed_subscription_is_renewed_with_growing_jittered_waits() -> None:
-    waits = set()
+def test_failed_subscription_is_renewed_with_increasing_jittered_delays() -> None:
+    first_delays = set()
     for seed in range(5):
         host = Host(settings(discovery=Discovery.ASK), endpoints(2), seed=seed)
         assert host.did == [("watch", True)]
         host.balancer.discovery(host.now, ListForm.FAILED, [])
         host.balancer.discovery(host.now, ListForm.FAILED, [])
-        first = host.timers[0][0] - host.now
+        first_delay = host.timers[0][0] - host.now
         assert len(host.timers) == 1
         host.advance(2 * S)
         assert host.did.count(("watch", True)) == 2
         host.balancer.discovery(host.now, ListForm.FAILED, [])
-        waits.add(first)
-        assert 250 * MS <= first <= 750 * MS
+        first_delays.add(first_delay)
+        assert 250 * MS <= first_delay <= 750 * MS
         assert 500 * MS <= host.timers[0][0] - host.now <= 1500 * MS
-    assert len(waits) == 5
+    assert len(first_delays) == 5
 
 
-def test_new_process_under_a_known_id_starts_with_a_clean_record() -> None:
+def test_new_process_with_a_known_id_is_no_longer_ejected() -> None:
     host = Host(settings(balancers=1), endpoints(4))
-    bad = endpoints(4)[0]
-    host.balancer.endpoints[bad.id].ejected_until = host.now + 9 * S
-    again = bad._replace(launched_us=host.now)
-    host.balancer.discovery(host.now, ListForm.DELTA, [again])
-    assert host.balancer.endpoints[bad.id].ejected_until == 0
+    ejected = endpoints(4)[0]
+    host.balancer.endpoints[ejected.id].ejected_until = host.now + 9 * S
+    relaunched = ejected._replace(launched_us=host.now)
+    host.balancer.discovery(host.now, ListForm.DELTA, [relaunched])
+    assert host.balancer.endpoints[ejected.id].ejected_until == 0
 
 
-def test_streamed_answer_belongs_to_the_client_from_its_start() -> None:
+def test_streaming_response_is_not_retried_after_it_has_started() -> None:
     host = Host(settings(classes=(replace(SAFE, streaming=True),)), endpoints(4))
     call = host.order()
     host.balancer.streaming(host.now, call, 0, 1000)
