--- a/eiderhub/sidecar/discovery.py
+++ b/eiderhub/sidecar/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: lists of endpoints, and the watch on their changes."""
+"""Discovery: lists of endpoints, and long polling for their changes."""
 
 from __future__ import annotations
 
@@ -15,30 +15,34 @@
 from eiderhub.sidecar.clock import UNIX_OFFSET_US, now_us
 from eiderhub.sidecar.upstream import Connection, Response
 
-WAIT_MS = 30_000  # a watch waits so long at most: discovery works through its calls in turn, so few are best
-# Danger: a watch that has fallen silent looks like one that has nothing to tell, until its wait is over. So
-# it waits for half the time after which we would count as told had we not asked, and part of that at random.
-WAIT_SHARE = 0.5
-WAIT_FROM = 0.8  # at least this part: the watches of a fleet that starts at once must not come back in step
-# Danger: after a silence, a call that waits as long as usual may fall into it again and not show it. Until
-# one is answered they wait for no more than this where lists are pushed: what they missed is told within 6 s
-# of its end. Where they are asked for, a call that is given up sooner loses its turn at a busy discovery.
-SUSPECT_WAIT_MS = 2_500
-PATIENCE_S = 1.0  # an answer may be late by so much: what it had to tell counts as told a second later
-GAP_S = 0.75  # a list that has begun may stand still for so long
-MOST_LIST_S = 3.5  # and take so long as a whole: another call must still be in time
-CONNECT_S = 2.0
-MOST_LIST = 8 << 20  # bytes
-ASK_AGAIN_S = 0.2  # a call that said nothing is repeated within so long: a fleet's come back out of step
-CROSSING_US = 100_000  # an end that comes so soon after a call on a kept connection was on its way before
-# First and longest wait after a failure, where nobody else decides on it. Danger: what is pushed counts as
-# told from the moment that discovery is back.
+MAX_POLL_WAIT_MS = 30_000  # discovery serves polls one after another, so few long ones are best
+# A long poll that gets no response cannot be told from one without changes until its wait is over. So it
+# waits for this fraction of the interval after which changes count as received even without a poll.
+POLL_WAIT_FRACTION = 0.5
+# Each wait is multiplied by a random factor from here to 1, so that the polls of a fleet whose processes
+# start at the same time do not stay synchronized.
+MIN_WAIT_JITTER = 0.8
+# After a poll without response, the next one may get none either, and a long wait would hide that. Where
+# lists are pushed, polls wait no longer than this until one is answered, so that missed changes arrive within
+# 6 s of the end of the outage. Where lists are polled, a poll given up sooner would lose its place in the
+# queue of a busy discovery, so the wait stays the same.
+RECOVERY_WAIT_MS = 2_500
+PATIENCE_S = 1.0  # a response may be late by this much: its changes count as received one second later
+GAP_S = 0.75  # longest pause within a response
+LIST_READ_TIMEOUT_S = 3.5  # for a complete response; leaves time for another poll
+CONNECT_TIMEOUT_S = 2.0
+MAX_LIST_BYTES = 8 << 20
+RETRY_JITTER_S = 0.2  # longest random delay before a retry, which spreads out the retries of a fleet
+# A reused connection that ends this soon after a poll was already being closed when the poll was written.
+KEEP_ALIVE_RACE_US = 100_000
+# First and longest backoff after a failure where lists are pushed, since the balancer does not poll then.
+# Short because pushed changes count as received as soon as discovery is back.
 PUSH_BACKOFF_S = (0.05, 0.15)
 log = structlog.get_logger()
 
 
 class Instance(Struct, rename="camel", frozen=True, kw_only=True):
-    """One entry in discovery's form."""
+    """One entry of a list, in discovery's format."""
 
     instance_id: str
     host_port: Annotated[str, Meta(pattern=r"^.+:[0-9]{1,5}$", description="an address:port")]
@@ -46,13 +50,13 @@
     zone: str | None = None
     machine_type: str | None = None
     cell: int | None = None
-    weight: float | None = None  # 1 where it is not told, or not above 0
-    started_at_ms: float | None = None  # Unix time; 0: long ago
+    weight: float | None = None  # taken as 1 where missing or not above 0
+    started_at_ms: float | None = None  # Unix time; 0: unknown, long ago
 
-    def listed(self) -> Listed:
+    def to_listed_endpoint(self) -> Listed:
         host, _, port = self.host_port.rpartition(":")
         if not 0 < int(port) < 1 << 16:
-            raise ValueError(f"{self.host_port}: no port has this number")
+            raise ValueError(f"{self.host_port}: port out of range")
         host = host.strip("[]")
         started_ms = int(self.started_at_ms or 0)
         weight = self.weight or 1.0
@@ -63,27 +67,27 @@
             cell=-1 if self.cell is None else self.cell,
             readiness=self.lifecycle,
             weight=weight if weight > 0 else 1.0,
-            # The module's clock is monotonic, so a start may lie before its zero.
+            # The balancer's clock is monotonic, so a start may be negative; 0 stands for unknown.
             launched_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
         )
         return Listed(endpoint, host, int(port))
 
 
 class DiscoveryResponse(Struct, frozen=True, kw_only=True):
-    """A list in discovery's form."""
+    """A list in discovery's format."""
 
     generation: int
-    reset: bool  # whether the list is whole
+    reset: bool  # whether this is the full list, not a delta
     instances: list[Instance]
-    unreadable: int = 0  # entries that were left out
+    unreadable: int = 0  # number of entries left out because they could not be parsed
 
     def listing(self) -> Listing:
-        entries = [instance.listed() for instance in self.instances]
+        entries = [instance.to_listed_endpoint() for instance in self.instances]
         return Listing(self.generation, self.reset, entries, self.unreadable)
 
 
-class UnreadResponse(Struct, frozen=True, kw_only=True):
-    """A list whose entries are still to be read."""
+class RawDiscoveryResponse(Struct, frozen=True, kw_only=True):
+    """A list whose entries are not parsed yet."""
 
     generation: int
     reset: bool
@@ -91,7 +95,7 @@
 
 
 class Listed(NamedTuple):
-    """One entry: the endpoint as the module knows it, and where it listens."""
+    """One entry of a list: the endpoint as the balancer knows it, and its address."""
 
     endpoint: Endpoint
     host: str
@@ -106,249 +110,261 @@
 
 
 def read_listing(body: bytes) -> Listing:
-    """Read an answer of discovery.
+    """Parse a response body of discovery.
 
     Raises:
-        ValueError: where it is no list; nothing of it may be used then.
+        ValueError: it is not a list; no part of it may be used.
     """
     try:
         return msgspec.json.decode(body, type=DiscoveryResponse).listing()
     except (ValueError, OverflowError):
-        return _sifted(msgspec.json.decode(body, type=UnreadResponse))
+        return _parse_readable_entries(msgspec.json.decode(body, type=RawDiscoveryResponse))
 
 
 def readable(document: Any) -> bool:
-    """Whether an entry can be read."""
+    """Whether an entry can be parsed."""
     try:
-        msgspec.convert(document, Instance).listed()
+        msgspec.convert(document, Instance).to_listed_endpoint()
     except (ValueError, OverflowError):
         return False
     return True
 
 
-def _sifted(response: UnreadResponse) -> Listing:
-    """A list of which some entries can't be read: they cost only themselves.
+def _parse_readable_entries(response: RawDiscoveryResponse) -> Listing:
+    """Parse a list of which some entries are malformed, without rejecting the others.
 
-    One whose id can be read gets nothing new, as one that drains: whatever it says, it does not say ready.
+    A malformed entry with a readable id is taken as draining, so that its endpoint gets no new requests:
+    whatever its state is, it is not known to be ready.
     """
     entries: list[Listed] = []
-    bad: list[Exception] = []
+    errors: list[Exception] = []
     for document in response.instances:
         try:
-            entries.append(msgspec.convert(document, Instance).listed())
+            entries.append(msgspec.convert(document, Instance).to_listed_endpoint())
         except (ValueError, OverflowError) as error:
-            bad.append(error)
+            errors.append(error)
             fields = document if isinstance(document, dict) else {}
             name, zone = fields.get("instanceId"), fields.get("zone")
             if isinstance(name, str):
-                told = zone if isinstance(zone, str) else ""
-                entries.append(Listed(Endpoint(name, told, "", -1, Readiness.DRAINING), "", 0))
-    if response.reset and bad and len(bad) == len(response.instances):
-        raise ValueError(f"no entry can be read: {bad[0]}")
-    if bad:
-        log.warning("entries of a list can't be read", entries=len(bad), first=str(bad[0]))
+                known_zone = zone if isinstance(zone, str) else ""
+                entries.append(Listed(Endpoint(name, known_zone, "", -1, Readiness.DRAINING), "", 0))
+    if response.reset and errors and len(errors) == len(response.instances):
+        raise ValueError(f"no entry can be read: {errors[0]}")
+    if errors:
+        log.warning("entries of a list can't be read", entries=len(errors), first=str(errors[0]))
     return Listing(response.generation, response.reset, entries)
 
 
-class Busy(ValueError):
-    """Discovery refuses: it has too much to do."""
+class DiscoveryBusyError(ValueError):
+    """Discovery refused a poll because it is overloaded."""
 
 
-class Call:
-    """One call to discovery on one connection, up to its answer."""
+class DiscoveryCall:
+    """One poll of discovery on one connection, up to its response."""
 
-    def __init__(self, connection: Connection, patience_s: float, on_kept: bool) -> None:
-        self.on_kept = on_kept  # the connection had carried calls before
+    def __init__(self, connection: Connection, timeout_s: float, reused_connection: bool) -> None:
+        self.reused_connection = reused_connection  # the connection has carried polls before
         self.sent_us = now_us()
-        self.answer: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
-        self.began = False  # something of the answer has come
+        self.response_future: asyncio.Future[Response] = asyncio.get_running_loop().create_future()
+        self.response_started = False  # part of the response has arrived
         self._connection = connection
-        self._patience_s = patience_s
-        self._gap: asyncio.TimerHandle | None = None
+        self._timeout_s = timeout_s
+        self._gap_timer: asyncio.TimerHandle | None = None
 
     async def wait(self) -> Response:
-        """The whole answer.
+        """Wait for the complete response.
 
         Raises:
-            TimeoutError: it did not begin, or stood still, or did not end in time.
+            TimeoutError: it did not start in time, paused for too long, or was not complete in time.
             ConnectionResetError: the connection ended.
         """
-        self._connection.on_moved = self._moved
+        self._connection.on_progress = self._on_progress
         try:
-            async with asyncio.timeout(self._patience_s) as self._patience:
-                return await self.answer
+            async with asyncio.timeout(self._timeout_s) as self._timeout:
+                return await self.response_future
         finally:
-            self._connection.on_moved = None
-            self._mind_gap(False)
+            self._connection.on_progress = None
+            self._reset_gap_timer(False)
 
-    def _moved(self) -> None:
-        """More has come: from an answer's first byte on only a gap, or its whole length, ends the wait."""
-        if self.answer.done():
+    def _on_progress(self) -> None:
+        """Data has arrived: from the first byte on, the limits are on pauses and on the total time."""
+        if self.response_future.done():
             return
-        if not self.began:
-            self.began = True
-            self._patience.reschedule(asyncio.get_running_loop().time() + MOST_LIST_S)
-        self._mind_gap(True)
-
-    def _mind_gap(self, on: bool) -> None:
-        if self._gap is not None:
-            self._gap.cancel()
-        self._gap = asyncio.get_running_loop().call_later(GAP_S, self._stalled) if on else None
+        if not self.response_started:
+            self.response_started = True
+            self._timeout.reschedule(asyncio.get_running_loop().time() + LIST_READ_TIMEOUT_S)
+        self._reset_gap_timer(True)
+
+    def _reset_gap_timer(self, rearm: bool) -> None:
+        if self._gap_timer is not None:
+            self._gap_timer.cancel()
+        self._gap_timer = (
+            asyncio.get_running_loop().call_later(GAP_S, self._on_gap_timeout) if rearm else None
+        )
 
-    def _stalled(self) -> None:
-        self.end(TimeoutError("the list stands still"))
+    def _on_gap_timeout(self) -> None:
+        self.fail(TimeoutError("the response stalled"))
 
-    def end(self, error: Exception) -> None:
-        if not self.answer.done():
-            self.answer.set_exception(error)
+    def fail(self, error: Exception) -> None:
+        if not self.response_future.done():
+            self.response_future.set_exception(error)
 
 
-class Watch:
-    """A watch at one address: its connection, and the call that is out. Once closed it hears nothing more."""
+class DiscoveryClient:
+    """Long-polls discovery at one address, on one connection. After `close` it receives nothing more."""
 
-    def __init__(self, host: str, port: int, wait_ms: int, suspect_wait_ms: int) -> None:
+    def __init__(self, host: str, port: int, wait_ms: int, recovery_wait_ms: int) -> None:
         self.host = host
         self.port = port
         self.wait_ms = wait_ms
-        self.suspect_wait_ms = suspect_wait_ms  # after a call that fell silent
+        self.recovery_wait_ms = recovery_wait_ms  # used after a poll without response
         self._connection: Connection | None = None
-        self._call: Call | None = None
-        self._suspect = False  # the latest call fell silent
+        self._call: DiscoveryCall | None = None
+        self._recovering = False  # the latest poll got no response
 
-    async def ask(self, generation: int | None, at_once: bool = False) -> Listing:
-        """The changes since then, or the whole list; a call that says nothing is repeated once.
+    async def poll(self, generation: int | None, immediate: bool = False) -> Listing:
+        """Get the changes since `generation`, or the full list if it is None.
 
-        Danger: what falls silent looks like one with nothing to tell, and what it missed counts as told soon
-        after. A kept connection may be closed, rightly, as the next call is written to it. `at_once` asks for
-        what there is; it is waited for as long, since a call that is given up has lost its turn.
+        A poll without response is retried once, since it cannot be told from one without changes, and the
+        changes it missed count as received soon after. So is one whose reused connection was being closed,
+        legitimately, as the poll was written. `immediate` asks for an answer without waiting for changes; the
+        timeout is the same, since a poll that is given up loses its place in discovery's queue.
         """
         try:
-            return await self._ask(generation, at_once)
+            return await self._poll_once(generation, immediate)
         except (TimeoutError, ConnectionResetError) as error:
             call = self._call
-            crossed = call is not None and call.on_kept and now_us() - call.sent_us < CROSSING_US
-            if call is None or call.began or not (isinstance(error, TimeoutError) or crossed):
+            close_race = (
+                call is not None and call.reused_connection and now_us() - call.sent_us < KEEP_ALIVE_RACE_US
+            )
+            if call is None or call.response_started or not (isinstance(error, TimeoutError) or close_race):
                 raise
-            log.info("discovery is asked again", reason=str(error) or "no answer")
+            log.info("discovery is asked again", reason=str(error) or "no response")
             self.close()
-        await asyncio.sleep(random.uniform(0.0, ASK_AGAIN_S))
-        return await self._ask(generation, at_once)
+        await asyncio.sleep(random.uniform(0.0, RETRY_JITTER_S))
+        return await self._poll_once(generation, immediate)
 
-    async def _ask(self, generation: int | None, at_once: bool) -> Listing:
+    async def _poll_once(self, generation: int | None, immediate: bool) -> Listing:
         self._call = None
-        kept = self._connection is not None and not self._connection.lost
+        reused = self._connection is not None and not self._connection.lost
         if self._connection is None or self._connection.lost:
             self._connection = await self._connect()
-        longest_ms = self.suspect_wait_ms if self._suspect else self.wait_ms
-        wait_ms = int(longest_ms * random.uniform(WAIT_FROM, 1.0))
-        query = "" if generation is None else f"?after={generation}&wait_ms={0 if at_once else wait_ms}"
-        patience_s = PATIENCE_S + (wait_ms / 1000 if query else 0.0)
-        call = self._call = Call(self._connection, patience_s, kept)
+        max_wait_ms = self.recovery_wait_ms if self._recovering else self.wait_ms
+        wait_ms = int(max_wait_ms * random.uniform(MIN_WAIT_JITTER, 1.0))
+        query = "" if generation is None else f"?after={generation}&wait_ms={0 if immediate else wait_ms}"
+        timeout_s = PATIENCE_S + (wait_ms / 1000 if query else 0.0)
+        call = self._call = DiscoveryCall(self._connection, timeout_s, reused)
         head = f"GET /discovery/hosts{query} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n\r\n"
         self._connection.send(head.encode())
         try:
             response = await call.wait()
         except TimeoutError:
-            self._suspect = True
+            self._recovering = True
             raise
-        self._suspect = False
+        self._recovering = False
         if response.status != 200:
-            raise Busy(f"answered {response.status}")
+            raise DiscoveryBusyError(f"status {response.status}")
         listing = read_listing(response.body)
         if not query and not listing.whole:
-            raise ValueError("not the whole list, which was asked for")
+            raise ValueError("the full list was requested, and a delta was returned")
         return listing
 
     async def _connect(self) -> Connection:
-        fresh = Connection(self, MOST_LIST)
-        async with asyncio.timeout(CONNECT_S):
-            await asyncio.get_running_loop().create_connection(lambda: fresh, self.host, self.port)
-        return fresh
+        connection = Connection(self, MAX_LIST_BYTES)
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
+            await asyncio.get_running_loop().create_connection(lambda: connection, self.host, self.port)
+        return connection
 
     def close(self) -> None:
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
-    # --- what the connection tells ---
+    # --- connection events ---
 
     def on_written(self, connection: Connection) -> None:
-        pass  # a call to discovery is no attempt
+        pass  # polls are not counted as attempts
 
-    def on_large(self, connection: Connection, head: Response) -> None:
-        return None  # a list is read whole or not at all
+    def on_stream_start(self, connection: Connection, head: Response) -> None:
+        return None  # lists are never streamed
 
     def on_response(self, connection: Connection, response: Response, reusable: bool) -> None:
-        if self._call is not None and not self._call.answer.done():
-            self._call.answer.set_result(response)
+        if self._call is not None and not self._call.response_future.done():
+            self._call.response_future.set_result(response)
 
     def on_lost(self, connection: Connection) -> None:
         if self._call is not None:
-            self._call.end(ConnectionResetError("the connection ended"))
+            self._call.fail(ConnectionResetError("the connection ended"))
 
 
 class Watcher:
-    """Keeps one watch open while it is on; a failure ends it, and the module decides when to ask again."""
+    """Polls discovery while turned on.
+
+    A failure ends that, and the balancer decides when to turn it on again; with `retry_forever` it goes on.
+    """
 
     def __init__(
         self,
         host: str,
         port: int,
         generation: int,
-        persist: bool,
+        retry_forever: bool,
         ask_every_us: int,
-        deliver: Callable[[ListForm, list[Listed]], None],
+        on_list: Callable[[ListForm, list[Listed]], None],
     ) -> None:
         self.host = host
         self.port = port
         self.generation = generation
-        self.persist = persist  # lists are pushed: nobody asks again, so the watch itself goes on
-        self.wait_ms = min(WAIT_MS, int(WAIT_SHARE * ask_every_us / 1000) or WAIT_MS)
-        self.deliver = deliver
-        self.heard = asyncio.Event()  # discovery has told what it has, or can't be reached
+        self.persist = retry_forever  # for pushed lists, where the balancer does not turn it on again
+        self.wait_ms = min(
+            MAX_POLL_WAIT_MS, int(POLL_WAIT_FRACTION * ask_every_us / 1000) or MAX_POLL_WAIT_MS
+        )
+        self.deliver = on_list
+        self.heard = asyncio.Event()  # set once discovery has answered or proved unreachable
         self._task: asyncio.Task[None] | None = None
-        self._watch: Watch | None = None
+        self._client: DiscoveryClient | None = None
 
     def turn(self, on: bool) -> None:
         if on and self._task is None:
-            suspect_wait_ms = SUSPECT_WAIT_MS if self.persist else self.wait_ms
-            self._watch = Watch(self.host, self.port, self.wait_ms, suspect_wait_ms)
-            self._task = asyncio.get_running_loop().create_task(self._run(self._watch))
+            recovery_wait_ms = RECOVERY_WAIT_MS if self.persist else self.wait_ms
+            self._client = DiscoveryClient(self.host, self.port, self.wait_ms, recovery_wait_ms)
+            self._task = asyncio.get_running_loop().create_task(self._run(self._client))
         elif not on and self._task is not None:
             self._task.cancel()
             self._task = None
-            if self._watch is not None:
-                self._watch.close()  # what it still brings belongs to nobody
+            if self._client is not None:
+                self._client.close()  # a response that still arrives is discarded
 
     def move(self, host: str, port: int) -> None:
-        """Discovery answers elsewhere from now on: watch there at once, whatever backoff is under way."""
+        """Switch to another address of discovery at once, even during a backoff."""
         self.turn(False)
         self.host, self.port = host, port
         self.turn(True)
 
-    async def _run(self, watch: Watch) -> None:
-        wait, most = PUSH_BACKOFF_S
-        whole = False  # whether the next call asks for the whole list
+    async def _run(self, client: DiscoveryClient) -> None:
+        backoff_s, max_backoff_s = PUSH_BACKOFF_S
+        request_full = False  # whether the next poll asks for the full list
         while True:
             try:
-                at_once = not self.heard.is_set()  # who starts wants to know
-                listing = await watch.ask(None if whole else self.generation, at_once)
-                whole = not whole and listing.generation < self.generation
-                if whole:
+                immediate = not self.heard.is_set()  # the process waits for this when starting
+                listing = await client.poll(None if request_full else self.generation, immediate)
+                request_full = not request_full and listing.generation < self.generation
+                if request_full:
                     log.warning("discovery told of an older list", has=listing.generation, we=self.generation)
                     continue
                 self.deliver(ListForm.FULL if listing.whole else ListForm.DELTA, listing.entries)
-                self.generation = listing.generation  # not before: what could not be used comes again
-                wait = PUSH_BACKOFF_S[0]
+                # Only now: a list that could not be applied is requested again.
+                self.generation = listing.generation
+                backoff_s = PUSH_BACKOFF_S[0]
                 self.heard.set()
-            except Exception as error:  # whatever it is, the list must not stay as it is for good
+            except Exception as error:  # whatever it is, polling must go on, or the list would stay outdated
                 log.warning("discovery failed", reason=str(error) or type(error).__name__)
-                watch.close()
-                if not isinstance(error, Busy):
+                client.close()
+                if not isinstance(error, DiscoveryBusyError):
                     self.heard.set()
                 if not self.persist:
                     self._task = None
                     self.deliver(ListForm.FAILED, [])
                     return
-                await asyncio.sleep(wait * random.uniform(0.5, 1.5))
-                wait = min(2 * wait, most)
+                await asyncio.sleep(backoff_s * random.uniform(0.5, 1.5))
+                backoff_s = min(2 * backoff_s, max_backoff_s)
--- a/eiderhub/sidecar/following.py
+++ b/eiderhub/sidecar/following.py
@@ -1,4 +1,4 @@
-"""Lists from the project's own list service, where `[registry]` names one."""
+"""Endpoint lists from the project's own registry service, where `[registry]` is configured."""
 
 from __future__ import annotations
 
@@ -15,73 +15,73 @@
 from eiderhub.registry.settings import Follow
 from eiderhub.sidecar.discovery import Instance, Listed
 
-LOOK_AGAIN_S = 3600.0  # an order's end is looked at again, as the machine's clock may be set
+MAX_RECHECK_DELAY_S = 3600.0  # orders are re-evaluated at least this often, since the system clock may be set
 log = structlog.get_logger()
 
 
 class Following:
-    """Stands where the watch on the platform's discovery does. It rides out failures by itself."""
+    """Takes the place of the platform's discovery watcher. The registry client handles failures itself."""
 
     def __init__(
         self,
         follow: Follow,
-        deliver: Callable[[ListForm, list[Listed]], None],
-        steer: Callable[[Mapping[str, float], Mapping[str, str]], None],
+        on_list: Callable[[ListForm, list[Listed]], None],
+        on_steering: Callable[[Mapping[str, float], Mapping[str, str]], None],
     ) -> None:
-        """`steer` is told of operators' orders, as shares by zone, and of regions by zone."""
-        self._deliver = deliver
-        self._steer = steer
-        self._ending: asyncio.TimerHandle | None = None
-        self._recalling = False
-        self.watch = Watch(follow, self._changed)
-
-    def recall(self) -> bool:
-        """Start from the list that was kept on disk, where there is one."""
-        self._recalling = True
+        """`on_steering` is called with the operators' shares by zone, and with regions by zone."""
+        self._on_list = on_list
+        self._on_steering = on_steering
+        self._order_end_timer: asyncio.TimerHandle | None = None
+        self._restoring = False
+        self.watch = Watch(follow, self._on_verdict)
+
+    def restore(self) -> bool:
+        """Start from the list cached on disk; return whether there is one."""
+        self._restoring = True
         try:
             return self.watch.recall()
         finally:
-            self._recalling = False
+            self._restoring = False
 
     def turn(self, on: bool) -> None:
-        """It goes on until the process ends: whoever turns it off would only lose what it knows."""
+        """Start watching. Turning it off has no effect, since that would only discard the current list."""
         if on:
             self.watch.start()
 
     def move(self, follow: Follow) -> None:
-        """Other addresses from now on, and what has been learned stays."""
+        """Switch to other registry addresses, keeping the current list."""
         self.watch.move(follow)
 
-    def figures(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         age_us = self.watch.age_us()
         return [] if age_us is None else [f"svc.list_age_ms={age_us // 1000}"]
 
-    def _changed(self, verdict: Verdict) -> None:
+    def _on_verdict(self, verdict: Verdict) -> None:
         form = ListForm.DELTA
         if verdict.whole:
-            form = ListForm.CACHED if self._recalling else ListForm.FULL
+            form = ListForm.CACHED if self._restoring else ListForm.FULL
         if verdict.entries or verdict.whole:
-            self._deliver(form, [_listed(entry) for entry in verdict.entries])
+            self._on_list(form, [_to_listed_endpoint(entry) for entry in verdict.entries])
         if verdict.steered:
-            self._follow_orders()
+            self._apply_orders()
 
-    def _follow_orders(self) -> None:
-        """Orders are ours to end, too: the service may be away when their time is over."""
+    def _apply_orders(self) -> None:
+        """Apply the current orders; each is ended locally, since the registry may be down at that time."""
         steering, unix_ms = self.watch.belief.steering, time.time_ns() // 1_000_000
         shares = steering.shares(unix_ms)
-        told = ", ".join(f"{zone} {share:g}" for zone, share in sorted(shares.items())) or "none"
-        log.info("operators' orders on zones", shares=told)
-        self._steer(shares, steering.regions)
-        if self._ending is not None:
-            self._ending.cancel()
-            self._ending = None
-        due_ms = steering.next_ms(unix_ms)
-        if due_ms is not None:
-            delay_s = min((due_ms - unix_ms) / 1000 + 0.001, LOOK_AGAIN_S)
-            self._ending = asyncio.get_running_loop().call_later(delay_s, self._follow_orders)
-
-
-def _listed(entry: Entry) -> Listed:
+        shares_text = ", ".join(f"{zone} {share:g}" for zone, share in sorted(shares.items())) or "none"
+        log.info("operators' orders on zones", shares=shares_text)
+        self._on_steering(shares, steering.regions)
+        if self._order_end_timer is not None:
+            self._order_end_timer.cancel()
+            self._order_end_timer = None
+        next_change_ms = steering.next_ms(unix_ms)
+        if next_change_ms is not None:
+            delay_s = min((next_change_ms - unix_ms) / 1000 + 0.001, MAX_RECHECK_DELAY_S)
+            self._order_end_timer = asyncio.get_running_loop().call_later(delay_s, self._apply_orders)
+
+
+def _to_listed_endpoint(entry: Entry) -> Listed:
     return Instance(
         instance_id=entry.instance_id,
         host_port=entry.host_port,
@@ -91,4 +91,4 @@
         cell=entry.cell,
         weight=entry.weight,
         started_at_ms=entry.started_at_ms,
-    ).listed()
+    ).to_listed_endpoint()
--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -1,7 +1,7 @@
-"""The host of the decision module: carries out its actions and tells it what happens. It decides nothing.
+"""The host of the balancer: carries out its actions and reports events to it; it makes no decisions.
 
-It holds what the module must not be able to lose: each request has one final answer, and an alarm that
-gives it one in time whatever becomes of the module, the endpoints or the network.
+It guarantees what must hold even if the balancer fails: each request gets exactly one final answer, and a
+timer answers it by its deadline whatever happens to the balancer, the endpoints or the network.
 """
 
 from __future__ import annotations
@@ -25,97 +25,98 @@
 if TYPE_CHECKING:
     from eiderhub.sidecar.following import Following
 
-ANSWER_MARGIN_US = 40_000  # an answer leaves this long before the client's deadline: its bytes take time too
+ANSWER_MARGIN_US = 40_000  # answers are sent this long before the client's deadline, for transfer time
 log = structlog.get_logger()
 
 
 class Caller(Protocol):
-    """Who asked: takes the one final answer, whole or as it comes."""
+    """The client side of a request: takes its one final answer, complete or streamed."""
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None: ...
 
     def begin(self, head: Response, source: Source) -> Receiver:
-        """The first bytes of an answer; the rest follows, then `finish` or `break_off`."""
+        """Start a streamed answer; its data follows through the receiver."""
 
     def finish(self) -> None: ...
 
     def break_off(self) -> None: ...
 
     def left_unread(self) -> bool:
-        """Whether the caller has closed and the loop has not told of it."""
+        """Whether the caller has closed its connection and the event loop has not reported it yet."""
 
 
 class Request:
-    """One request that was taken, and its attempts."""
+    """One accepted request, and its attempts."""
 
     __slots__ = (
-        "alarm", "answered", "attempts", "body", "call", "caller", "deadline_us", "due_us", "grade", "head",
-        "hint_us", "id", "out", "passing", "patience_us", "tenant", "upload", "whole",
+        "alarm", "answer_due_us", "answered", "attempts", "body", "call", "caller", "client_timeout_us",
+        "deadline_us", "grade", "head", "hint_us", "id", "open_attempts", "streaming_attempt", "tenant",
+        "upload", "whole",
     )  # fmt: skip
 
     def __init__(
         self,
         caller: Caller,
-        grade: str,
+        class_name: str,
         tenant: str | None,
         hint_us: int | None,
         arrived_us: int,
-        patience_us: int,
+        client_timeout_us: int,
         head: bytes,
         body: bytes | Upload,
         request_id: bytes = b"",
     ) -> None:
         self.caller = caller
-        self.grade = grade
+        self.grade = class_name
         self.tenant = tenant
         self.hint_us = hint_us
-        self.patience_us = patience_us  # how long the client waits, from its last byte on
-        self.head = head  # request line and headers for endpoints, but for the time that is left
+        self.client_timeout_us = client_timeout_us  # how long the client waits after sending its last byte
+        self.head = head  # request line and headers for endpoints, without the remaining time
         self.body = body if isinstance(body, bytes) else b""
         self.upload = body if isinstance(body, Upload) else None
-        self.id = request_id  # the client's
+        self.id = request_id  # as sent by the client
         self.call = ""
         self.attempts: list[Attempt] = []
-        self.out = 0  # attempts that have not ended
-        self.answered = False  # or its answer has begun
-        self.passing: Attempt | None = None  # whose answer is passed on as it comes
+        self.open_attempts = 0  # number of attempts that have not ended
+        self.answered = False  # also True while its answer is streamed
+        self.streaming_attempt: Attempt | None = None  # whose answer is being streamed
         self.whole = self.upload is None or self.upload.whole
         self.alarm: Alarm | None = None
-        self.came(arrived_us)
+        self.set_deadline(arrived_us)
 
-    def came(self, now: int) -> None:
-        """The client's time runs from here."""
-        self.deadline_us = now + self.patience_us  # when the client gives up
-        self.due_us = self.deadline_us - ANSWER_MARGIN_US  # when the answer leaves at the latest
+    def set_deadline(self, now: int) -> None:
+        """Start the client's timeout."""
+        self.deadline_us = now + self.client_timeout_us  # when the client gives up
+        self.answer_due_us = self.deadline_us - ANSWER_MARGIN_US  # when an answer must be sent at the latest
 
 
 class Host:
-    """Implements the module's `Actions` and feeds its `Events`."""
+    """Implements the balancer's `Actions` and reports its `Events`."""
 
-    def __init__(self, config: Config, most: int, memory: int) -> None:
+    def __init__(self, config: Config, max_connections: int, memory_bytes: int) -> None:
         settings = config.settings
         self.settings = settings
         self.figures = Figures(c.name for c in settings.classes)
-        keyed = (c for c in settings.classes if c.effect is Effect.DEDUPLICATED)
-        self.windows_us = {c.name: c.dedup_window_us for c in keyed}  # in which a repeat does no harm
+        deduplicated = (c for c in settings.classes if c.effect is Effect.DEDUPLICATED)
+        self.dedup_windows_us = {c.name: c.dedup_window_us for c in deduplicated}  # a retry is safe within it
         self.requests: dict[str, Request] = {}
         self.serial = 0
-        self.listed: set[str] = set()  # the endpoints that the list has now
-        self.named = asyncio.Event()  # set once any list has named endpoints
+        self.listed: set[str] = set()  # ids of the endpoints in the current list
+        self.named = asyncio.Event()  # set once any list has contained endpoints
         self.upstream = Upstream(
             settings.limits.conn_idle_us,
             settings.limits.connect_timeout_us,
-            most,
+            max_connections,
             self.figures,
-            most_kept(memory, most),
+            most_kept(memory_bytes, max_connections),
         )
-        self.watcher: Watcher | Following = self._watcher(config)
+        self.watcher: Watcher | Following = self._create_watcher(config)
         self.balancer = Balancer(settings, config.seed, self)
-        self.known = config.known
+        self.known_list = config.known
 
-    def _watcher(self, config: Config) -> Watcher | Following:
+    def _create_watcher(self, config: Config) -> Watcher | Following:
         if config.follow is not None:
-            from eiderhub.sidecar.following import Following  # only where it is asked for
+            from eiderhub.sidecar.following import Following  # only imported where configured
 
             return Following(config.follow, self.on_list, self.on_steering)
         settings = config.settings
@@ -129,219 +130,228 @@
         )
 
     def start(self) -> None:
-        """Start the module on the list that was known last, which is in use until discovery answers."""
+        """Start the balancer with the last known list, which is used until discovery answers."""
         self.balancer.start(now_us())
-        if self.known.unreadable:
-            log.warning("entries of the known list can't be read", entries=self.known.unreadable)
-        kept = not isinstance(self.watcher, Watcher) and self.watcher.recall()
-        if not kept:
-            self.on_list(ListForm.CACHED, self.known.entries)
+        if self.known_list.unreadable:
+            log.warning("entries of the known list can't be read", entries=self.known_list.unreadable)
+        restored = not isinstance(self.watcher, Watcher) and self.watcher.restore()
+        if not restored:
+            self.on_list(ListForm.CACHED, self.known_list.entries)
         if self.settings.discovery is Discovery.PUSH or not isinstance(self.watcher, Watcher):
             self.watcher.turn(True)
 
     def figure_lines(self) -> list[str]:
         down = self.listed.intersection(self.balancer.hosts_down(now_us()))
         lines = self.figures.lines(len(self.listed), len(down))
-        return lines if isinstance(self.watcher, Watcher) else [*lines, *self.watcher.figures()]
+        return lines if isinstance(self.watcher, Watcher) else [*lines, *self.watcher.metric_lines()]
 
     def _tell(self, event: Callable[..., None], *values: Any) -> bool:
-        """Tell the module; its failure must neither end the process nor lose what it holds."""
+        """Report an event to the balancer; return False if it raised.
+
+        A failure of the balancer must neither end the process nor lose requests.
+        """
         try:
             event(now_us(), *values)
         except Exception:
-            about = self.requests.get(values[0]) if values and isinstance(values[0], str) else None
-            request = about.id.decode("latin-1") if about is not None else None
-            log.exception("the module failed", during=getattr(event, "__name__", "wake"), request=request)
+            affected = self.requests.get(values[0]) if values and isinstance(values[0], str) else None
+            request_id = affected.id.decode("latin-1") if affected is not None else None
+            log.exception("the module failed", during=getattr(event, "__name__", "wake"), request=request_id)
             return False
         return True
 
     # --- requests ---
 
     def take(self, request: Request) -> None:
-        """A request has come whole: from here on one answer is owed."""
+        """Accept a request: from here on it will get exactly one answer."""
         self.serial += 1
-        # An id of our own: a caller that repeats one must not meet what the module still holds under it.
+        # A unique internal id: a client may reuse an id for which the balancer still holds a request.
         call = request.call = f"{self.serial:016x}"
         self.requests[call] = request
         if request.whole:
-            request.alarm = Alarm(request.due_us, partial(self._out_of_time, request))
-        left = request.deadline_us - now_us()
-        if not self._tell(self.balancer.order, call, request.grade, request.tenant, left, request.hint_us):
-            self._abandon(request, 500)
+            request.alarm = Alarm(request.answer_due_us, partial(self._on_deadline, request))
+        remaining_us = request.deadline_us - now_us()
+        if not self._tell(
+            self.balancer.order, call, request.grade, request.tenant, remaining_us, request.hint_us
+        ):
+            self._answer_and_expire(request, 500)
 
     def came_whole(self, request: Request) -> None:
-        """The last byte of a body that is passed on has come: its time runs now, and that of its attempts."""
+        """The last byte of a streamed request body has arrived: start its and its attempts' timeouts."""
         request.whole = True
         if request.answered:
             return
-        request.came(now_us())
-        request.alarm = Alarm(request.due_us, partial(self._out_of_time, request))
+        request.set_deadline(now_us())
+        request.alarm = Alarm(request.answer_due_us, partial(self._on_deadline, request))
         for attempt in request.attempts:
-            if not attempt.over:
-                self._limit(request, attempt)
+            if not attempt.ended:
+                self._set_attempt_deadline(request, attempt)
 
     def withdraw(self, request: Request, status: int, reason: bytes) -> None:
-        """The rest of the body never came, or was no HTTP: no attempt can have been written whole."""
-        self._abandon(request, status, reason)
-        self._drop_attempts(request, Outcome.CANCELLED)
+        """The rest of the body never arrived, or was malformed: no attempt can be completely written."""
+        self._answer_and_expire(request, status, reason)
+        self._abort_attempts(request, Outcome.CANCELLED)
 
     def gone(self, request: Request) -> None:
-        """The client has closed its connection: nothing more is sent for it."""
-        if request.passing is not None:
-            request.passing.drop(Outcome.CANCELLED)
+        """The client has closed its connection: no further attempts are made for its request."""
+        if request.streaming_attempt is not None:
+            request.streaming_attempt.abort(Outcome.CANCELLED)
         elif not request.answered:
             if not request.whole:
-                self._drop_attempts(request, Outcome.CANCELLED)
-            self._close(request)
+                self._abort_attempts(request, Outcome.CANCELLED)
+            self._mark_answered(request)
             self._tell(self.balancer.expired, request.call)
 
-    def _drop_attempts(self, request: Request, outcome: Outcome) -> None:
+    def _abort_attempts(self, request: Request, outcome: Outcome) -> None:
         for attempt in list(request.attempts):
-            attempt.drop(outcome)
+            attempt.abort(outcome)
 
-    def _close(self, request: Request) -> None:
+    def _mark_answered(self, request: Request) -> None:
         request.answered = True
-        if not request.out:
+        if not request.open_attempts:
             self._discard(request)
 
     def _discard(self, request: Request) -> None:
-        """Nothing more can come for it; its attempts point back at it, so it would be garbage in a cycle."""
+        """Remove a finished request, and break its reference cycles with its attempts."""
         self.requests.pop(request.call, None)
         request.attempts.clear()
-        request.passing = None
-        # Not before: an attempt that outlives its request, at a silent machine, must end by time as well.
+        request.streaming_attempt = None
+        # Only now: an attempt that outlives its request, at an unresponsive host, must still time out.
         if request.alarm is not None:
             request.alarm.cancel()
-            request.alarm = None  # it points back at the request, too
+            request.alarm = None  # breaks a reference cycle
 
     def _answer(self, request: Request, status: int, headers: Headers, body: bytes) -> None:
-        """The one final answer: whatever would be a second one is dropped here."""
+        """Send the one final answer; any further answer is discarded."""
         if request.answered:
             return
-        self._close(request)
+        self._mark_answered(request)
         request.caller.answer(status, headers, body)
 
-    def _abandon(self, request: Request, status: int, reason: bytes = b"") -> None:
-        """Answer in place of the module, and tell it that the request is over."""
+    def _answer_and_expire(self, request: Request, status: int, reason: bytes = b"") -> None:
+        """Answer in place of the balancer, and report the request to it as expired."""
         if not request.answered:
             self._answer(request, status, [], reason)
             self._tell(self.balancer.expired, request.call)
 
-    def _out_of_time(self, request: Request) -> None:
-        """Attempts end by time, and so does what the module holds: an answer is due now, not later."""
-        self._drop_attempts(request, Outcome.TIMEOUT)
-        self._abandon(request, 504)
+    def _on_deadline(self, request: Request) -> None:
+        """The request's deadline: its attempts time out, and it is answered if it is still open."""
+        self._abort_attempts(request, Outcome.TIMEOUT)
+        self._answer_and_expire(request, 504)
 
     def fail_all(self) -> None:
-        """The process ends: what is still open is answered, or broken off, now."""
+        """The process is ending: answer every open request, and abort streamed answers."""
         for request in list(self.requests.values()):
-            if request.passing is not None:
-                request.passing.drop(Outcome.RESET)
+            if request.streaming_attempt is not None:
+                request.streaming_attempt.abort(Outcome.RESET)
             else:
-                self._abandon(request, 504)
+                self._answer_and_expire(request, 504)
 
     # --- attempts ---
 
-    def _limit(self, request: Request, attempt: Attempt) -> None:
-        """End the attempt in time: its own, where that is shorter than the request's."""
-        attempt.until_us = request.due_us
-        if attempt.wait_us:
-            attempt.until_us = min(request.due_us, now_us() + attempt.wait_us)
-        if attempt.until_us < request.due_us:
-            attempt.alarm = Alarm(attempt.until_us, partial(attempt.drop, Outcome.TIMEOUT))
+    def _set_attempt_deadline(self, request: Request, attempt: Attempt) -> None:
+        """Set the attempt's deadline to its own timeout, where that is shorter than the request's."""
+        attempt.deadline_us = request.answer_due_us
+        if attempt.timeout_us:
+            attempt.deadline_us = min(request.answer_due_us, now_us() + attempt.timeout_us)
+        if attempt.deadline_us < request.answer_due_us:
+            attempt.alarm = Alarm(attempt.deadline_us, partial(attempt.abort, Outcome.TIMEOUT))
 
     def _data(self, request: Request, attempt: Attempt, now: int) -> bytes | None:
-        """The bytes of an attempt that is written now; none once the request is over."""
-        # While the body comes the time does not run yet: the endpoint is told all of it.
-        left_ms = ((attempt.until_us - now) if attempt.until_us else request.patience_us) // 1000
-        if request.answered or left_ms < 1 or request.caller.left_unread():
+        """Return the bytes of an attempt that is about to be written; None if the request is over."""
+        # While the body is being received, the client's timeout has not started: the endpoint gets all of it.
+        remaining_ms = (
+            (attempt.deadline_us - now) if attempt.deadline_us else request.client_timeout_us
+        ) // 1000
+        if request.answered or remaining_ms < 1 or request.caller.left_unread():
             return None
-        return b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (request.head, left_ms, request.body)
+        return b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (request.head, remaining_ms, request.body)
 
-    def _ended(self, request: Request, attempt: Attempt, outcome: Outcome, response: Response | None) -> None:
-        request.out -= 1
-        self.upstream.count(outcome.name.lower())
-        if request.passing is attempt:
-            request.passing = None
+    def _on_attempt_end(
+        self, request: Request, attempt: Attempt, outcome: Outcome, response: Response | None
+    ) -> None:
+        request.open_attempts -= 1
+        self.upstream.count_event(outcome.name.lower())
+        if request.streaming_attempt is attempt:
+            request.streaming_attempt = None
             if outcome is Outcome.OK:
                 request.caller.finish()
             else:
                 request.caller.break_off()
         elif outcome is Outcome.OK and response is not None:
             self._answer(request, 200, response.headers, response.body)
-        if request.answered and not request.out:
+        if request.answered and not request.open_attempts:
             self._discard(request)
-        spent = now_us() - attempt.sent_us
-        told = self._tell(
+        elapsed_us = now_us() - attempt.sent_us
+        notified = self._tell(
             self.balancer.reply,
             request.call,
             attempt.number,
             attempt.endpoint,
-            spent,
+            elapsed_us,
             request.answered,
             outcome,
         )
-        if not told and not request.out:
-            self._abandon(request, 500)
+        if not notified and not request.open_attempts:
+            self._answer_and_expire(request, 500)
 
-    def _begin(self, request: Request, attempt: Attempt, head: Response) -> Receiver | None:
-        """The answer is passed on as it comes: no alarm ends it now, and nothing else is waited for."""
+    def _start_streaming(self, request: Request, attempt: Attempt, head: Response) -> Receiver | None:
+        """Stream the answer: from here on there is no deadline, and all other attempts are aborted."""
         if request.answered:
             return None
         request.answered = True
-        request.passing = attempt
+        request.streaming_attempt = attempt
         for alarm in (request.alarm, attempt.alarm):
             if alarm is not None:
                 alarm.cancel()
-        request.alarm = attempt.alarm = None  # they point back
+        request.alarm = attempt.alarm = None  # breaks reference cycles
         receiver = request.caller.begin(head, attempt)
-        spent = now_us() - attempt.sent_us
+        elapsed_us = now_us() - attempt.sent_us
         for other in list(request.attempts):
             if other is not attempt:
-                other.drop(Outcome.CANCELLED)
-        self._tell(self.balancer.streaming, request.call, attempt.number, spent)
+                other.abort(Outcome.CANCELLED)
+        self._tell(self.balancer.streaming, request.call, attempt.number, elapsed_us)
         return receiver
 
-    # --- the module's actions ---
+    # --- the balancer's actions ---
 
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
         request = self.requests.get(call)
         if request is None:
-            log.error("an attempt was asked for a request that is over", request=call, endpoint=endpoint)
+            log.error("attempt requested for a finished request", request=call, endpoint=endpoint)
             return
         attempt = Attempt(
             len(request.attempts),
             endpoint,
             partial(self._data, request),
-            partial(self._ended, request),
-            partial(self._begin, request),
+            partial(self._on_attempt_end, request),
+            partial(self._start_streaming, request),
             request.upload,
         )
-        attempt.wait_us = max_wait_us
-        # Rule 2: the module has decided by its clock; the connection may come up after the window.
-        ran = [other.sent_us for other in request.attempts if other.ran]
-        if ran and request.grade in self.windows_us:
-            attempt.leave_in_time(min(ran) + self.windows_us[request.grade])
+        attempt.timeout_us = max_wait_us
+        # The balancer decided within the deduplication window, but the connection may open after its end.
+        run_starts_us = [other.sent_us for other in request.attempts if other.may_have_run]
+        if run_starts_us and request.grade in self.dedup_windows_us:
+            attempt.set_write_deadline(min(run_starts_us) + self.dedup_windows_us[request.grade])
         request.attempts.append(attempt)
-        request.out += 1
-        spent = request.upload is not None and (request.upload.begun or request.upload.given_up)
-        spent = spent or attempt.number >= self.settings.limits.max_attempts
-        if request.answered or spent or request.caller.left_unread():
+        request.open_attempts += 1
+        not_sendable = request.upload is not None and (request.upload.begun or request.upload.given_up)
+        not_sendable = not_sendable or attempt.number >= self.settings.limits.max_attempts
+        if request.answered or not_sendable or request.caller.left_unread():
             asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_SENT)
             return
         if request.whole:
-            self._limit(request, attempt)
+            self._set_attempt_deadline(request, attempt)
         self.upstream.send(attempt)
 
     def cancel(self, call: str, attempt: int) -> None:
         request = self.requests.get(call)
         if request is not None and attempt < len(request.attempts):
-            # Later, for its outcome must not reach the module inside one of the module's own calls.
+            # Deferred: the outcome must not be reported to the balancer within one of its own calls.
             asyncio.get_running_loop().call_soon(self._cancel, request, request.attempts[attempt])
 
     def _cancel(self, request: Request, attempt: Attempt) -> None:
-        if request.passing is not attempt:  # what has begun to reach the client is the client's
-            attempt.drop(Outcome.CANCELLED)
+        if request.streaming_attempt is not attempt:  # an answer that is being streamed is not cancelled
+            attempt.abort(Outcome.CANCELLED)
 
     def shed(self, call: str, wait_us: int) -> None:
         request = self.requests.get(call)
@@ -352,7 +362,7 @@
     def surrender(self, call: str) -> None:
         request = self.requests.get(call)
         if request is not None:
-            self._answer(request, 504 if now_us() >= request.due_us else 502, [], b"")
+            self._answer(request, 504 if now_us() >= request.answer_due_us else 502, [], b"")
 
     def timer(self, delay_us: int, mark: str) -> None:
         Alarm(now_us() + delay_us, partial(self._tell, self.balancer.wake, mark))
@@ -369,15 +379,15 @@
     # --- discovery ---
 
     def on_steering(self, shares: Mapping[str, float], regions: Mapping[str, str]) -> None:
-        """What our own configuration says of regions stands above what lists say."""
+        """Regions in the local configuration take precedence over those from the registry."""
         self._tell(self.balancer.steer, shares, {**regions, **self.settings.regions})
 
     def on_list(self, form: ListForm, entries: list[Listed]) -> None:
-        """Rule 3: the pools learn first, so that nothing new leaves for what drains or is gone."""
+        """Update the pools before the balancer: nothing new is sent to endpoints that drain or are gone."""
         if form in (ListForm.FULL, ListForm.CACHED):
             self.listed.clear()
-            for missing in self.upstream.pools.keys() - {entry.endpoint.id for entry in entries}:
-                self.upstream.retire(missing)
+            for removed_id in self.upstream.pools.keys() - {entry.endpoint.id for entry in entries}:
+                self.upstream.retire(removed_id)
         for endpoint, host, port in entries:
             if endpoint.readiness is Readiness.READY:
                 self.upstream.place(endpoint.id, host, port, endpoint.launched_us)
--- a/eiderhub/sidecar/upstream.py
+++ b/eiderhub/sidecar/upstream.py
@@ -1,7 +1,7 @@
-"""Connections to endpoints: the keep-alive pools, and how each attempt ended.
+"""HTTP/1.1 connections to endpoints: keep-alive pools, and the outcome of each attempt.
 
-There is no hidden resend: an attempt is written to one connection, once, and what became of it is told
-apart as finely as the socket allows, since a request that has surely not run may be tried again.
+Requests are never resent transparently: an attempt is written to one connection, once. Its outcome is
+reported as precisely as the socket allows, since a request that certainly has not run may be retried.
 """
 
 from __future__ import annotations
@@ -31,23 +31,25 @@
 from eiderhub.sidecar.clock import Alarm, now_us
 from eiderhub.sidecar.figures import Figures
 
-IDLE_SHARE = 0.85  # of the time after which endpoints close idle connections, how long we keep them
-IDLE_US = 5_000_000  # that time, where it is not told
-# A second answer to the request before may come some milliseconds late, and nothing in it tells whose it is:
-# written to meanwhile, the connection would give it to the next request. Seen up to 3 ms late.
-SETTLE_US = 5_000  # so long a connection rests after an answer
-# Settled connections take turns while none is idle for longer: where they would be, one is settled for 99
-# calls in 100 as it is. By turns they stay up; were the latest always first, the others would age and go.
-TURNS_US = 1_000_000
-# One call in 100 may find none settled; more, over about so many calls, and another connection comes up.
-UNSETTLED_SHARE, UNSETTLED_CALLS = 0.01, 200
-SWEEP_S = 0.25  # how often idle connections are looked at
-TALLY_EVERY_S = 5.0  # how often the attempts' outcomes are logged
-HOLD_S = 0.05  # an answer of unknown length is passed on as it comes once it has taken so long
-MAX_HEAD = 64 * 1024  # bytes of an answer's headers
-MAX_ERROR = 1 << 20  # bytes of an error's body that are read for the sake of the connection
-
-# Headers that belong to one connection, and not to the message: RFC 9110, 7.6.1.
+IDLE_TIMEOUT_FRACTION = 0.85  # connections are kept idle for this fraction of the endpoint's idle timeout
+DEFAULT_ENDPOINT_IDLE_US = 5_000_000  # the endpoint's idle timeout where the settings give none
+# An endpoint may send a duplicate response up to 3 ms after the first, and nothing in it identifies its
+# request: on a connection that has been reused meanwhile it would be taken for the response to the next
+# request. A connection is "settled" if it is new or has been idle for this long after a response.
+SETTLE_US = 5_000
+# Settled connections idle for less than this are used round-robin, which keeps all of them open; with the
+# most recently used always first, the others would reach the idle timeout. At loads that leave connections
+# idle for longer, 99 calls in 100 find a settled one anyway.
+ROUND_ROBIN_MAX_IDLE_US = 1_000_000
+# A spare connection is opened once more than this ratio of calls, over about this many, found none settled.
+MAX_UNSETTLED_RATIO, UNSETTLED_WINDOW_CALLS = 0.01, 200
+SWEEP_INTERVAL_S = 0.25
+TALLY_EVERY_S = 5.0  # interval at which attempt outcomes are logged
+STREAMING_DELAY_S = 0.05  # a response of unknown length that takes longer than this is streamed to the caller
+MAX_HEADER_BYTES = 64 * 1024  # of a response
+MAX_ERROR_BODY_BYTES = 1 << 20  # error bodies are read up to this size so that the connection stays usable
+
+# Hop-by-hop headers, which must not be forwarded: RFC 9110, section 7.6.1.
 HOP_BY_HOP = frozenset(
     (
         b"connection", b"keep-alive", b"proxy-connection", b"te", b"trailer", b"transfer-encoding",
@@ -58,7 +60,7 @@
 
 
 class Response(NamedTuple):
-    """An answer; where it is passed on as it comes, its body is not here."""
+    """A response; `body` is empty where the body is streamed."""
 
     status: int
     headers: Headers
@@ -67,7 +69,7 @@
 
 
 class Receiver(Protocol):
-    """Who takes an answer that is passed on as it comes."""
+    """Consumer of a streamed response body."""
 
     @property
     def congested(self) -> bool: ...
@@ -75,14 +77,14 @@
     def pass_on(self, data: bytes) -> None: ...
 
 
-class Owner(Protocol):
-    """Who opened a connection, and is told what comes of it."""
+class ConnectionOwner(Protocol):
+    """Creator of a connection, notified of its events."""
 
     def on_written(self, connection: Connection) -> None:
-        """The last byte of the request has left."""
+        """The last byte of the request has been written."""
 
-    def on_large(self, connection: Connection, head: Response) -> Receiver | None:
-        """The answer is larger than what is kept, or slow: who takes it? Nobody: it is no answer."""
+    def on_stream_start(self, connection: Connection, head: Response) -> Receiver | None:
+        """Return the consumer of a response too large or slow to buffer; None rejects the response."""
 
     def on_response(self, connection: Connection, response: Response, reusable: bool) -> None: ...
 
@@ -90,51 +92,52 @@
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One HTTP/1.1 connection that we opened; it carries one exchange at a time."""
+    """One outgoing HTTP/1.1 connection; it carries one exchange at a time."""
 
-    _buffer = bytearray(READ_SIZE)  # for all: what is read is dealt with at once
+    _buffer = bytearray(READ_SIZE)  # shared by all connections: data read is processed before the next read
 
-    def __init__(self, owner: Owner, most_kept: int) -> None:
+    def __init__(self, owner: ConnectionOwner, max_buffered_bytes: int) -> None:
         self.owner = owner
-        self.most_kept = most_kept  # of an answer's body
+        self.max_buffered_bytes = max_buffered_bytes  # of a response body
         self.attempt: Attempt | None = None
         self.busy = False
-        self.written = False  # whether the last byte of the request has left for the kernel
+        self.written = False  # the last byte of the request has been handed to the kernel
         self.lost = False
-        self.idle_since = 0  # when it came up, or its last answer had come
-        self.exchanges = 0  # requests written to it
-        self.moved_us = 0  # when something of the answer came, or could have come, last
-        self.on_moved: Callable[[], None] | None = None  # told of that, where somebody wants to know
-        self.congested = False  # whether the endpoint does not take what we write
+        self.idle_since = 0  # when it connected, or when its last response was complete
+        self.request_count = 0  # requests written to it
+        self.last_progress_us = 0  # when data last arrived, or flow control last changed
+        self.on_progress: Callable[[], None] | None = None  # called when response data arrives
+        self.congested = False  # the send buffer is full: the endpoint does not read fast enough
         self._upload: Upload | None = None
         self._receiver: Receiver | None = None
         self._paused = False
-        self._hold: asyncio.TimerHandle | None = None
+        self._streaming_timer: asyncio.TimerHandle | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._reset()
 
     def _reset(self) -> None:
         self._headers: Headers = []
         self._body: list[bytes] = []
-        self._size = 0
-        self._keep = False
-        self._framing: Framing | None = None  # once the head is whole
+        self._received_bytes = 0
+        self._keep_alive = False
+        self._framing: Framing | None = None  # set once the response headers are complete
         self._response: Response | None = None
 
     # --- the socket ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not `isinstance`: uvloop's transports only have the shape of asyncio's.
+        # `cast` rather than `isinstance`: uvloop's transports do not inherit from asyncio's.
         self.transport = cast(asyncio.Transport, transport)
-        # With no buffer allowed, `pause_writing` tells that the kernel has not taken all of a request yet.
+        # With a high-water mark of zero, `pause_writing` is called whenever the kernel accepts only a part.
         self.transport.set_write_buffer_limits(high=0)
         self._poll = select.poll()
         self._poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
 
     def stale(self) -> bool:
-        """Whether an idle connection has anything to read: its end, or what nobody asked for.
+        """Whether an idle connection has anything to read: end of stream, or unsolicited data.
 
-        Guards against writing an unsafe request to a connection whose end the loop has not come to yet.
+        Guards against writing a non-idempotent request to a connection whose close the event loop has not
+        processed yet.
         """
         return self.lost or bool(self._poll.poll(0))
 
@@ -143,46 +146,47 @@
 
     def eof_received(self) -> bool:
         framing = self._framing
-        ends = framing is not None and framing.length is None and not framing.chunked
-        if ends and self.busy and not self.lost:  # an answer that ends with its connection
-            self._complete(self._whole())
+        ends_with_connection = framing is not None and framing.length is None and not framing.chunked
+        if ends_with_connection and self.busy and not self.lost:
+            self._complete(self._build_response())
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        # It calls back into this object: a cycle, and those that outlive a young collection pile up.
+        # The parser refers back to this object. Breaking the cycle keeps closed connections from
+        # accumulating until a full garbage collection.
         del self._parser
-        self.on_moved = None
-        self._let_go()
+        self.on_progress = None
+        self._detach_bodies()
         if not self.lost:
             self.lost = True
             self.owner.on_lost(self)
 
     def close(self) -> None:
-        """Give up the exchange: whatever still comes on this connection reaches nobody."""
+        """Abort the exchange: data that still arrives on this connection is discarded."""
         if not self.lost:
             self.lost = True
-            self._let_go()
+            self._detach_bodies()
             self.transport.abort()
 
-    def _let_go(self) -> None:
-        """Nothing more passes through, in either direction."""
+    def _detach_bodies(self) -> None:
+        """Stop streaming in both directions."""
         self._receiver = None
         upload, self._upload = self._upload, None
         if upload is not None and not self.written:
             upload.give_up()
-        if self._hold is not None:
-            self._hold.cancel()
-            self._hold = None
+        if self._streaming_timer is not None:
+            self._streaming_timer.cancel()
+            self._streaming_timer = None
 
     def buffer_updated(self, nbytes: int) -> None:
         if self.lost:
             return
-        if not self.busy:  # nobody asked
+        if not self.busy:  # unsolicited data
             self.fail()
             return
-        self.moved_us = now_us()
-        if self.on_moved is not None:
-            self.on_moved()
+        self.last_progress_us = now_us()
+        if self.on_progress is not None:
+            self.on_progress()
         try:
             self._parser.feed_data(memoryview(self._buffer)[:nbytes])
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -191,11 +195,14 @@
         if self.lost:
             return
         if self._response is not None and self._response.status == 200 and not self.written:
-            self.fail()  # an endpoint begins with the last byte: this answers an earlier request
+            # An endpoint starts processing at the last byte: this is a late response to an earlier request.
+            self.fail()
         elif self._response is not None:
             self._complete(self._response)
-        elif self._body and self._hold is None and self._framing and self._framing.length is None:
-            self._hold = asyncio.get_running_loop().call_later(HOLD_S, self._pass_on_slow)
+        elif self._body and self._streaming_timer is None and self._framing and self._framing.length is None:
+            self._streaming_timer = asyncio.get_running_loop().call_later(
+                STREAMING_DELAY_S, self._stream_slow_response
+            )
 
     def fail(self) -> None:
         if not self.lost:
@@ -203,9 +210,9 @@
             self.owner.on_lost(self)
 
     def _complete(self, response: Response) -> None:
-        reusable = self._keep and self.written
+        reusable = self._keep_alive and self.written
         self.busy = False
-        self._let_go()
+        self._detach_bodies()
         self._reset()
         if not reusable:
             self.close()
@@ -219,13 +226,13 @@
     def send(self, data: bytes, upload: Upload | None = None) -> None:
         self.busy = True
         self.written = False
-        self.exchanges += 1
+        self.request_count += 1
         self._upload = upload
-        self.transport.write(data)  # calls `pause_writing` within, where the kernel does not take all
+        self.transport.write(data)  # calls `pause_writing` synchronously if the kernel accepts only a part
         if upload is not None:
             upload.attach(self)
         else:
-            self._settle()
+            self._check_written()
 
     def pass_on(self, data: bytes) -> None:
         if self._upload is not None:
@@ -234,19 +241,19 @@
     def end_body(self) -> None:
         if self._upload is not None and self._upload.length is None:
             self.transport.write(LAST_CHUNK)
-        self._settle()
+        self._check_written()
 
-    def _settle(self) -> None:
-        """Note when the last byte has left."""
-        whole = self._upload is None or self._upload.whole
-        if self.busy and whole and not self.congested and not self.written and not self.lost:
+    def _check_written(self) -> None:
+        """Report the request as written once its last byte has been handed to the kernel."""
+        body_complete = self._upload is None or self._upload.whole
+        if self.busy and body_complete and not self.congested and not self.written and not self.lost:
             self.written = True
             self._upload = None
             self.owner.on_written(self)
 
     def pause_writing(self) -> None:
         self.congested = True
-        self.moved_us = now_us()
+        self.last_progress_us = now_us()
         if self._upload is not None:
             self._upload.flow()
 
@@ -254,39 +261,42 @@
         self.congested = False
         if self._upload is not None:
             self._upload.flow()
-        self._settle()
+        self._check_written()
 
-    # --- an answer that is passed on as it comes ---
+    # --- streamed responses ---
 
     def flow(self) -> None:
-        """Read on, or stop reading, as the caller takes what comes."""
+        """Pause or resume reading according to the receiver's backpressure."""
         pause = self._receiver is not None and self._receiver.congested
         if pause != self._paused and not self.lost:
             self._paused = pause
-            self.moved_us = now_us()
+            self.last_progress_us = now_us()
             if pause:
                 self.transport.pause_reading()
             else:
                 self.transport.resume_reading()
 
     def stalled(self, now: int) -> bool:
-        """Whether it is the endpoint that keeps a body waiting, and has for long."""
-        waits = self._upload is not None and self.congested
-        waits = waits or (self._receiver is not None and not self._paused)
-        return waits and now - self.moved_us > STALL_S * 1e6
-
-    def _pass_on_slow(self) -> None:
-        self._hold = None
-        served = self._parser.get_status_code() == 200 if not self.lost else False
-        if served and self._receiver is None and self._body and not self._begin():
+        """Whether a body transfer has waited too long on the endpoint."""
+        waits_on_endpoint = self._upload is not None and self.congested
+        waits_on_endpoint = waits_on_endpoint or (self._receiver is not None and not self._paused)
+        return waits_on_endpoint and now - self.last_progress_us > STALL_S * 1e6
+
+    def _stream_slow_response(self) -> None:
+        self._streaming_timer = None
+        is_ok = self._parser.get_status_code() == 200 if not self.lost else False
+        if is_ok and self._receiver is None and self._body and not self._start_streaming():
             self.fail()
 
-    def _begin(self) -> bool:
-        """Pass on what has come; the rest follows as it comes. Not before the request has left: see above."""
+    def _start_streaming(self) -> bool:
+        """Start streaming: forward the data received so far, then the rest as it arrives.
+
+        Refused before the request is written completely, as in `buffer_updated`.
+        """
         if not self.written:
             return False
-        head = self._whole()
-        receiver = self.owner.on_large(self, head._replace(body=b""))
+        head = self._build_response()
+        receiver = self.owner.on_stream_start(self, head._replace(body=b""))
         if receiver is None or self.lost:
             return False
         self._receiver = receiver
@@ -295,107 +305,107 @@
             receiver.pass_on(head.body)
         return True
 
-    def _whole(self) -> Response:
+    def _build_response(self) -> Response:
         status = self._parser.get_status_code()
         return Response(status, self._headers, b"".join(self._body), self._framing or Framing(None, False))
 
-    # --- the parser's calls ---
+    # --- parser callbacks ---
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self._framing is None:  # what comes after the body, trailers, belongs to the way it came by
+        if self._framing is None:  # later headers are trailers, which are not forwarded
             self._headers.append((name, value.strip(b" \t")))
-            self._size += len(name) + len(value)
-            if self._size > MAX_HEAD:
-                raise ValueError("the headers are too long")
+            self._received_bytes += len(name) + len(value)
+            if self._received_bytes > MAX_HEADER_BYTES:
+                raise ValueError("response headers too large")
 
     def on_headers_complete(self) -> None:
         self._framing = framing(self._headers)
-        self._size = 0
+        self._received_bytes = 0
 
     def on_body(self, body: bytes) -> None:
         if self._receiver is not None:
             self._receiver.pass_on(body)
             return
-        self._size += len(body)
+        self._received_bytes += len(body)
         length = self._framing.length if self._framing else None
-        if max(self._size, length or 0) <= self.most_kept:
+        if max(self._received_bytes, length or 0) <= self.max_buffered_bytes:
             self._body.append(body)
         elif self._parser.get_status_code() == 200:
             self._body.append(body)
-            if not self._begin():
-                raise ValueError("nobody takes so long an answer")
-        elif self._size > MAX_ERROR:
-            raise ValueError("an error that does not end")
-        # The body of an error reaches nobody: past what is kept it need not be held.
+            if not self._start_streaming():
+                raise ValueError("response too large to buffer, and no receiver accepts a stream")
+        elif self._received_bytes > MAX_ERROR_BODY_BYTES:
+            raise ValueError("error response body too large")
+        # Error bodies are not forwarded, so data beyond the buffer limit is discarded.
 
     def on_message_complete(self) -> None:
         status = self._parser.get_status_code()
-        if status < 200:  # an interim answer
-            self._headers, self._body, self._size, self._framing = [], [], 0, None
+        if status < 200:  # interim response
+            self._headers, self._body, self._received_bytes, self._framing = [], [], 0, None
             return
         if self._response is not None:
-            raise ValueError("two answers to one request")
-        # Only here does the parser know: once it has left this message, it speaks for the next.
-        self._keep = self._parser.should_keep_alive()
-        self._response = self._whole()
+            raise ValueError("second response to one request")
+        # Read here because the parser's value is valid only while it is at this message.
+        self._keep_alive = self._parser.should_keep_alive()
+        self._response = self._build_response()
 
 
 class Attempt:
-    """One try of a request at one endpoint. It ends once; `on_end` is told how."""
+    """One attempt to serve a request at one endpoint. It ends exactly once, with a call of `on_end`."""
 
     __slots__ = (
-        "alarm", "connection", "data", "endpoint", "leaving", "number", "on_end", "on_large", "over", "ran",
-        "sent_us", "until_us", "upload", "wait_us",
+        "alarm", "build_request", "connection", "deadline_us", "ended", "endpoint", "may_have_run", "number",
+        "on_end", "on_stream_start", "sent_us", "timeout_us", "upload", "write_deadline",
     )  # fmt: skip
 
     def __init__(
         self,
         number: int,
         endpoint: str,
-        data: Callable[[Attempt, int], bytes | None],
+        build_request: Callable[[Attempt, int], bytes | None],
         on_end: Callable[[Attempt, Outcome, Response | None], None],
-        on_large: Callable[[Attempt, Response], Receiver | None] = lambda *_: None,
+        on_stream_start: Callable[[Attempt, Response], Receiver | None] = lambda *_: None,
         upload: Upload | None = None,
     ) -> None:
         self.number = number
         self.endpoint = endpoint
-        self.data = data  # the bytes to send, made as they go out, or None where the time is up
+        self.build_request = build_request  # called just before writing; None means that it must not be sent
         self.on_end = on_end
-        self.on_large = on_large
-        self.upload = upload  # the body, where it is passed on as it comes
-        self.wait_us = 0  # how long it may take at the most; 0: as long as the request
-        self.until_us = 0  # the end of that; 0: not known yet
+        self.on_stream_start = on_stream_start
+        self.upload = upload  # the request body, where it is streamed
+        self.timeout_us = 0  # 0: limited only by the request's deadline
+        self.deadline_us = 0  # 0: not known yet
         self.sent_us = now_us()
         self.connection: Connection | None = None
         self.alarm: Alarm | None = None
-        self.leaving: Alarm | None = None  # by when the last byte must have left, or none may; None: any time
-        self.ran = False  # or may have: the last byte has left, and nothing said that it was turned away
-        self.over = False
+        self.write_deadline: Alarm | None = None  # the attempt is aborted if not completely written by then
+        self.may_have_run = False  # it was written completely, and the endpoint has not declined it
+        self.ended = False
 
     def end(self, outcome: Outcome, response: Response | None = None) -> None:
-        if self.over:
+        if self.ended:
             return
-        self.over = True
-        for alarm in (self.alarm, self.leaving):
+        self.ended = True
+        for alarm in (self.alarm, self.write_deadline):
             if alarm is not None:
                 alarm.cancel()
-        self.alarm = self.leaving = None  # they point back at the attempt
+        self.alarm = self.write_deadline = None  # breaks reference cycles
         self.on_end(self, outcome, response)
 
     def flow(self) -> None:
         if self.connection is not None:
             self.connection.flow()
 
-    def leave_in_time(self, by_us: int) -> None:
-        """Let the last byte leave by then, wherever the connection hangs, or not at all."""
-        self.leaving = Alarm(by_us, self._missed)
+    def set_write_deadline(self, deadline_us: int) -> None:
+        """Abort the attempt, at whatever stage, if its last byte has not been written by `deadline_us`."""
+        self.write_deadline = Alarm(deadline_us, self._on_write_deadline)
 
-    def _missed(self) -> None:
-        if not self.ran:
-            self.drop(Outcome.NOT_SENT)
+    def _on_write_deadline(self) -> None:
+        if not self.may_have_run:
+            self.abort(Outcome.NOT_SENT)
 
-    def drop(self, outcome: Outcome) -> None:
-        """Stop waiting: closing the connection keeps the late answer from any other request."""
+    def abort(self, outcome: Outcome) -> None:
+        """End the attempt and close its connection, so that a late response cannot reach another request."""
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.attempt = None
@@ -404,19 +414,21 @@
         self.end(outcome)
 
 
-class Settling:
-    """An attempt that waits until this connection has settled, or another comes up before that."""
+class SettleWait:
+    """An attempt waiting for a connection to settle, or for a new connection to open before that."""
 
     __slots__ = ("alarm", "attempt", "connection")
 
-    def __init__(self, attempt: Attempt, connection: Connection, due: Callable[[Settling], None]) -> None:
+    def __init__(
+        self, attempt: Attempt, connection: Connection, on_settled: Callable[[SettleWait], None]
+    ) -> None:
         self.attempt = attempt
         self.connection = connection
-        self.alarm = Alarm(connection.idle_since + SETTLE_US, partial(due, self))
+        self.alarm = Alarm(connection.idle_since + SETTLE_US, partial(on_settled, self))
 
 
 class Pool:
-    """The connections to one process of an endpoint."""
+    """The connections to one process of an endpoint. See SETTLE_US for what "settled" means."""
 
     def __init__(self, upstream: Upstream, host: str, port: int, launched_us: int) -> None:
         self.upstream = upstream
@@ -424,97 +436,111 @@
         self.port = port
         self.launched_us = launched_us
         self.ready = True
-        self.idle: list[Connection] = []  # the most recently used last
-        self.waiting: list[Settling] = []
-        self.preparing = False  # a connection comes up that no attempt has asked for
-        self._unsettled = 0.0  # calls that found none settled, of the last UNSETTLED_CALLS or so
-        self._unneeded: int | None = None  # settled connections that no call has come to, since
-        self._since_us = 0
-
-    def take(self) -> Connection | None:
-        """A settled connection, by turns; of those idle for long the latest, so that the others go."""
+        self.idle: list[Connection] = []  # ordered by `idle_since`, the most recently used last
+        self.settle_waits: list[SettleWait] = []
+        self.connecting_spare = False  # a connection that belongs to no attempt is being opened
+        # Calls that found no settled connection, decaying exponentially over about UNSETTLED_WINDOW_CALLS.
+        self._unsettled = 0.0
+        # The fewest settled connections that any call in this period has left unused.
+        self._min_spare_count: int | None = None
+        self._period_start_us = 0
+
+    def acquire_settled(self) -> Connection | None:
+        """Take a settled connection: round-robin among those idle for less than ROUND_ROBIN_MAX_IDLE_US.
+
+        If there is none, the most recently used one, so that the others reach the idle timeout.
+        """
         now = now_us()
-        self._unsettled *= 1 - 1 / UNSETTLED_CALLS
-        settled = [c for c in self.idle if not c.exchanges or c.idle_since <= now - SETTLE_US]
+        self._unsettled *= 1 - 1 / UNSETTLED_WINDOW_CALLS
+        settled = [c for c in self.idle if not c.request_count or c.idle_since <= now - SETTLE_US]
         found = None
         while settled and found is None:
-            turn = next((i for i, c in enumerate(settled) if c.idle_since > now - TURNS_US), -1)
-            connection = settled.pop(turn)
+            index = next(
+                (i for i, c in enumerate(settled) if c.idle_since > now - ROUND_ROBIN_MAX_IDLE_US), -1
+            )
+            connection = settled.pop(index)
             self.idle.remove(connection)
             if not connection.stale():
                 found = connection
             else:
                 connection.close()
                 self.upstream.open -= 1
-        left = len(settled)
-        self._unneeded = left if self._unneeded is None else min(left, self._unneeded)
+        spare_count = len(settled)
+        self._min_spare_count = (
+            spare_count if self._min_spare_count is None else min(spare_count, self._min_spare_count)
+        )
         return found
 
-    def reserve(self) -> Connection | None:
-        """The connection that settles soonest, for who will wait for it; `take` has found none settled."""
+    def acquire_unsettled(self) -> Connection | None:
+        """Take the connection that settles soonest, to wait for it; called when none is settled."""
         return self.idle.pop(0) if self.idle else None
 
-    def lacks(self) -> bool:
-        """A call has found none settled: whether that is too often for the connections that there are."""
+    def record_unsettled(self) -> bool:
+        """Count a call that found no settled connection; return whether a spare one should be opened."""
         self._unsettled += 1
-        if self.preparing or self._unsettled <= UNSETTLED_SHARE * UNSETTLED_CALLS:
+        if self.connecting_spare or self._unsettled <= MAX_UNSETTLED_RATIO * UNSETTLED_WINDOW_CALLS:
             return False
         self._unsettled = 0.0
         return True
 
-    def trim(self, now: int, every_us: int) -> None:
-        """Close what no call has come to all the while, but for one: turns would keep it up for good."""
-        if now - self._since_us < every_us:
+    def trim(self, now: int, interval_us: int) -> None:
+        """Close the connections that no call needed in the last period, but for one.
+
+        Without this, round-robin use would keep them open forever.
+        """
+        if now - self._period_start_us < interval_us:
             return
-        for _ in range(min((self._unneeded or 0) - 1, len(self.idle))):
+        for _ in range(min((self._min_spare_count or 0) - 1, len(self.idle))):
             self.idle.pop(0).close()
             self.upstream.open -= 1
-        self._unneeded, self._since_us = None, now
+        self._min_spare_count, self._period_start_us = None, now
 
     def close_idle(self, used_before_us: int | None = None) -> None:
         while self.idle and (used_before_us is None or self.idle[0].idle_since < used_before_us):
             self.idle.pop(0).close()
             self.upstream.open -= 1
-            self._unneeded = max(0, self._unneeded - 1) if self._unneeded else self._unneeded
+            self._min_spare_count = (
+                max(0, self._min_spare_count - 1) if self._min_spare_count else self._min_spare_count
+            )
 
     def retire(self) -> None:
-        """The process drains or is gone: what it has may end, nothing new begins."""
+        """The process drains or is gone: attempts in progress may finish, and no new ones start."""
         self.ready = False
         self.close_idle()
 
-    # --- what its connections tell ---
+    # --- connection events ---
 
     def on_written(self, connection: Connection) -> None:
         self.upstream.figures.backend_calls += 1
         if connection.attempt is not None:
-            connection.attempt.ran = True
+            connection.attempt.may_have_run = True
             if connection.attempt.upload is not None:
-                connection.attempt.sent_us = now_us()  # the endpoint begins only now
+                connection.attempt.sent_us = now_us()  # the endpoint starts processing at the last byte
 
-    def on_large(self, connection: Connection, head: Response) -> Receiver | None:
+    def on_stream_start(self, connection: Connection, head: Response) -> Receiver | None:
         attempt = connection.attempt
         if attempt is None or head.status != 200:
             return None
         self.upstream.streams.add(connection)
-        return attempt.on_large(attempt, head)
+        return attempt.on_stream_start(attempt, head)
 
     def on_response(self, connection: Connection, response: Response, reusable: bool) -> None:
         attempt, connection.attempt = connection.attempt, None
         self.upstream.streams.discard(connection)
         connection.idle_since = now_us()
         if reusable:
-            self.rest(connection)
+            self.release(connection)
         else:
             self.upstream.open -= 1
         if attempt is not None:
             attempt.connection = None
             outcome = classify(response)
-            attempt.ran = outcome is not Outcome.FULL
-            self.upstream.answering = True
+            attempt.may_have_run = outcome is not Outcome.FULL
+            self.upstream.handling_response = True
             try:
                 attempt.end(outcome, response)
             finally:
-                self.upstream.answering = False
+                self.upstream.handling_response = False
 
     def on_lost(self, connection: Connection) -> None:
         self.upstream.open -= 1
@@ -524,12 +550,15 @@
         attempt, connection.attempt = connection.attempt, None
         if attempt is not None:
             attempt.connection = None
-            self.upstream.count("broken fresh" if connection.exchanges == 1 else "broken reused")
-            # Not wholly written: the endpoint begins with the last byte, so it never ran.
+            self.upstream.count_event("broken fresh" if connection.request_count == 1 else "broken reused")
+            # An endpoint starts processing at the last byte, so a partially written request has not run.
             attempt.end(Outcome.RESET if connection.written else Outcome.CONNECT_FAILED)
 
-    def rest(self, connection: Connection) -> None:
-        """Keep it for later; one that was not used is as old as it was, for its endpoint counts so, too."""
+    def release(self, connection: Connection) -> None:
+        """Return a connection to the pool.
+
+        An unused one keeps its `idle_since`, because its endpoint's idle timeout has not restarted either.
+        """
         if self.ready:
             insort(self.idle, connection, key=lambda each: each.idle_since)
         else:
@@ -538,7 +567,7 @@
 
 
 def classify(response: Response) -> Outcome:
-    """The protocol's table of what comes back; a plain 503 is an error that may have run."""
+    """Map a response to an outcome; a 503 or 504 without `Srv-Declined: 1` is an error that may have run."""
     if response.status == 200:
         return Outcome.OK
     if response.status in (503, 504):
@@ -549,55 +578,71 @@
 
 
 class Upstream:
-    """All pools, and the bound on their connections together."""
+    """All pools, and the limit on their total number of connections."""
 
     def __init__(
-        self, idle_us: int, connect_timeout_us: int, most: int, figures: Figures, most_kept: int = MOST_KEPT
+        self,
+        idle_us: int,
+        connect_timeout_us: int,
+        max_connections: int,
+        figures: Figures,
+        max_buffered_bytes: int = MOST_KEPT,
     ) -> None:
-        self.keep_us = int(IDLE_SHARE * (idle_us or IDLE_US))
+        self.idle_timeout_us = int(IDLE_TIMEOUT_FRACTION * (idle_us or DEFAULT_ENDPOINT_IDLE_US))
         self.connect_timeout_s = connect_timeout_us / 1e6
-        self.most = most
+        self.max_connections = max_connections
         self.figures = figures
-        self.most_kept = most_kept  # of an answer's body, by each connection
-        self.streams: set[Connection] = set()  # connections that pass a body on as it comes
-        self.open = 0  # connections that are up or coming up
-        self.answering = False  # an answer is dealt with, and with it what has queued for its place
+        self.max_buffered_bytes = max_buffered_bytes  # of a response body, per connection
+        self.streams: set[Connection] = set()  # connections that stream a body in either direction
+        self.open = 0  # connections that are open or being opened
+        self.handling_response = False  # a response is being handled; queued requests may be sent meanwhile
         self.pools: dict[str, Pool] = {}
         self._connecting: set[asyncio.Task[None]] = set()
-        self._tally: dict[str, int] = {}  # since the last line
+        self._event_counts: dict[str, int] = {}  # since they were last logged
         self._unsettled = 0  # attempts since then that found no settled connection
 
-    def count(self, what: str) -> None:
-        self._tally[what] = self._tally.get(what, 0) + 1
+    def count_event(self, event: str) -> None:
+        self._event_counts[event] = self._event_counts.get(event, 0) + 1
 
     async def report(self) -> None:
-        """Log what attempts came to and what connections they took, in one line now and then."""
+        """Periodically log the outcomes of attempts and how their connections were obtained."""
         while True:
             await asyncio.sleep(TALLY_EVERY_S)
-            if self._tally:
-                idle = sum(len(pool.idle) for pool in self.pools.values())
-                tally = dict(sorted(self._tally.items()))
+            if self._event_counts:
+                idle_connections = sum(len(pool.idle) for pool in self.pools.values())
+                event_counts = dict(sorted(self._event_counts.items()))
                 unsettled, self._unsettled = self._unsettled, 0
-                log.info("attempts", outcomes=tally, connections=self.open, idle=idle, unsettled=unsettled)
-                self._tally.clear()
+                log.info(
+                    "attempts",
+                    outcomes=event_counts,
+                    connections=self.open,
+                    idle=idle_connections,
+                    unsettled=unsettled,
+                )
+                self._event_counts.clear()
 
     async def sweep(self) -> None:
-        """Close idle connections well before their endpoints do: one that crosses a request resets it."""
+        """Close idle connections before their endpoints do, since such a close may race with a request.
+
+        Also fails connections whose streamed body has stalled at the endpoint.
+        """
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             now = now_us()
             for pool in self.pools.values():
-                pool.close_idle(now - self.keep_us)
-                pool.trim(now, self.keep_us)
+                pool.close_idle(now - self.idle_timeout_us)
+                pool.trim(now, self.idle_timeout_us)
             for connection in [c for c in self.streams if c.stalled(now)]:
-                endpoint = connection.attempt.endpoint if connection.attempt is not None else None
-                log.warning("a body was broken off", reason="the endpoint stands still", endpoint=endpoint)
+                stalled_endpoint = connection.attempt.endpoint if connection.attempt is not None else None
+                log.warning(
+                    "a body was broken off", reason="the endpoint made no progress", endpoint=stalled_endpoint
+                )
                 connection.fail()
 
     def place(self, endpoint: str, host: str, port: int, launched_us: int) -> None:
-        """An endpoint that is ready; where its address is another, or its process, so is its pool.
+        """Add a ready endpoint, or replace its pool if its address or process has changed.
 
-        What comes up or ends on a connection to the process before finds a pool that is not ready.
+        Connections to the previous process then belong to a pool that is not ready, and are not reused.
         """
         pool = self.pools.get(endpoint)
         if pool is not None and (pool.host, pool.port, pool.launched_us) != (host, port, launched_us):
@@ -618,36 +663,36 @@
             pool.close_idle()
 
     def send(self, attempt: Attempt) -> None:
-        """Begin an attempt. It never ends within this call: the module is still at work above it."""
+        """Start an attempt. It never ends within this call, as the balancer is still in its own call."""
         pool = self.pools.get(attempt.endpoint)
         loop = asyncio.get_running_loop()
         if pool is None or not pool.ready:
             loop.call_soon(attempt.end, Outcome.CONNECT_FAILED)
             return
-        connection = pool.take()
+        connection = pool.acquire_settled()
         if connection is not None:
             self._write(attempt, connection, pool)
-        elif (connection := pool.reserve()) is not None:
+        elif (connection := pool.acquire_unsettled()) is not None:
             self._unsettled += 1
-            pool.waiting.append(Settling(attempt, connection, partial(self._settled, pool)))
-            # Danger: where work queues, each answer lets the next call go at once. Opening a connection for
-            # those would pay for a handshake each time.
-            if not self.answering and self.open < self.most and pool.lacks():
-                pool.preparing = True
-                self._begin_connecting("prepared", self._prepare(pool))
-        elif self.open < self.most or self._make_room():
-            self._begin_connecting("opened", self._connect(attempt, pool))
+            pool.settle_waits.append(SettleWait(attempt, connection, partial(self._on_settled, pool)))
+            # Where requests queue, each response lets the next one be sent at once, when none is settled.
+            # Opening a spare connection for those would cost a handshake each time.
+            if not self.handling_response and self.open < self.max_connections and pool.record_unsettled():
+                pool.connecting_spare = True
+                self._start_connecting("prepared", self._connect_spare(pool))
+        elif self.open < self.max_connections or self._close_oldest_idle():
+            self._start_connecting("opened", self._connect_and_write(attempt, pool))
         else:
-            log.warning("no connection", reason="no descriptor is left", endpoint=attempt.endpoint)
+            log.warning("no connection", reason="connection limit reached", endpoint=attempt.endpoint)
             loop.call_soon(attempt.end, Outcome.CONNECT_FAILED)
 
-    def limit(self, most: int) -> None:
-        """Keep to so many connections from now on; those that carry an attempt stay until it ends."""
-        self.most = most
-        while self.open > most and self._make_room():
+    def limit(self, max_connections: int) -> None:
+        """Change the connection limit. Excess idle connections are closed; busy ones stay until they end."""
+        self.max_connections = max_connections
+        while self.open > max_connections and self._close_oldest_idle():
             pass
 
-    def _make_room(self) -> bool:
+    def _close_oldest_idle(self) -> bool:
         """Close the connection that has been idle longest."""
         pools = [pool for pool in self.pools.values() if pool.idle]
         if not pools:
@@ -657,21 +702,21 @@
         self.open -= 1
         return True
 
-    def _begin_connecting(self, why: str, work: Coroutine[None, None, None]) -> None:
+    def _start_connecting(self, event: str, coroutine: Coroutine[None, None, None]) -> None:
         self.open += 1
-        self.count(why)
-        task = asyncio.get_running_loop().create_task(work)
+        self.count_event(event)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
-    async def _come_up(self, pool: Pool) -> Connection | None:
-        """A new connection to this process; none where it does not come up, or breaks at once."""
-        connection = Connection(pool, self.most_kept)
+    async def _open_connection(self, pool: Pool) -> Connection | None:
+        """Open a connection to the pool's process; None if that fails or the connection is lost at once."""
+        connection = Connection(pool, self.max_buffered_bytes)
         try:
-            # A machine that has vanished says nothing: a connection that does not come up has to be given up.
+            # A host that is gone sends no refusal, so the handshake needs a timeout.
             async with asyncio.timeout(self.connect_timeout_s):
                 await asyncio.get_running_loop().create_connection(lambda: connection, pool.host, pool.port)
-        except (OSError, TimeoutError, ValueError, OverflowError):  # the last two: no address at all
+        except (OSError, TimeoutError, ValueError, OverflowError):  # the last two: invalid host or port
             self.open -= 1
             return None
         if connection.lost:  # `on_lost` has counted it
@@ -679,54 +724,54 @@
         connection.idle_since = now_us()
         return connection
 
-    async def _connect(self, attempt: Attempt, pool: Pool) -> None:
-        connection = await self._come_up(pool)
+    async def _connect_and_write(self, attempt: Attempt, pool: Pool) -> None:
+        connection = await self._open_connection(pool)
         if connection is None:
             attempt.end(Outcome.CONNECT_FAILED)
         else:
-            self._use(attempt, connection, pool)
+            self._write_or_release(attempt, connection, pool)
 
-    async def _prepare(self, pool: Pool) -> None:
-        """One connection more, so that calls find one settled; who waits for that takes it."""
-        connection = await self._come_up(pool)
-        pool.preparing = False
+    async def _connect_spare(self, pool: Pool) -> None:
+        """Open a spare connection; the attempt that has waited longest for one to settle takes it."""
+        connection = await self._open_connection(pool)
+        pool.connecting_spare = False
         if connection is None:
             return
-        if not pool.waiting:
-            pool.rest(connection)
+        if not pool.settle_waits:
+            pool.release(connection)
             return
-        wait = pool.waiting.pop(0)
+        wait = pool.settle_waits.pop(0)
         wait.alarm.cancel()
         if not wait.connection.lost:
-            pool.rest(wait.connection)
-        self._use(wait.attempt, connection, pool)
+            pool.release(wait.connection)
+        self._write_or_release(wait.attempt, connection, pool)
 
-    def _settled(self, pool: Pool, wait: Settling) -> None:
-        """The connection that the attempt has waited for may be used, unless something came on it."""
-        pool.waiting.remove(wait)
+    def _on_settled(self, pool: Pool, wait: SettleWait) -> None:
+        """Use the connection that the attempt has waited for, unless it closed or received data meanwhile."""
+        pool.settle_waits.remove(wait)
         attempt, connection = wait.attempt, wait.connection
         if connection.stale() and not connection.lost:
             connection.fail()
         if not connection.lost:
-            self._use(attempt, connection, pool)
-        elif not attempt.over:
+            self._write_or_release(attempt, connection, pool)
+        elif not attempt.ended:
             self.send(attempt)
 
-    def _use(self, attempt: Attempt, connection: Connection, pool: Pool) -> None:
-        if attempt.over:  # given up meanwhile: the handshake is paid, the next attempt may use it
-            pool.rest(connection)
-        elif not pool.ready:  # Rule 3: the drain was told while the connection came up, or settled
-            pool.rest(connection)
+    def _write_or_release(self, attempt: Attempt, connection: Connection, pool: Pool) -> None:
+        if attempt.ended:  # aborted meanwhile: the connection is open and can serve the next attempt
+            pool.release(connection)
+        elif not pool.ready:  # the endpoint began to drain while the connection opened or settled
+            pool.release(connection)
             attempt.end(Outcome.CONNECT_FAILED)
         else:
             self._write(attempt, connection, pool)
 
     def _write(self, attempt: Attempt, connection: Connection, pool: Pool) -> None:
         now = now_us()
-        missed = attempt.leaving is not None and now >= attempt.leaving.due_us
-        data = None if missed else attempt.data(attempt, now)
+        deadline_passed = attempt.write_deadline is not None and now >= attempt.write_deadline.due_us
+        data = None if deadline_passed else attempt.build_request(attempt, now)
         if data is None:
-            pool.rest(connection)
+            pool.release(connection)
             asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_SENT)
             return
         connection.attempt = attempt
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,7 +1,7 @@
-"""Two events that cross, on real sockets: the test holds one of them until the other is in the kernel.
+"""Races between two events, on real sockets: the test delays one until the other is in a kernel buffer.
 
-What a test writes with a plain `sendall` stands in the kernel before the loop turns again, so the sidecar
-acts on what it has not read yet. The table of all crossings: docs/crossings.md.
+What a test writes with a plain `send` is in the kernel buffer before the event loop runs again, so the
+sidecar acts without having read it. docs/crossings.md lists all races.
 """
 
 from __future__ import annotations
@@ -27,23 +27,27 @@
 from eiderhub.sidecar.upstream import Attempt, Upstream
 from tests.sidecar_support import SETUP, Fake, Sidecar, first_asked, listing, row, run, settled
 
-RESETS = b"\x01\0\0\0\0\0\0\0"  # a linger of no time
+ZERO_LINGER = b"\x01\0\0\0\0\0\0\0"  # SO_LINGER with a timeout of zero: close sends a reset
 
 
 def request(
-    number: int, grade: str = "pay", body: bytes = b"x", *headers: str, deadline_ms: int = 60_000
+    number: int, class_name: str = "pay", body: bytes = b"x", *headers: str, deadline_ms: int = 60_000
 ) -> bytes:
-    lines = [f"{'GET' if grade == 'look' else 'POST'} /{grade}/a HTTP/1.1", "Host: a", f"Req-Id: raw{number}"]
+    lines = [
+        f"{'GET' if class_name == 'look' else 'POST'} /{class_name}/a HTTP/1.1",
+        "Host: a",
+        f"Req-Id: raw{number}",
+    ]
     lines += ["Req-Owner: acme", f"Req-Deadline-Ms: {deadline_ms}", *headers]
-    if grade == "hold":
+    if class_name == "hold":
         lines.append("Idempotency-Key: k1")
-    if grade != "look":
+    if class_name != "look":
         lines.append(f"Content-Length: {len(body)}")
-    return "\r\n".join(lines).encode() + b"\r\n\r\n" + (body if grade != "look" else b"")
+    return "\r\n".join(lines).encode() + b"\r\n\r\n" + (body if class_name != "look" else b"")
 
 
 class Raw:
-    """A peer whose every byte the test sends and reads."""
+    """A peer whose every byte the test sends and reads itself."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -58,43 +62,43 @@
         return cls(sock)
 
     def send(self, data: bytes) -> None:
-        """Into the kernel at once: the loop does not turn in between."""
+        """Put data into the kernel buffer at once, without running the event loop."""
         assert self.sock.send(data) == len(data)
 
-    async def read(self, most: int = 1 << 16) -> bytes:
-        return await asyncio.get_running_loop().sock_recv(self.sock, most)
+    async def read(self, max_bytes: int = 1 << 16) -> bytes:
+        return await asyncio.get_running_loop().sock_recv(self.sock, max_bytes)
 
-    async def rest(self) -> bytes:
-        """All that comes up to the other side's end; a reset raises."""
+    async def read_to_end(self) -> bytes:
+        """Read up to end of stream; a reset raises."""
         data = b""
         while more := await self.read():
             data += more
         return data
 
-    async def answer(self) -> bytes:
-        """One answer with a stated length: its head and body."""
+    async def read_response(self) -> bytes:
+        """Read one response with a Content-Length: its head and body."""
         data = b""
         while b"\r\n\r\n" not in data:
-            data += await self._some()
+            data += await self._read_some()
         head, _, body = data.partition(b"\r\n\r\n")
         length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
         while len(body) < length:
-            body += await self._some()
+            body += await self._read_some()
         return head + b"\r\n\r\n" + body
 
-    async def _some(self) -> bytes:
+    async def _read_some(self) -> bytes:
         data = await self.read()
         if not data:
             raise EOFError
         return data
 
     def reset(self) -> None:
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESETS)
+        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         self.sock.close()
 
 
 async def connected(sidecar: Sidecar, count: int = 1) -> list[CallerConnection]:
-    """The sidecar's side of the connections, once it has taken so many."""
+    """Wait until the sidecar has accepted `count` connections, and return its side of them."""
     while len(sidecar.server.callers) < count:
         await asyncio.sleep(0)
     return list(sidecar.server.callers)
@@ -105,11 +109,11 @@
         await asyncio.sleep(0.001)
 
 
-# --- a close and what the caller sends ---
+# --- closing a connection on which the caller is sending ---
 
 
-def test_last_answer_reaches_a_slow_caller_though_more_of_its_input_is_unread() -> None:
-    """A close over unread input resets the connection, and what the caller has not got yet goes with it."""
+def test_last_response_reaches_slow_caller_despite_unread_input() -> None:
+    """Closing a socket with unread input resets it, which discards data the caller has not received yet."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -117,38 +121,38 @@
             (caller,) = await connected(sidecar)
             client.send(request(1, "pay", b"x", "Connection: close"))
             asked = await sidecar.endpoints[0].next()
-            caller.transport.pause_reading()  # what comes from here on stays in the kernel
+            caller.transport.pause_reading()  # later input stays in the kernel buffer
             client.send(request(2))
             asked.reply(200, b"a" * 60_000)
             await until(lambda: caller.current is None)
             caller.transport.resume_reading()
-            answer = await client.rest()
+            answer = await client.read_to_end()
             assert answer.startswith(b"HTTP/1.1 200 ")
             assert answer.endswith(b"\r\n\r\n" + b"a" * 60_000)
-            assert sidecar.host.serial == 1  # what came behind the last request is served by nobody
+            assert sidecar.host.serial == 1  # input after the last request is ignored
 
     run(test())
 
 
-def test_request_in_the_kernel_as_its_idle_connection_is_to_close_is_answered() -> None:
+def test_request_in_kernel_buffer_when_idle_connection_closes_is_answered() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = Raw.of(sidecar)
             await connected(sidecar)
             sidecar.server.intake = Intake.LAST
             client.send(request(1))
-            sidecar.server.close_idle(0.0)  # the loop has not come to the request
+            sidecar.server.close_idle(0.0)  # the request has not been read yet
             (await sidecar.endpoints[0].next()).reply()
-            answer = await client.rest()
+            answer = await client.read_to_end()
             assert answer.startswith(b"HTTP/1.1 200 ")
             assert b"\r\nConnection: close\r\n" in answer
 
     run(test())
 
 
-@pytest.mark.parametrize("closes", ["idle", "no request came"])
-def test_request_that_crosses_the_close_gets_an_end_and_is_not_sent_on(closes: str) -> None:
-    """The caller's rule is to send it again elsewhere: had it run here too, it would run twice."""
+@pytest.mark.parametrize("closes", ["idle", "no request"])
+def test_request_racing_with_close_gets_eof_and_is_not_forwarded(closes: str) -> None:
+    """The caller retries such a request elsewhere: if it also ran here, it would run twice."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -159,7 +163,7 @@
             else:
                 caller.look_after(caller.due_us)
             client.send(request(1))
-            assert await client.rest() == b""  # an end, and no reset
+            assert await client.read_to_end() == b""  # end of stream, and no reset
             assert sidecar.host.serial == 0
             client.sock.close()
             await until(lambda: not sidecar.server.callers)
@@ -168,7 +172,7 @@
     run(test())
 
 
-def test_caller_that_does_not_end_its_side_is_ended(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_caller_that_keeps_its_side_open_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(calling, "LINGER_S", 0.05)
 
     async def test() -> None:
@@ -176,13 +180,13 @@
             client = Raw.of(sidecar)
             await connected(sidecar)
             sidecar.server.close_idle(0.0)
-            assert await client.rest() == b""
+            assert await client.read_to_end() == b""
             await until(lambda: not sidecar.server.callers)
 
     run(test())
 
 
-def test_caller_that_still_reads_its_last_answer_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_caller_still_reading_last_response_is_waited_for(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(calling, "LINGER_S", 0.02)
 
     async def test() -> None:
@@ -192,40 +196,40 @@
             client.send(request(1, "pay", b"x", "Connection: close"))
             (await sidecar.endpoints[0].next()).reply(200, b"a" * 60_000)
             await until(lambda: not sidecar.host.requests)
-            for _ in range(5):  # while it reads nothing it keeps sending, and its time runs
+            for _ in range(5):  # it sends without reading for longer than the timeout
                 client.send(b"more")
                 await asyncio.sleep(0.02)
-            assert (await client.rest()).endswith(b"a" * 60_000)
+            assert (await client.read_to_end()).endswith(b"a" * 60_000)
 
     run(test())
 
 
-def test_room_is_made_of_connections_that_have_no_request_in_the_kernel() -> None:
+def test_eviction_skips_connection_with_request_in_kernel_buffer() -> None:
     async def test() -> None:
         async with Sidecar(callers=2) as sidecar:
-            asks, rests = Raw.of(sidecar), Raw.of(sidecar)
+            requesting, idle = Raw.of(sidecar), Raw.of(sidecar)
             first, second = await connected(sidecar, 2)
-            if first.transport.get_extra_info("peername") != asks.sock.getsockname():
-                asks, rests = rests, asks  # `asks` is the first that would go
-            asks.send(request(1))
-            newest = CallerConnection(sidecar.server)  # as it arrives, the loop has not come to the request
+            if first.transport.get_extra_info("peername") != requesting.sock.getsockname():
+                requesting, idle = idle, requesting  # `requesting` is the first candidate for eviction
+            requesting.send(request(1))
+            newest = CallerConnection(sidecar.server)  # arrives while the request has not been read yet
             sidecar.server.callers[newest] = None
             sidecar.server._make_room(newest)
             del sidecar.server.callers[newest]
             assert first in sidecar.server.callers and second not in sidecar.server.callers
             (await sidecar.endpoints[0].next()).reply()
-            assert (await asks.answer()).startswith(b"HTTP/1.1 200 ")
-            assert await rests.rest() == b""
+            assert (await requesting.read_response()).startswith(b"HTTP/1.1 200 ")
+            assert await idle.read_to_end() == b""
 
     run(test())
 
 
-# --- a caller that leaves while its request waits ---
+# --- callers that disconnect while their request waits ---
 
 
-@pytest.mark.parametrize("end", ["closes", "resets", "ends its side"])
-def test_pipelined_requests_of_a_caller_that_left_are_not_sent_on(end: str) -> None:
-    """While a request waits behind another nothing is read, so the loop tells of no end."""
+@pytest.mark.parametrize("end", ["closes", "resets", "half-closes"])
+def test_pipelined_requests_of_disconnected_caller_are_not_forwarded(end: str) -> None:
+    """While a request waits behind another, reading is paused, so the event loop reports no disconnect."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -249,10 +253,10 @@
     run(test())
 
 
-def test_caller_that_left_while_nothing_is_read_is_noticed_before_its_request_is_sent(
+def test_disconnect_while_reading_is_paused_is_noticed_before_sending(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The first waits for its connection, the second behind it; the caller goes before that is up."""
+    """The first request waits for a connection to open; the caller disconnects before it does."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -261,7 +265,7 @@
             order = sidecar.host.balancer.order
 
             def ordered(*values: Any) -> None:
-                order(*values)  # the connection has begun to come up, and the second is not read yet
+                order(*values)  # the connection is being opened, and the second request is not read yet
                 client.sock.close()
 
             monkeypatch.setattr(sidecar.host.balancer, "order", ordered)
@@ -275,37 +279,37 @@
     run(test())
 
 
-def test_caller_that_left_while_its_request_is_held_is_noticed_by_the_look_at_callers() -> None:
+def test_disconnect_while_request_is_held_is_noticed_by_periodic_check() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
             client = Raw.of(sidecar)
             (caller,) = await connected(sidecar)
             client.send(request(1) + request(2))
             await until(lambda: caller.waiting)
-            assert sidecar.host.balancer.calls  # held: there is no endpoint
+            assert sidecar.host.balancer.calls  # held, since there is no endpoint
             client.sock.close()
             caller.look_after(0)
             await until(lambda: not sidecar.server.callers)
             assert not sidecar.host.balancer.calls
-            assert sidecar.host.figures.busy["pay"] == 0  # nobody waited for a refusal
+            assert sidecar.host.figures.busy["pay"] == 0  # the caller was gone, so this is no refusal
 
     run(test())
 
 
-def test_caller_that_left_amid_a_body_that_is_held_back_is_noticed_before_it_is_sent() -> None:
+def test_disconnect_during_paused_upload_is_noticed_before_sending() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
             client = Raw.of(sidecar)
             (caller,) = await connected(sidecar)
             whole = request(1, "pay", bytes(200_000), deadline_ms=60_000)
-            with_room = whole[: sidecar.server.most_kept + 20_000]
-            client.send(with_room)
+            partial = whole[: sidecar.server.most_kept + 20_000]
+            client.send(partial)
             await until(lambda: caller._paused)
             client.sock.close()
-            endpoint = sidecar.discovery  # any that would take it
+            endpoint = sidecar.discovery  # any server that would accept the request
             rows = read_listing(listing(2, True, row("s-9", endpoint.address))).entries
             before = endpoint.connections
-            sidecar.host.on_list(ListForm.FULL, rows)  # the module sends what it held
+            sidecar.host.on_list(ListForm.FULL, rows)  # the balancer sends the held request
             await until(lambda: not sidecar.server.callers)
             assert endpoint.connections == before
             assert not sidecar.host.requests
@@ -313,33 +317,33 @@
     run(test())
 
 
-# --- the end of the process ---
+# --- shutdown ---
 
 
-def ends_now(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A drain comes to its end at once."""
+def end_drain_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Let a drain end at once."""
     monkeypatch.setattr(lifecycle, "ACCEPT_S", 0.0)
     monkeypatch.setattr(program, "LONGEST_S", 0.0)
     monkeypatch.setattr(program, "AFTER_LONGEST_S", 0.0)
 
 
-async def drained(sidecar: Sidecar) -> None:
+async def drain(sidecar: Sidecar) -> None:
     await program.drain(sidecar.server.lifecycle, sidecar.server, sidecar.host)
 
 
-def test_requests_behind_the_one_that_the_end_fails_are_refused_and_not_sent_on(
+def test_requests_pipelined_behind_one_failed_by_shutdown_are_refused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    ends_now(monkeypatch)
+    end_drain_at_once(monkeypatch)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = Raw.of(sidecar)
             client.send(request(1) + request(2) + request(3))
             await sidecar.endpoints[0].next()
-            await drained(sidecar)
-            said = await client.rest()
-            assert re.findall(rb"HTTP/1.1 (\d+)", said) == [b"504", b"503", b"503"]
+            await drain(sidecar)
+            received = await client.read_to_end()
+            assert re.findall(rb"HTTP/1.1 (\d+)", received) == [b"504", b"503", b"503"]
             assert sidecar.endpoints[0].asked.empty()
             assert sidecar.host.serial == 1
 
@@ -347,10 +351,10 @@
 
 
 @pytest.mark.parametrize("rest_comes", ["after it", "never"])
-def test_request_that_is_half_read_at_the_end_is_refused(
+def test_partially_read_request_at_shutdown_is_refused(
     rest_comes: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    ends_now(monkeypatch)
+    end_drain_at_once(monkeypatch)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -359,20 +363,20 @@
             whole = request(1)
             client.send(whole[:40])
             await until(lambda: caller.receiving)
-            end = asyncio.create_task(drained(sidecar))
+            drain_task = asyncio.create_task(drain(sidecar))
             await until(lambda: sidecar.server.intake is Intake.NONE)
             if rest_comes == "after it":
                 client.send(whole[40:])
-            await end
-            assert (await client.rest()).startswith(b"HTTP/1.1 503 ")
+            await drain_task
+            assert (await client.read_to_end()).startswith(b"HTTP/1.1 503 ")
             assert sidecar.host.serial == 0
             assert sidecar.endpoints[0].connections == 0
 
     run(test())
 
 
-def test_request_in_the_kernel_at_the_end_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    ends_now(monkeypatch)
+def test_request_in_kernel_buffer_at_shutdown_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+    end_drain_at_once(monkeypatch)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -380,37 +384,37 @@
             (caller,) = await connected(sidecar)
             caller.transport.pause_reading()
             client.send(request(1))
-            end = asyncio.create_task(drained(sidecar))
+            drain_task = asyncio.create_task(drain(sidecar))
             await until(lambda: sidecar.server.intake is Intake.NONE)
             caller.transport.resume_reading()
-            await end
-            assert (await client.rest()).startswith(b"HTTP/1.1 503 ")
+            await drain_task
+            assert (await client.read_to_end()).startswith(b"HTTP/1.1 503 ")
             assert sidecar.host.serial == 0
 
     run(test())
 
 
-def test_callers_that_the_kernel_has_let_in_are_answered_though_the_listener_closes() -> None:
+def test_callers_in_accept_queue_are_answered_after_listener_closes() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            clients = [Raw.of(sidecar) for _ in range(20)]  # the loop has accepted none of them
+            clients = [Raw.of(sidecar) for _ in range(20)]  # not accepted by the event loop yet
             for number, client in enumerate(clients):
                 client.send(request(number))
             sidecar.server.stop_listening()
             for _ in clients:
                 (await sidecar.endpoints[0].next()).reply()
             for client in clients:
-                assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
+                assert (await client.read_response()).startswith(b"HTTP/1.1 200 ")
             with pytest.raises(ConnectionRefusedError):
                 Raw.of(sidecar)
 
     run(test())
 
 
-# --- endpoints: connections, processes, repeats ---
+# --- endpoints: connections, replaced processes, retries ---
 
 
-class Listener:
+class RawEndpoint:
     """An endpoint whose connections the test accepts, reads and answers itself."""
 
     def __init__(self) -> None:
@@ -422,14 +426,14 @@
         peer, _ = await asyncio.get_running_loop().sock_accept(self.sock)
         return Raw(peer)
 
-    async def asked(self) -> tuple[Raw, bytes]:
-        """A connection, and the first bytes on it."""
+    async def accept_and_read(self) -> tuple[Raw, bytes]:
+        """Accept a connection, and read the first bytes on it."""
         peer = await self.accept()
         return peer, await peer.read()
 
 
-class Ends:
-    """Sends attempts, and hears how they end."""
+class AttemptSender:
+    """Sends attempts, and records their outcomes."""
 
     def __init__(self, **settings: int) -> None:
         self.upstream = Upstream(0, settings.get("connect_timeout_us", 5_000_000), 8, Figures(()))
@@ -441,75 +445,75 @@
         return attempt
 
 
-def facing() -> tuple[Listener, Ends]:
-    """An endpoint, and attempts at it."""
-    listener, ends = Listener(), Ends()
-    ends.upstream.place("e", "127.0.0.1", listener.port, 0)
-    return listener, ends
+def endpoint_and_sender() -> tuple[RawEndpoint, AttemptSender]:
+    """An endpoint, and a sender of attempts to it."""
+    listener, sender = RawEndpoint(), AttemptSender()
+    sender.upstream.place("e", "127.0.0.1", listener.port, 0)
+    return listener, sender
 
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-async def rested(count: int) -> tuple[Listener, Ends, list[Raw]]:
-    """So many connections to one endpoint, which have just answered; its side of them, oldest first."""
-    listener, ends = facing()
+async def idle_connections(count: int) -> tuple[RawEndpoint, AttemptSender, list[Raw]]:
+    """Open `count` connections that have just become idle; the peers are ordered, oldest first."""
+    listener, sender = endpoint_and_sender()
     for _ in range(count):
-        ends.send()
-    peers = [(await listener.asked())[0] for _ in range(count)]
+        sender.send()
+    peers = [(await listener.accept_and_read())[0] for _ in range(count)]
     for peer in peers:
         peer.send(OK)
-        assert await ends.outcomes.get() is Outcome.OK
-    return listener, ends, peers
+        assert await sender.outcomes.get() is Outcome.OK
+    return listener, sender, peers
 
 
-async def served() -> tuple[Listener, Ends, Raw]:
-    """An endpoint, attempts at it, and its side of the one connection, which has answered one of them."""
-    listener, ends, (peer,) = await rested(1)
-    return listener, ends, peer
+async def idle_connection() -> tuple[RawEndpoint, AttemptSender, Raw]:
+    """Open one connection that has just become idle after a response."""
+    listener, sender, (peer,) = await idle_connections(1)
+    return listener, sender, peer
 
 
 @pytest.mark.parametrize("what", ["address", "start"])
-def test_connection_that_comes_up_to_the_process_before_carries_nothing(what: str) -> None:
+def test_connection_opened_to_previous_process_is_not_used(what: str) -> None:
     async def test() -> None:
-        before, after = Listener(), Listener()
-        ends = Ends()
-        ends.upstream.place("e", "127.0.0.1", before.port, 1)
-        ends.send()
-        await asyncio.sleep(0)  # the connection begins to come up
+        before, after = RawEndpoint(), RawEndpoint()
+        sender = AttemptSender()
+        sender.upstream.place("e", "127.0.0.1", before.port, 1)
+        sender.send()
+        await asyncio.sleep(0)  # starts opening the connection
         port = after.port if what == "address" else before.port
-        ends.upstream.place("e", "127.0.0.1", port, 1 if what == "address" else 2)
+        sender.upstream.place("e", "127.0.0.1", port, 1 if what == "address" else 2)
         peer = await before.accept()
-        assert await ends.outcomes.get() is Outcome.CONNECT_FAILED
-        assert await peer.rest() == b""  # closed, with nothing written
-        ends.send()
-        peer, data = await (after if what == "address" else before).asked()
+        assert await sender.outcomes.get() is Outcome.CONNECT_FAILED
+        assert await peer.read_to_end() == b""  # closed, with nothing written
+        sender.send()
+        peer, data = await (after if what == "address" else before).accept_and_read()
         assert data == b"x"
-        assert ends.upstream.open == 1
+        assert sender.upstream.open == 1
 
     run(test())
 
 
-def test_connection_that_answers_after_its_process_was_replaced_is_not_used_again() -> None:
+def test_connection_to_replaced_process_is_not_reused() -> None:
     async def test() -> None:
-        before, after = Listener(), Listener()
-        ends = Ends()
-        ends.upstream.place("e", "127.0.0.1", before.port, 1)
-        ends.send()
-        old, _ = await before.asked()
-        ends.upstream.place("e", "127.0.0.1", after.port, 2)
+        before, after = RawEndpoint(), RawEndpoint()
+        sender = AttemptSender()
+        sender.upstream.place("e", "127.0.0.1", before.port, 1)
+        sender.send()
+        old, _ = await before.accept_and_read()
+        sender.upstream.place("e", "127.0.0.1", after.port, 2)
         old.send(OK)
-        assert await ends.outcomes.get() is Outcome.OK  # what it had may end
-        assert await old.rest() == b""
-        ends.send()
-        await after.asked()
-        assert ends.upstream.open == 1
+        assert await sender.outcomes.get() is Outcome.OK  # requests in progress may finish
+        assert await old.read_to_end() == b""
+        sender.send()
+        await after.accept_and_read()
+        assert sender.upstream.open == 1
 
     run(test())
 
 
-class Late(Listener):
-    """An endpoint whose connections come up only once the test lets them: its queue is full until then."""
+class FullBacklogEndpoint(RawEndpoint):
+    """An endpoint whose accept queue is full, so that connections open only when the test accepts them."""
 
     def __init__(self) -> None:
         self.sock = socket.create_server(("127.0.0.1", 0), backlog=0)
@@ -520,8 +524,8 @@
             filler.setblocking(False)
             filler.connect_ex(self.sock.getsockname())
 
-    async def let_in(self) -> Raw:
-        """The first connection that is not a filler's; its handshake is repeated after a second."""
+    async def accept_connection(self) -> Raw:
+        """Accept the first connection that is not a filler's; its handshake is retried after a second."""
         own = {filler.getsockname()[1] for filler in self.fillers}
         while True:
             peer = await self.accept()
@@ -529,7 +533,7 @@
                 return peer
 
 
-def keyed(window_us: int) -> list[dict[str, Any]]:
+def categories_with_window(window_us: int) -> list[dict[str, Any]]:
     hold = {
         **SETUP["Categories"][1],
         "DedupWindowUs": window_us,
@@ -539,68 +543,70 @@
     return [SETUP["Categories"][0], hold, SETUP["Categories"][2]]
 
 
-async def reset_and_replace(sidecar: Sidecar, client: Raw, late: Late) -> None:
-    """A keyed request runs at the only endpoint and is reset there, while its only successor is late."""
+async def reset_and_replace(sidecar: Sidecar, client: Raw, successor: FullBacklogEndpoint) -> None:
+    """A request with an idempotency key is reset by its endpoint; the successor accepts no connection yet."""
     client.send(request(1, "hold"))
     asked = await sidecar.endpoints[0].next()
-    rows = [row("s-0", sidecar.endpoints[0].address, "draining"), row("s-9", f"127.0.0.1:{late.port}")]
+    rows = [row("s-0", sidecar.endpoints[0].address, "draining"), row("s-9", f"127.0.0.1:{successor.port}")]
     sidecar.host.on_list(ListForm.DELTA, read_listing(listing(2, False, *rows)).entries)
     asked.reset()
 
 
-def test_repeat_whose_connection_comes_up_after_the_window_does_not_leave() -> None:
+def test_retry_whose_connection_opens_after_dedup_window_is_not_sent() -> None:
     limits = {**SETUP["Allowed"], "ConnectTimeoutUs": 9_000_000}
 
     async def test() -> None:
-        async with Sidecar(Allowed=limits, Categories=keyed(400_000)) as sidecar:
-            late = Late()
+        async with Sidecar(Allowed=limits, Categories=categories_with_window(400_000)) as sidecar:
+            late = FullBacklogEndpoint()
             client = Raw.of(sidecar)
             await reset_and_replace(sidecar, client, late)
-            await until(lambda: sidecar.host.upstream.open)  # the repeat has begun, within the window
-            assert (await client.answer()).startswith(b"HTTP/1.1 502 ")  # it may have run: no refusal
-            peer = await late.let_in()
+            await until(lambda: sidecar.host.upstream.open)  # the retry has started, within the window
+            assert (await client.read_response()).startswith(
+                b"HTTP/1.1 502 "
+            )  # not 503, since it may have run
+            peer = await late.accept_connection()
             sidecar.host.upstream.retire("s-9")
-            assert await peer.rest() == b""
+            assert await peer.read_to_end() == b""
 
     run(test())
 
 
-def test_repeat_that_its_endpoint_does_not_take_before_the_window_ends_is_called_off() -> None:
+def test_retry_not_written_before_dedup_window_ends_is_aborted() -> None:
     async def test() -> None:
-        listener, ends = facing()
-        attempt = ends.send(b"x" * (16 << 20))  # more than the kernels hold between them
-        attempt.leave_in_time(now_us() + 200_000)
+        listener, sender = endpoint_and_sender()
+        attempt = sender.send(b"x" * (16 << 20))  # more than both kernel buffers hold
+        attempt.set_write_deadline(now_us() + 200_000)
         peer = await listener.accept()
-        assert await ends.outcomes.get() is Outcome.NOT_SENT
-        came = 0
+        assert await sender.outcomes.get() is Outcome.NOT_SENT
+        received_bytes = 0
         with contextlib.suppress(ConnectionResetError):
             while data := await peer.read(1 << 20):
-                came += len(data)
-        assert came < 16 << 20  # not whole, so nothing can run
-        assert ends.upstream.open == 0
+                received_bytes += len(data)
+        assert received_bytes < 16 << 20  # incomplete, so it cannot run
+        assert sender.upstream.open == 0
 
     run(test())
 
 
-def test_repeat_within_the_window_leaves_and_goes_on_after_it() -> None:
+def test_retry_sent_within_dedup_window_may_finish_after_it() -> None:
     async def test() -> None:
-        async with Sidecar(endpoints=2, Categories=keyed(400_000)) as sidecar:
+        async with Sidecar(endpoints=2, Categories=categories_with_window(400_000)) as sidecar:
             client = Raw.of(sidecar)
             client.send(request(1, "hold"))
             first = await first_asked(sidecar)
             first.reset()
             second = await first_asked(sidecar)
-            await asyncio.sleep(0.45)  # the window ends while it works
+            await asyncio.sleep(0.45)  # the window ends while the endpoint processes it
             second.reply()
-            assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
+            assert (await client.read_response()).startswith(b"HTTP/1.1 200 ")
 
     run(test())
 
 
-def test_second_answer_that_comes_after_the_next_request_was_due_reaches_nobody(
+def test_duplicate_response_before_next_request_is_sent_is_discarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A look at the connection before the write tells only of what has come by then."""
+    """Checking the connection before a write detects only data that has already arrived."""
     monkeypatch.setattr(upstream, "SETTLE_US", 300_000)
 
     async def test() -> None:
@@ -609,66 +615,66 @@
             client.send(request(1))
             first = await sidecar.endpoints[0].next()
             first.reply(200, b"first")
-            assert (await client.answer()).endswith(b"first")
+            assert (await client.read_response()).endswith(b"first")
             pool = sidecar.host.upstream.pools["s-0"]
             assert pool.idle
             client.send(request(2))
-            await until(lambda: not pool.idle)  # it is to go out on this connection, once that has settled
+            await until(lambda: not pool.idle)  # reserved until the connection has settled
             first.reply(200, b"first")
             second = await sidecar.endpoints[0].next()
             assert second.connection != first.connection
             second.reply(200, b"second")
-            assert (await client.answer()).endswith(b"second")
+            assert (await client.read_response()).endswith(b"second")
             assert sidecar.host.upstream.open == 1
 
     run(test())
 
 
-@pytest.mark.parametrize("meanwhile", ["the attempt is given up", "a drain is told", "nothing"])
-def test_connection_that_settles_while_the_world_goes_on(
+@pytest.mark.parametrize("meanwhile", ["attempt aborted", "endpoint drains", "nothing"])
+def test_events_while_attempt_waits_for_settling_connection(
     meanwhile: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream, "SETTLE_US", 100_000)
 
     async def test() -> None:
-        _, ends, peer = await served()
-        pool = ends.upstream.pools["e"]
+        _, sender, peer = await idle_connection()
+        pool = sender.upstream.pools["e"]
         answered_us = pool.idle[0].idle_since
-        attempt = ends.send(b"next")
+        attempt = sender.send(b"next")
         assert not pool.idle
-        if meanwhile == "the attempt is given up":
-            attempt.drop(Outcome.CANCELLED)
-            assert await ends.outcomes.get() is Outcome.CANCELLED
+        if meanwhile == "attempt aborted":
+            attempt.abort(Outcome.CANCELLED)
+            assert await sender.outcomes.get() is Outcome.CANCELLED
             await until(lambda: pool.idle)
-            assert pool.idle[0].idle_since == answered_us  # it is as old as it was
+            assert pool.idle[0].idle_since == answered_us  # unchanged, since it was not used
             assert not _readable(peer.sock)
-        elif meanwhile == "a drain is told":
-            ends.upstream.retire("e")
-            assert await ends.outcomes.get() is Outcome.CONNECT_FAILED
-            assert await peer.rest() == b""
-            assert ends.upstream.open == 0
+        elif meanwhile == "endpoint drains":
+            sender.upstream.retire("e")
+            assert await sender.outcomes.get() is Outcome.CONNECT_FAILED
+            assert await peer.read_to_end() == b""
+            assert sender.upstream.open == 0
         else:
             assert await peer.read() == b"next"
             assert now_us() - answered_us >= upstream.SETTLE_US
-            assert ends.upstream.open == 1
+            assert sender.upstream.open == 1
 
     run(test())
 
 
 @pytest.mark.parametrize("what", ["HTTP/1.1 2", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nfirst"])
-def test_bytes_on_a_resting_connection_end_it(what: str) -> None:
-    """Half a line, or a second answer: in the kernel, the loop has not come to it."""
+def test_unsolicited_bytes_on_idle_connection_close_it(what: str) -> None:
+    """A partial status line, or a second response, is in the kernel buffer and has not been read."""
 
     async def test() -> None:
-        listener, ends, peer = await served()
+        listener, sender, peer = await idle_connection()
         await settled()
         peer.send(what.encode())
-        ends.send(b"next")  # no turn of the loop lies between
-        fresh, data = await listener.asked()
+        sender.send(b"next")  # without running the event loop in between
+        new_peer, data = await listener.accept_and_read()
         assert data == b"next"
-        fresh.send(OK)
-        assert await ends.outcomes.get() is Outcome.OK
-        assert ends.upstream.open == 1
+        new_peer.send(OK)
+        assert await sender.outcomes.get() is Outcome.OK
+        assert sender.upstream.open == 1
 
     run(test())
 
@@ -677,267 +683,270 @@
     monkeypatch.setattr(upstream, "SETTLE_US", 60_000_000)
 
     async def test() -> None:
-        _, ends, peers = await rested(2)
-        ends.upstream.pools["e"].idle[0].idle_since -= 60_000_000  # the first has settled
-        ends.send()
+        _, sender, peers = await idle_connections(2)
+        sender.upstream.pools["e"].idle[0].idle_since -= 60_000_000  # the first has settled
+        sender.send()
         assert await peers[0].read() == b"x"
-        assert ends.upstream.open == 2
+        assert sender.upstream.open == 2
         for peer in peers[:1]:
             peer.send(OK)
-            assert await ends.outcomes.get() is Outcome.OK
-        assert ends.upstream.open == 2
+            assert await sender.outcomes.get() is Outcome.OK
+        assert sender.upstream.open == 2
 
     run(test())
 
 
-# --- a settled connection when a call needs one ---
+# --- availability of settled connections ---
 
 
 @pytest.mark.parametrize(("turns_us", "order"), [(60_000_000, (0, 1, 2, 0)), (0, (2, 2, 2, 2))])
-def test_settled_connections_take_turns_and_those_idle_for_long_age(
+def test_settled_connections_are_used_round_robin_unless_idle_for_long(
     turns_us: int, order: tuple[int, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "TURNS_US", turns_us)
+    monkeypatch.setattr(upstream, "ROUND_ROBIN_MAX_IDLE_US", turns_us)
 
     async def test() -> None:
-        _, ends, peers = await rested(3)
+        _, sender, peers = await idle_connections(3)
         for number in order:
             await settled()
-            ends.send()
+            sender.send()
             assert await peers[number].read() == b"x"
             peers[number].send(OK)
-            assert await ends.outcomes.get() is Outcome.OK
+            assert await sender.outcomes.get() is Outcome.OK
 
     run(test())
 
 
-def test_another_connection_comes_up_once_calls_keep_finding_none_settled(
+def test_spare_connection_opens_when_calls_repeatedly_find_none_settled(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(upstream, "SETTLE_US", 60_000_000)
 
     async def test() -> None:
-        listener, ends, _ = await rested(3)
-        pool = ends.upstream.pools["e"]
+        listener, sender, _ = await idle_connections(3)
+        pool = sender.upstream.pools["e"]
         ages = [connection.idle_since for connection in pool.idle]
         for number in range(2):
-            ends.send(b"%d" % number)
+            sender.send(b"%d" % number)
         await asyncio.sleep(0)
-        assert ends.upstream.open == 3 and len(pool.waiting) == 2  # chance, so far
-        ends.send(b"2")
-        fresh, data = await listener.asked()
-        assert data == b"0"  # who waits first need not wait on
-        assert ends.upstream.open == 4 and len(pool.waiting) == 2
-        assert [connection.idle_since for connection in pool.idle] == ages[:1]  # as old as it was
-        fresh.send(OK)
-        assert await ends.outcomes.get() is Outcome.OK
+        assert (
+            sender.upstream.open == 3 and len(pool.settle_waits) == 2
+        )  # below the ratio that opens a spare connection
+        sender.send(b"2")
+        new_peer, data = await listener.accept_and_read()
+        assert data == b"0"  # the attempt that has waited longest gets the new connection
+        assert sender.upstream.open == 4 and len(pool.settle_waits) == 2
+        # Unchanged, since it was not used.
+        assert [connection.idle_since for connection in pool.idle] == ages[:1]
+        new_peer.send(OK)
+        assert await sender.outcomes.get() is Outcome.OK
 
     run(test())
 
 
-def test_connections_are_not_opened_for_calls_that_an_answer_lets_go(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Work that has queued goes out with each answer, and none is settled then: that is no lack of them."""
+def test_queued_calls_released_by_response_open_no_spare_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A queued call is sent with each response, when none is settled; more connections would not help."""
     monkeypatch.setattr(upstream, "SETTLE_US", 1_000)
 
     async def test() -> None:
-        listener, ends, peer = await served()
-        ended = ends.outcomes.put_nowait
+        listener, sender, peer = await idle_connection()
+        put_outcome = sender.outcomes.put_nowait
 
         def next_goes(outcome: Outcome) -> None:
-            ended(outcome)
-            ends.send()
+            put_outcome(outcome)
+            sender.send()
 
-        monkeypatch.setattr(ends.outcomes, "put_nowait", next_goes)
-        ends.send()
+        monkeypatch.setattr(sender.outcomes, "put_nowait", next_goes)
+        sender.send()
         for _ in range(20):
             assert await peer.read() == b"x"
             peer.send(OK)
-            assert await ends.outcomes.get() is Outcome.OK
-        assert ends.upstream.open == 1 and not _readable(listener.sock)
+            assert await sender.outcomes.get() is Outcome.OK
+        assert sender.upstream.open == 1 and not _readable(listener.sock)
 
     run(test())
 
 
-def test_attempts_wait_on_where_the_further_connection_does_not_come_up(
+def test_attempts_keep_waiting_when_spare_connection_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(upstream, "SETTLE_US", 200_000)
 
     async def test() -> None:
-        listener, ends, peers = await rested(3)
+        listener, sender, peers = await idle_connections(3)
         listener.sock.close()
         for _ in peers:
-            ends.send(b"later")
-        await until(lambda: ends.upstream.open == 4)
-        await until(lambda: ends.upstream.open == 3)  # refused
+            sender.send(b"later")
+        await until(lambda: sender.upstream.open == 4)
+        await until(lambda: sender.upstream.open == 3)  # connection refused
         for peer in peers:
             assert await peer.read() == b"later"
             peer.send(OK)
-            assert await ends.outcomes.get() is Outcome.OK
-        assert ends.upstream.open == 3 and not ends.upstream.pools["e"].preparing
+            assert await sender.outcomes.get() is Outcome.OK
+        assert sender.upstream.open == 3 and not sender.upstream.pools["e"].connecting_spare
 
     run(test())
 
 
-@pytest.mark.parametrize("meanwhile", ["a drain is told", "the attempts are given up"])
-def test_further_connection_comes_up_while_the_world_goes_on(
-    meanwhile: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+@pytest.mark.parametrize("meanwhile", ["endpoint drains", "attempts aborted"])
+def test_events_while_spare_connection_opens(meanwhile: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream, "SETTLE_US", 200_000)
 
     async def test() -> None:
-        listener, ends, _ = await rested(3)
-        pool = ends.upstream.pools["e"]
-        attempts = [ends.send(b"later") for _ in range(3)]
-        assert pool.preparing
-        if meanwhile == "a drain is told":
-            ends.upstream.retire("e")
+        listener, sender, _ = await idle_connections(3)
+        pool = sender.upstream.pools["e"]
+        attempts = [sender.send(b"later") for _ in range(3)]
+        assert pool.connecting_spare
+        if meanwhile == "endpoint drains":
+            sender.upstream.retire("e")
             peer = await listener.accept()
             for _ in attempts:
-                assert await ends.outcomes.get() is Outcome.CONNECT_FAILED
-            assert await peer.rest() == b""  # nothing was written on it
-            assert ends.upstream.open == 0
+                assert await sender.outcomes.get() is Outcome.CONNECT_FAILED
+            assert await peer.read_to_end() == b""  # nothing was written
+            assert sender.upstream.open == 0
         else:
             for attempt in attempts:
-                attempt.drop(Outcome.CANCELLED)
-                assert await ends.outcomes.get() is Outcome.CANCELLED
+                attempt.abort(Outcome.CANCELLED)
+                assert await sender.outcomes.get() is Outcome.CANCELLED
             peer = await listener.accept()
             await until(lambda: len(pool.idle) == 4)
-            assert ends.upstream.open == 4 and not _readable(peer.sock)
-        assert not pool.waiting and not pool.preparing
+            assert sender.upstream.open == 4 and not _readable(peer.sock)
+        assert not pool.settle_waits and not pool.connecting_spare
 
     run(test())
 
 
-def test_connections_that_no_call_has_come_to_go_but_for_one() -> None:
+def test_unused_connections_are_closed_except_one() -> None:
     async def test() -> None:
-        _, ends, peers = await rested(5)
-        pool = ends.upstream.pools["e"]
-        pool.trim(1_000, every_us=1_000)  # nothing has been seen of their use yet
+        _, sender, peers = await idle_connections(5)
+        pool = sender.upstream.pools["e"]
+        pool.trim(1_000, interval_us=1_000)  # starts the first period
         await settled()
-        ends.send()
-        assert await peers[0].read() == b"x"  # the four others are settled, and were not needed
-        pool.trim(1_999, every_us=1_000)
-        assert ends.upstream.open == 5
-        pool.trim(2_000, every_us=1_000)
-        assert ends.upstream.open == 2 and len(pool.idle) == 1
+        sender.send()
+        assert await peers[0].read() == b"x"  # the four others are settled and unused
+        pool.trim(1_999, interval_us=1_000)
+        assert sender.upstream.open == 5
+        pool.trim(2_000, interval_us=1_000)
+        assert sender.upstream.open == 2 and len(pool.idle) == 1
         peers[0].send(OK)
-        assert await ends.outcomes.get() is Outcome.OK
-        pool.trim(3_000, every_us=1_000)
-        assert ends.upstream.open == 2  # no call has come since
+        assert await sender.outcomes.get() is Outcome.OK
+        pool.trim(3_000, interval_us=1_000)
+        assert sender.upstream.open == 2  # no call since
 
     run(test())
 
 
-# --- answers that break off, and requests that may not run twice ---
+# --- interrupted responses, and requests that must not run twice ---
 
 
-class Peers:
-    """Two raw endpoints behind a sidecar; what each connection has been sent, whole requests counted."""
+class RawEndpoints:
+    """Two raw endpoints behind a sidecar."""
 
     def __init__(self, sidecar: Sidecar) -> None:
-        self.listeners = [Listener(), Listener()]
-        rows = [row(f"s-{i}", f"127.0.0.1:{each.port}") for i, each in enumerate(self.listeners)]
+        self.endpoints = [RawEndpoint(), RawEndpoint()]
+        rows = [row(f"s-{i}", f"127.0.0.1:{each.port}") for i, each in enumerate(self.endpoints)]
         sidecar.host.on_list(ListForm.FULL, read_listing(listing(2, True, *rows)).entries)
 
     async def accept(self) -> Raw:
-        """The next connection at either."""
-        tasks = [asyncio.ensure_future(each.accept()) for each in self.listeners]
+        """Accept the next connection at either."""
+        tasks = [asyncio.ensure_future(each.accept()) for each in self.endpoints]
         done, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
         return done.pop().result()
 
-    def waiting(self) -> bool:
-        """Whether a further connection has come."""
-        return any(_readable(each.sock) for each in self.listeners)
+    def has_new_connection(self) -> bool:
+        """Whether another connection waits to be accepted."""
+        return any(_readable(each.sock) for each in self.endpoints)
 
 
 def _readable(sock: socket.socket) -> bool:
     return bool(select.select([sock], [], [], 0)[0])
 
 
-@pytest.mark.parametrize("moment", ["nothing read", "half read", "all read", "half a line", "half the body"])
-def test_unsafe_request_whose_connection_is_reset_at_any_moment_is_not_sent_again(moment: str) -> None:
+@pytest.mark.parametrize(
+    "moment", ["nothing read", "partial read", "all read", "partial status line", "partial body"]
+)
+def test_non_idempotent_request_is_not_retried_after_reset(moment: str) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            peers = Peers(sidecar)
+            peers = RawEndpoints(sidecar)
             client = Raw.of(sidecar)
             client.send(request(1))
             peer = await peers.accept()
             if moment != "nothing read":
-                await peer.read(20 if moment == "half read" else 1 << 16)
-            if moment.startswith("half ") and moment != "half read":
-                whole = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok"
-                peer.send(whole[:9] if moment == "half a line" else whole)
+                await peer.read(20 if moment == "partial read" else 1 << 16)
+            if moment.startswith("partial ") and moment != "partial read":
+                partial = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nok"
+                peer.send(partial[:9] if moment == "partial status line" else partial)
             peer.reset()
-            assert (await client.answer()).startswith(b"HTTP/1.1 502 ")
-            assert not peers.waiting()
+            assert (await client.read_response()).startswith(b"HTTP/1.1 502 ")
+            assert not peers.has_new_connection()
             assert not sidecar.host.requests
 
     run(test())
 
 
-def test_unsafe_request_that_never_left_goes_to_another_endpoint() -> None:
-    """The connection is refused: nothing ran, and the request is not failed for it."""
+def test_non_idempotent_request_is_retried_after_refused_connection() -> None:
+    """A refused connection means that nothing ran, so the request must not fail because of it."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            peers = Peers(sidecar)
-            peers.listeners[0].sock.close()
-            for number in range(6):  # each draws its endpoint at random
+            peers = RawEndpoints(sidecar)
+            peers.endpoints[0].sock.close()
+            for number in range(6):  # each selects its endpoint at random
                 client = Raw.of(sidecar)
                 client.send(request(number))
-                peer = await peers.listeners[1].accept()
+                peer = await peers.endpoints[1].accept()
                 assert (await peer.read()).startswith(b"POST /pay/a")
                 peer.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nConnection: close\r\n\r\nok")
-                assert (await client.answer()).endswith(b"ok")
+                assert (await client.read_response()).endswith(b"ok")
 
     run(test())
 
 
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
 @pytest.mark.parametrize(
-    "moment", ["at once", "within the hold", "while it passes", "while the caller reads nothing"]
+    "moment", ["at once", "before streaming", "while streaming", "while the caller reads nothing"]
 )
-def test_answer_without_length_that_is_reset_is_never_whole(
+def test_reset_response_without_length_is_never_complete(
     version: str, moment: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A reset is no end, whenever it comes; only the endpoint's own end is."""
-    if moment != "while it passes":
-        monkeypatch.setattr(upstream, "HOLD_S", 60.0)
+    """Only a regular end of stream completes such a response, a reset never does."""
+    if moment != "while streaming":
+        monkeypatch.setattr(upstream, "STREAMING_DELAY_S", 60.0)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            peers = Peers(sidecar)
+            peers = RawEndpoints(sidecar)
             client = Raw.of(sidecar, receive_bytes=4096)
             client.send(request(1).replace(b"HTTP/1.1", b"HTTP/" + version.encode()))
             peer = await peers.accept()
             await peer.read()
             peer.send(b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\npart")
-            if moment == "within the hold":
+            if moment == "before streaming":
                 await until(lambda: _body_has_come(sidecar))
-            elif moment == "while it passes":
+            elif moment == "while streaming":
                 assert (await client.read()).startswith(b"HTTP/1.1 200 ")
             elif moment == "while the caller reads nothing":
                 with contextlib.suppress(BlockingIOError):
-                    while True:  # until neither kernel takes more: the sidecar has stopped reading
+                    while True:  # until both kernel buffers are full: the sidecar has stopped reading
                         peer.sock.send(b"x" * 65536)
                         await asyncio.sleep(0)
                 await until(lambda: any(c._paused for c in sidecar.host.upstream.streams))
             peer.reset()
-            if moment in ("at once", "within the hold"):
-                assert (await client.answer()).startswith(b"HTTP/1.1 502 ")
+            if moment in ("at once", "before streaming"):
+                assert (await client.read_response()).startswith(b"HTTP/1.1 502 ")
                 assert not sidecar.host.requests
                 return
-            said = b""
+            received = b""
             broken = False
             try:
                 while more := await client.read():
-                    said += more
+                    received += more
             except ConnectionResetError:
                 broken = True
-            assert broken and not said.endswith(b"0\r\n\r\n")  # it has begun: the caller can tell
+            assert broken and not received.endswith(b"0\r\n\r\n")  # the caller can tell that it is incomplete
             assert not sidecar.host.requests
 
     run(test())
@@ -948,17 +957,19 @@
     return any(attempt.connection is not None and attempt.connection._body for attempt in attempts)
 
 
-# --- many at once ---
+# --- many callers, and unusual input ---
 
 
-def test_requests_of_callers_that_leave_in_a_burst_are_not_sent_on() -> None:
+def test_requests_of_callers_disconnecting_in_a_burst_are_not_forwarded() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
             clients = [Raw.of(sidecar) for _ in range(40)]
             stays = Raw.of(sidecar)
             for number, client in enumerate([*clients, stays]):
                 client.send(request(number))
-            await until(lambda: len(sidecar.host.balancer.calls) == 41)  # all are held: there is no endpoint
+            await until(
+                lambda: len(sidecar.host.balancer.calls) == 41
+            )  # all held, since there is no endpoint
             for number, client in enumerate(clients):
                 if number % 2:
                     client.sock.close()
@@ -971,14 +982,14 @@
             asked = await fake.next()
             assert asked.message.headers["req-id"] == "raw40"
             asked.reply()
-            assert (await stays.answer()).startswith(b"HTTP/1.1 200 ")
+            assert (await stays.read_response()).startswith(b"HTTP/1.1 200 ")
             assert fake.asked.empty()
 
     run(test())
 
 
-def test_flood_of_pipelined_requests_takes_bounded_room_and_holds_no_proper_caller_up() -> None:
-    """Each connection's 32 KiB would be some 500 requests, each many times its bytes once it is parsed."""
+def test_pipelining_flood_uses_bounded_memory_and_delays_no_other_caller() -> None:
+    """32 KiB per connection would hold some 500 requests, each many times larger once parsed."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -992,9 +1003,9 @@
             proper.send(request(99))
             for _ in range(21):
                 (await first_asked(sidecar)).reply()
-            assert (await proper.answer()).startswith(b"HTTP/1.1 200 ")
+            assert (await proper.read_response()).startswith(b"HTTP/1.1 200 ")
             for flood in floods[:10]:
-                flood.sock.close()  # amid what waits
+                flood.sock.close()  # while requests wait
             for flood in floods[10:]:
                 flood.reset()
             await until(lambda: len(sidecar.server.callers) == 1)
@@ -1003,7 +1014,7 @@
     run(test())
 
 
-def test_pipelined_requests_longer_than_a_piece_are_answered_in_order() -> None:
+def test_pipelined_requests_larger_than_one_parse_chunk_are_answered_in_order() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = Raw.of(sidecar)
@@ -1014,14 +1025,14 @@
                 asked = await sidecar.endpoints[0].next()
                 assert asked.message.body == body
                 asked.reply(200, body[:7])
-                assert (await client.answer()).endswith(b"\r\n\r\n" + body[:7])
+                assert (await client.read_response()).endswith(b"\r\n\r\n" + body[:7])
             assert sidecar.server.callers and not next(iter(sidecar.server.callers)).busy
 
     run(test())
 
 
 @pytest.mark.parametrize("what", ["head", "body"])
-def test_peer_that_trickles_gets_its_error_in_time(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_slow_sender_gets_timeout_error(what: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(calling, "READ_S", 0.1)
     monkeypatch.setattr(calling, "BODY_S", 0.1)
 
@@ -1039,33 +1050,33 @@
                 if caller.stage is not calling.Stage.OPEN:
                     break
             assert place < len(whole) - 1
-            assert (await client.answer()).startswith(b"HTTP/1.1 408 ")
+            assert (await client.read_response()).startswith(b"HTTP/1.1 408 ")
             assert sidecar.host.serial == 0
 
     run(test())
 
 
 @pytest.mark.parametrize("length", ["Content-Length: 4", "Content-Length: 200000"])
-def test_answer_that_comes_before_the_request_has_left_is_none(length: str) -> None:
-    """An endpoint begins with the last byte, so this is a late second answer to the request before."""
+def test_response_before_request_is_fully_written_is_rejected(length: str) -> None:
+    """An endpoint starts processing at the last byte, so this is a late response to an earlier request."""
 
     async def test() -> None:
-        listener, ends = facing()
-        ends.send(b"x" * (16 << 20))  # more than the kernels hold between them
+        listener, sender = endpoint_and_sender()
+        sender.send(b"x" * (16 << 20))  # more than both kernel buffers hold
         peer = await listener.accept()
         await peer.read(16)
         peer.send(f"HTTP/1.1 200 OK\r\n{length}\r\n\r\n".encode() + b"y" * 4)
         if length.endswith("200000"):
             with contextlib.suppress(BlockingIOError):
                 peer.send(b"y" * 199_996)
-        assert await ends.outcomes.get() is Outcome.CONNECT_FAILED  # it never ran
-        assert ends.upstream.open == 0
+        assert await sender.outcomes.get() is Outcome.CONNECT_FAILED  # it never ran
+        assert sender.upstream.open == 0
 
     run(test())
 
 
-def test_long_body_that_comes_in_one_read_is_passed_on_in_one_and_does_not_stop_the_reading() -> None:
-    """Seen on zone+brink days: in pieces, more requests were cut on their way to their endpoints."""
+def test_large_body_from_one_read_is_forwarded_at_once_without_pausing() -> None:
+    """Forwarding in pieces interrupts more requests on their way to endpoints, as seen under load."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -1079,19 +1090,19 @@
 
             caller.flow = noted  # type: ignore[method-assign]
             whole = request(1, "pay", b"x" * (sidecar.server.most_kept + 20_000))
-            client.send(whole[:20_000])  # less than is held for the endpoint
+            client.send(whole[:20_000])  # less than the buffer limit
             await until(lambda: paused)
-            assert len(paused) < 4 and not any(paused)  # in pieces it would be ten
+            assert len(paused) < 4 and not any(paused)  # in pieces there would be ten
             client.send(whole[20_000:])
             asked = await sidecar.endpoints[0].next()
             assert len(asked.message.body) == sidecar.server.most_kept + 20_000
             asked.reply()
-            assert (await client.answer()).startswith(b"HTTP/1.1 200 ")
+            assert (await client.read_response()).startswith(b"HTTP/1.1 200 ")
 
     run(test())
 
 
-def test_request_that_waits_unparsed_has_its_time_from_when_it_was_read() -> None:
+def test_deadline_of_unparsed_request_counts_from_when_it_was_read() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = Raw.of(sidecar)
@@ -1103,28 +1114,28 @@
             for _ in range(calling.MOST_HEADS):
                 await asyncio.sleep(0.02)
                 asked.reply()
-                await client.answer()
+                await client.read_response()
                 asked = await sidecar.endpoints[0].next()
                 assert caller.current is not None
-                assert caller.current.deadline_us - caller.current.patience_us <= read_us
+                assert caller.current.deadline_us - caller.current.client_timeout_us <= read_us
             asked.reply()
-            await client.answer()
+            await client.read_response()
 
     run(test())
 
 
-def test_refused_body_full_of_blank_lines_is_read_to_its_end() -> None:
-    """Seen on zone+brink days: the answer came from within the parser, which was fed the next piece there."""
+def test_refused_body_containing_blank_lines_is_read_to_the_end() -> None:
+    """The response was sent from a parser callback, which fed the parser its next chunk recursively."""
 
     async def test() -> None:
-        async with Sidecar(callers=0) as sidecar:  # so each request is refused at its head
+        async with Sidecar(callers=0) as sidecar:  # so that each request is refused after its headers
             client = Raw.of(sidecar)
             (caller,) = await connected(sidecar)
             whole = request(1, "pay", b"HTTP/1.1 200 OK\r\n\r\n" * 8000)
             client.send(whole[:30_000])
-            assert (await client.answer()).startswith(b"HTTP/1.1 503 ")
-            assert caller.stage is calling.Stage.DISCARDING  # and not shut amid the body
+            assert (await client.read_response()).startswith(b"HTTP/1.1 503 ")
+            assert caller.stage is calling.Stage.DISCARDING  # not closed during the body
             await asyncio.get_running_loop().sock_sendall(client.sock, whole[30_000:])
-            assert await client.rest() == b""
+            assert await client.read_to_end() == b""
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on discovery, where two events cross or a list is not what it should be: real sockets."""
+"""Polling of discovery, on real sockets: races, failures and malformed lists."""
 
 from __future__ import annotations
 
@@ -19,22 +19,27 @@
 from tests.sidecar_support import SETUP, Fake, Sidecar, listing, row, run
 
 
-class Watched:
-    """A watch at a fake discovery, and what it delivers."""
+class WatcherFixture:
+    """A watcher of a fake discovery, and the lists that it delivers."""
 
-    def __init__(self, persist: bool = False, ask_every_us: int = 60_000_000) -> None:
-        self.persist = persist
-        self.ask_every_us = ask_every_us
-        self.lists: asyncio.Queue[tuple[ListForm, list[Listed]]] = asyncio.Queue()
-        self.deliver: Callable[[ListForm, list[Listed]], None] = lambda form, rows: self.lists.put_nowait(
-            (form, rows)
+    def __init__(self, retry_forever: bool = False, ask_interval_us: int = 60_000_000) -> None:
+        self.retry_forever = retry_forever
+        self.ask_interval_us = ask_interval_us
+        self.deliveries: asyncio.Queue[tuple[ListForm, list[Listed]]] = asyncio.Queue()
+        self.on_list: Callable[[ListForm, list[Listed]], None] = lambda form, rows: (
+            self.deliveries.put_nowait((form, rows))
         )
 
-    async def __aenter__(self) -> Watched:
+    async def __aenter__(self) -> WatcherFixture:
         self.fake = await Fake().start()
         host, _, port = self.fake.address.rpartition(":")
         self.watcher = Watcher(
-            host, int(port), 1, self.persist, self.ask_every_us, lambda form, rows: self.deliver(form, rows)
+            host,
+            int(port),
+            1,
+            self.retry_forever,
+            self.ask_interval_us,
+            lambda form, rows: self.on_list(form, rows),
         )
         self.watcher.turn(True)
         return self
@@ -43,167 +48,169 @@
         self.watcher.turn(False)
         self.fake.server.close()
 
-    async def forms(self) -> ListForm:
-        return (await self.lists.get())[0]
+    async def next_form(self) -> ListForm:
+        return (await self.deliveries.get())[0]
 
 
-E0 = row("s-0", "127.0.0.1:80")
+READY_ENTRY = row("s-0", "127.0.0.1:80")
 
 
-def asks_after(asked: Any) -> str:
+def after_parameter(asked: Any) -> str:
     return str(asked.message.first).partition("?")[2].partition("&")[0]
 
 
-def test_kept_connection_that_is_closed_as_the_next_call_is_written_costs_no_list() -> None:
+def test_poll_racing_with_close_of_reused_connection_is_retried() -> None:
     async def test() -> None:
-        async with Watched() as watched:
+        async with WatcherFixture() as watched:
             asked = await watched.fake.next()
-            asked.reply(200, listing(2, False, E0))
-            assert await watched.forms() is ListForm.DELTA
-            # The end is in the kernel before the call that the answer brings: the two cross.
+            asked.reply(200, listing(2, False, READY_ENTRY))
+            assert await watched.next_form() is ListForm.DELTA
+            # The reset races with the next poll, which the watcher sends on receiving this response.
             again = await watched.fake.next()
             again.reset()
             third = await watched.fake.next()
             assert (again.connection, third.connection) == (0, 1)
-            third.reply(200, listing(3, False, E0))
-            assert await watched.forms() is ListForm.DELTA  # and no failure in between
+            third.reply(200, listing(3, False, READY_ENTRY))
+            assert await watched.next_form() is ListForm.DELTA  # without a failure in between
             await watched.fake.next()
 
     run(test())
 
 
 @pytest.mark.parametrize("persist", [True, False])
-def test_watch_that_falls_silent_is_opened_anew_before_anybody_waits(
+def test_poll_without_response_is_retried_on_new_connection(
     persist: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "PATIENCE_S", 0.05)
 
     async def test() -> None:
-        async with Watched(persist, ask_every_us=100_000) as watched:
+        async with WatcherFixture(persist, ask_interval_us=100_000) as watched:
             silent = await watched.fake.next()
             again = await watched.fake.next()
             assert again.connection != silent.connection
-            assert asks_after(again) == "after=1"
+            assert after_parameter(again) == "after=1"
             assert await watched.fake.ends.get() == silent.connection
-            again.reply(200, listing(2, False, E0))
-            assert await watched.forms() is ListForm.DELTA
+            again.reply(200, listing(2, False, READY_ENTRY))
+            assert await watched.next_form() is ListForm.DELTA
 
     run(test())
 
 
-def test_second_silence_is_a_failure_that_the_module_hears_of(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_second_poll_without_response_is_reported_as_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(discovery, "PATIENCE_S", 0.05)
 
     async def test() -> None:
-        async with Watched(ask_every_us=100_000) as watched:
+        async with WatcherFixture(ask_interval_us=100_000) as watched:
             for _ in range(2):
                 await watched.fake.next()
-            assert await watched.forms() is ListForm.FAILED
+            assert await watched.next_form() is ListForm.FAILED
 
     run(test())
 
 
-def test_callback_that_fails_does_not_end_the_watch() -> None:
+def test_failing_callback_does_not_stop_polling() -> None:
     async def test() -> None:
-        async with Watched(persist=True) as watched:
-            deliver = watched.deliver
+        async with WatcherFixture(retry_forever=True) as watched:
+            deliver = watched.on_list
 
             def broken(form: ListForm, rows: list[Listed]) -> None:
-                watched.deliver = deliver
+                watched.on_list = deliver
                 raise RuntimeError("broken on purpose")
 
-            watched.deliver = broken
-            (await watched.fake.next()).reply(200, listing(2, False, E0))
+            watched.on_list = broken
+            (await watched.fake.next()).reply(200, listing(2, False, READY_ENTRY))
             again = await watched.fake.next()
-            assert asks_after(again) == "after=1"  # what could not be used is asked for again
-            again.reply(200, listing(2, False, E0))
-            assert await watched.forms() is ListForm.DELTA
+            assert after_parameter(again) == "after=1"  # a list that was not applied is requested again
+            again.reply(200, listing(2, False, READY_ENTRY))
+            assert await watched.next_form() is ListForm.DELTA
 
     run(test())
 
 
-@pytest.mark.parametrize("amid", ["the wait", "a list", "a backoff", "a connect"])
-def test_move_amid_anything_leaves_one_watch_that_hears_only_the_new_address(amid: str) -> None:
+@pytest.mark.parametrize("stage", ["the wait", "a list", "a backoff", "a connect"])
+def test_address_change_at_any_stage_leaves_one_client_at_new_address(stage: str) -> None:
     async def test() -> None:
-        async with Watched(persist=True) as watched:
+        async with WatcherFixture(retry_forever=True) as watched:
             after = await Fake().start()
             host, _, port = after.address.rpartition(":")
-            whole = listing(7, True, E0)
+            whole = listing(7, True, READY_ENTRY)
             asked = None
-            if amid != "a connect":
+            if stage != "a connect":
                 asked = await watched.fake.next()
-            if asked is not None and amid == "a list":
+            if asked is not None and stage == "a list":
                 asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(whole))
                 asked.writer.write(whole[:20])
                 await asyncio.sleep(0.01)
-            elif asked is not None and amid == "a backoff":
+            elif asked is not None and stage == "a backoff":
                 asked.reset()
                 await asyncio.sleep(0.01)
             watched.watcher.move(host, int(port))
-            if asked is not None and amid != "a backoff":
-                asked.writer.write(whole[20:] if amid == "a list" else b"HTTP/1.1 200 OK\r\n")
+            if asked is not None and stage != "a backoff":
+                asked.writer.write(whole[20:] if stage == "a list" else b"HTTP/1.1 200 OK\r\n")
             moved = await after.next()
-            assert asks_after(moved) == "after=1"
-            moved.reply(200, listing(2, False, E0))
-            assert await watched.forms() is ListForm.DELTA
-            assert asks_after(await after.next()) == "after=2"
-            assert watched.lists.empty()
+            assert after_parameter(moved) == "after=1"
+            moved.reply(200, listing(2, False, READY_ENTRY))
+            assert await watched.next_form() is ListForm.DELTA
+            assert after_parameter(await after.next()) == "after=2"
+            assert watched.deliveries.empty()
             assert after.connections == 1
 
     run(test())
 
 
-def test_off_and_on_within_one_turn_leaves_one_watch_with_its_own_call() -> None:
+def test_off_and_on_in_one_loop_iteration_leaves_one_client() -> None:
     async def test() -> None:
-        async with Watched(persist=True) as watched:
+        async with WatcherFixture(retry_forever=True) as watched:
             before = await watched.fake.next()
             watched.watcher.turn(False)
             watched.watcher.turn(True)
             asked = await watched.fake.next()
             assert await watched.fake.ends.get() == before.connection
             asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
-            again = await watched.fake.next()  # its gap still runs: the old call's end has not taken it away
-            again.reply(200, listing(2, False, E0))
-            assert await watched.forms() is ListForm.DELTA
+            again = (
+                await watched.fake.next()
+            )  # its gap timer still runs: the old poll's end has not cancelled it
+            again.reply(200, listing(2, False, READY_ENTRY))
+            assert await watched.next_form() is ListForm.DELTA
 
     run(test())
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_older_list_is_not_applied_but_the_whole_one_is_asked_for(whole: bool) -> None:
+def test_older_list_is_not_applied_and_full_list_is_requested(whole: bool) -> None:
     async def test() -> None:
-        async with Watched() as watched:
-            (await watched.fake.next()).reply(200, listing(5, False, E0))
-            assert await watched.forms() is ListForm.DELTA
+        async with WatcherFixture() as watched:
+            (await watched.fake.next()).reply(200, listing(5, False, READY_ENTRY))
+            assert await watched.next_form() is ListForm.DELTA
             (await watched.fake.next()).reply(200, listing(3, whole, row("s-1", "127.0.0.1:81")))
             asked = await watched.fake.next()
             assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
-            asked.reply(200, listing(4, True, E0))  # so it has begun anew
-            assert await watched.forms() is ListForm.FULL
-            assert asks_after(await watched.fake.next()) == "after=4"
-            assert watched.lists.empty()
+            asked.reply(200, listing(4, True, READY_ENTRY))  # discovery has restarted its numbering
+            assert await watched.next_form() is ListForm.FULL
+            assert after_parameter(await watched.fake.next()) == "after=4"
+            assert watched.deliveries.empty()
 
     run(test())
 
 
-def test_list_may_come_indented_and_in_pieces() -> None:
+def test_list_may_be_indented_and_chunked() -> None:
     async def test() -> None:
-        async with Watched() as watched:
+        async with WatcherFixture() as watched:
             asked = await watched.fake.next()
-            body = json.dumps(json.loads(listing(2, True, E0)), indent=4).encode()
+            body = json.dumps(json.loads(listing(2, True, READY_ENTRY)), indent=4).encode()
             asked.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for start in range(0, len(body), 50):
                 piece = body[start : start + 50]
                 asked.writer.write(b"%x\r\n%s\r\n" % (len(piece), piece))
                 await asyncio.sleep(0)
             asked.writer.write(b"0\r\n\r\n")
-            form, rows = await watched.lists.get()
+            form, rows = await watched.deliveries.get()
             assert (form, [each.endpoint.id for each in rows]) == (ListForm.FULL, ["s-0"])
 
     run(test())
 
 
-BAD = [
+UNREADABLE_ENTRIES = [
     {**row("s-1", "127.0.0.1:81"), "lifecycle": "warming"},
     {**row("s-1", "127.0.0.1:81"), "weight": "heavy"},
     row("s-1", "nowhere"),
@@ -211,10 +218,10 @@
 ]
 
 
-@pytest.mark.parametrize("bad", BAD)
-def test_entry_that_cannot_be_read_gets_nothing_new_and_costs_no_other(bad: dict[str, Any]) -> None:
+@pytest.mark.parametrize("bad", UNREADABLE_ENTRIES)
+def test_unreadable_entry_is_draining_and_others_are_kept(bad: dict[str, Any]) -> None:
     with capture_logs() as logs:
-        found = read_listing(listing(2, True, E0, bad))
+        found = read_listing(listing(2, True, READY_ENTRY, bad))
     assert [(e.endpoint.id, e.endpoint.readiness, e.endpoint.zone) for e in found.entries] == [
         ("s-0", Readiness.READY, "a"),
         ("s-1", Readiness.DRAINING, "a"),
@@ -222,18 +229,18 @@
     assert [line["entries"] for line in logs] == [1]
 
 
-def test_entry_without_an_id_is_left_out_and_a_list_of_nothing_readable_is_none() -> None:
-    assert len(read_listing(listing(2, True, E0, {"zone": "a"})).entries) == 1
+def test_entry_without_id_is_skipped_and_fully_unreadable_list_is_rejected() -> None:
+    assert len(read_listing(listing(2, True, READY_ENTRY, {"zone": "a"})).entries) == 1
     assert (
         len(
             read_listing(
-                b'{"generation": 2, "reset": true, "instances": [3, %s]}' % json.dumps(E0).encode()
+                b'{"generation": 2, "reset": true, "instances": [3, %s]}' % json.dumps(READY_ENTRY).encode()
             ).entries
         )
         == 1
     )
     with pytest.raises(ValueError, match="no entry can be read"):
-        read_listing(listing(2, True, *BAD))
+        read_listing(listing(2, True, *UNREADABLE_ENTRIES))
 
 
 def test_unreadable_entry_of_a_known_endpoint_takes_it_out_of_use() -> None:
@@ -253,35 +260,35 @@
     run(test())
 
 
-def test_unusable_list_leaves_the_last_good_one_and_is_asked_for_again_without_a_tight_loop() -> None:
+def test_unusable_list_keeps_last_good_one_and_is_requested_again_with_delay() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             begun = time.monotonic()
-            (await sidecar.discovery.next()).reply(200, listing(2, True, *BAD))
-            assert asks_after(await sidecar.discovery.next()) == "after=1"
+            (await sidecar.discovery.next()).reply(200, listing(2, True, *UNREADABLE_ENTRIES))
+            assert after_parameter(await sidecar.discovery.next()) == "after=1"
             assert time.monotonic() - begun > 0.2
             assert sidecar.host.listed == {"s-0"}
 
     run(test())
 
 
-def test_bad_entry_of_the_known_list_does_not_keep_the_process_from_starting(tmp_path: Path) -> None:
+def test_unreadable_entry_of_known_list_does_not_prevent_start(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    known = json.loads(listing(4, True, E0, BAD[0]))
+    known = json.loads(listing(4, True, READY_ENTRY, UNREADABLE_ENTRIES[0]))
     document = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETUP, "known": known}
     path.write_text(json.dumps(document), encoding="utf-8")
     found = load({"GW_CONFIG": str(path)}).known
     assert (found.generation, [entry.endpoint.id for entry in found.entries]) == (4, ["s-0"])
 
 
-def test_pushed_lists_are_asked_for_again_soon_however_long_discovery_was_down() -> None:
-    """With a wait that doubles up to seconds this takes longer than a test may."""
+def test_pushed_lists_are_polled_soon_after_long_outage() -> None:
+    """A backoff that doubled up to seconds would exceed the timeout of this test."""
 
     async def test() -> None:
-        async with Watched(persist=True) as watched:
+        async with WatcherFixture(retry_forever=True) as watched:
             for _ in range(20):
                 (await watched.fake.next()).reply(503, b"")
-            (await watched.fake.next()).reply(200, listing(2, False, E0))
-            assert await watched.forms() is ListForm.DELTA
+            (await watched.fake.next()).reply(200, listing(2, False, READY_ENTRY))
+            assert await watched.next_form() is ListForm.DELTA
 
     run(test())
