--- a/eiderhub/sidecar/__init__.py
+++ b/eiderhub/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: hosts one instance of the decision module on sockets."""
+"""The sidecar process: runs one balancer on real sockets."""
--- a/eiderhub/sidecar/__main__.py
+++ b/eiderhub/sidecar/__main__.py
@@ -1,10 +1,10 @@
-"""`python -m eiderhub.sidecar`: one sidecar, as the platform starts it."""
+"""Entry point: `python -m eiderhub.sidecar` runs one sidecar."""
 
 import sys
 
 if __name__ == "__main__":
-    # structlog imports all of rich where that is installed: 4 MB in each of many processes, for tracebacks
-    # that no log of ours shows. As if it were absent:
+    # structlog imports rich where it is installed. That costs 4 MB per process and serves only traceback
+    # rendering, which these logs don't use, so make the import fail.
     sys.modules["rich"] = None  # type: ignore[assignment]
     from eiderhub.sidecar.process import main
 
--- a/eiderhub/sidecar/bodies.py
+++ b/eiderhub/sidecar/bodies.py
@@ -1,36 +1,36 @@
-"""Bodies on their way from one connection to another, and the bounds on what is held of them."""
+"""HTTP message bodies: framing, buffering limits and forwarding between connections."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import Final, NamedTuple, Protocol
 
-MOST_BODY: Final = 32 * 1024 * 1024
-MOST_KEPT: Final = 64 * 1024  # a body up to this is read whole, and may be sent again
-LEAST_KEPT: Final = 16 * 1024
-KEPT_SHARE: Final = 0.2  # of the memory, for what all connections together keep
+MAX_BODY_BYTES: Final = 32 * 1024 * 1024
+MOST_KEPT: Final = 64 * 1024  # bodies up to this size are buffered completely and may be retried
+MIN_BUFFERED_BYTES: Final = 16 * 1024
+BUFFER_MEMORY_FRACTION: Final = 0.2  # of the memory limit, for the body buffers of all connections
 READ_SIZE: Final = 32 * 1024
-STALL_S: Final = 15.0  # a peer that neither reads nor writes for so long amid a body has gone
+STALL_S: Final = 15.0  # a peer that makes no progress on a body for this long is dropped
 
 Headers = list[tuple[bytes, bytes]]
 
 
 class FramingError(Exception):
-    """A message whose end can't be told for sure: passed on, it would let requests be smuggled."""
+    """The end of a message is ambiguous; forwarding it would allow request smuggling."""
 
 
 class Framing(NamedTuple):
-    """How a message's body ends: by its length, by its last chunk, or (neither) with the connection."""
+    """How a body is delimited: by length, chunked, or (neither) by the end of the connection."""
 
     length: int | None
     chunked: bool
 
 
 def framing(headers: Headers) -> Framing:
-    """The framing that the headers state; the parser has seen to contradictions between them."""
+    """Return the framing given by the headers; the parser has already rejected contradictory headers."""
     length, chunked = None, False
     for name, value in headers:
-        if len(name) not in (14, 17):  # this is on the way of every message
+        if len(name) not in (14, 17):  # fast path: this runs for every message
             continue
         key = name.lower()
         if key == b"content-length":
@@ -50,19 +50,21 @@
 
 
 def most_kept(memory_bytes: int, connections: int) -> int:
-    """What one connection may hold of a body, so that all of them together stay within their share."""
-    return min(MOST_KEPT, max(LEAST_KEPT, int(KEPT_SHARE * memory_bytes / max(1, connections))))
+    """The body bytes that one connection may buffer, so that all stay within their part of the memory."""
+    return min(
+        MOST_KEPT, max(MIN_BUFFERED_BYTES, int(BUFFER_MEMORY_FRACTION * memory_bytes / max(1, connections)))
+    )
 
 
 class Source(Protocol):
-    """Where a body comes from."""
+    """The side that a body is read from."""
 
     def flow(self) -> None:
-        """Read on, or stop reading, as the other side takes what comes."""
+        """Pause or resume reading, depending on whether the receiving side is congested."""
 
 
 class Sink(Protocol):
-    """Where a body goes."""
+    """The side that a body is written to."""
 
     @property
     def congested(self) -> bool: ...
@@ -73,33 +75,38 @@
 
 
 class Upload:
-    """A request's body that is passed on while it comes. Once begun it can't be sent again."""
-
-    __slots__ = ("_held", "_sink", "_size", "_source", "begun", "given_up", "length", "most", "whole")
-
-    def __init__(self, length: int | None, most: int, source: Source, held: Iterable[bytes] = ()) -> None:
-        self.length = length  # None: it ends with its last chunk
-        self.most = most
-        self.whole = False  # its last byte has come
-        self.begun = False  # some of it has been passed on
-        self.given_up = False  # nobody wants it any more: the rest is read and thrown away
+    """A request body that is forwarded while it is received; it can't be retried once forwarding starts."""
+
+    __slots__ = (
+        "_buffered", "_buffered_bytes", "_sink", "_source", "begun", "buffer_limit", "given_up", "length",
+        "whole",
+    )  # fmt: skip
+
+    def __init__(
+        self, length: int | None, buffer_limit: int, source: Source, buffered: Iterable[bytes] = ()
+    ) -> None:
+        self.length = length  # None: chunked
+        self.buffer_limit = buffer_limit
+        self.whole = False  # the last byte has been received
+        self.begun = False  # part of it may have been forwarded
+        self.given_up = False  # the rest is read and dropped
         self._source = source
-        self._held = list(held)
-        self._size = sum(map(len, self._held))
+        self._buffered = list(buffered)
+        self._buffered_bytes = sum(map(len, self._buffered))
         self._sink: Sink | None = None
 
     @property
     def congested(self) -> bool:
         if self.given_up:
             return False
-        return self._sink.congested if self._sink is not None else self._size >= self.most
+        return self._sink.congested if self._sink is not None else self._buffered_bytes >= self.buffer_limit
 
     def feed(self, data: bytes) -> None:
         if self._sink is not None:
             self._sink.pass_on(data)
         elif not self.given_up:
-            self._held.append(data)
-            self._size += len(data)
+            self._buffered.append(data)
+            self._buffered_bytes += len(data)
 
     def finish(self) -> None:
         self.whole = True
@@ -107,11 +114,11 @@
             self._sink.end_body()
 
     def attach(self, sink: Sink) -> None:
-        """Pass on what has come, and from now on what comes."""
+        """Forward what is buffered to the sink, then the rest as it is received."""
         self.begun = True
         self._sink = sink
-        held, self._held, self._size = self._held, [], 0
-        for data in held:
+        buffered, self._buffered, self._buffered_bytes = self._buffered, [], 0
+        for data in buffered:
             sink.pass_on(data)
         if self.whole:
             sink.end_body()
@@ -120,7 +127,7 @@
     def give_up(self) -> None:
         self.given_up = True
         self._sink = None
-        self._held, self._size = [], 0
+        self._buffered, self._buffered_bytes = [], 0
         self.flow()
 
     def flow(self) -> None:
--- a/eiderhub/sidecar/caller.py
+++ b/eiderhub/sidecar/caller.py
@@ -1,4 +1,4 @@
-"""One caller's connection: requests in, answers out, one after another."""
+"""The server side of one caller's connection: parses requests and writes their answers in order."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 from eiderhub.sidecar.bodies import (
     LAST_CHUNK,
-    MOST_BODY,
+    MAX_BODY_BYTES,
     READ_SIZE,
     STALL_S,
     FramingError,
@@ -32,211 +32,217 @@
 from eiderhub.sidecar.lifecycle import Intake
 from eiderhub.sidecar.upstream import HOP_BY_HOP, Response
 
-MAX_HEAD = 16 * 1024
-READ_S = 2.5  # from connecting, or a later request's first byte: TERMS owes an end within 3 s
-BODY_S = 1.5  # after a head that took long, for the body to begin
-BODY_RATE = 48_000  # bytes a second that a body has to keep up: slow clients send 64 kB, with pauses
-PIECE = 2048  # bytes that are parsed at a time where a read may hold many requests, which then wait
-# Fewer are parsed at once. Danger: in pieces, a body would go on to its endpoint in pieces, too.
+MAX_HEAD_BYTES = 16 * 1024
+READ_S = 2.5  # to receive a request, from connecting or its first byte; the terms require an end within 3 s
+BODY_S = 1.5  # at least, from a complete head to the first byte of the body
+MIN_BODY_BYTES_PER_S = 48_000  # minimum rate of a body: slow clients send 64 kB, with pauses
+PIECE = 2048  # bytes parsed at a time if a read may hold many pipelined requests, which then wait
+# A read with at most this many heads is parsed at once. In parts, a body would be forwarded in parts, too.
 MOST_HEADS = 8
-LINGER_S = 1.0  # how long input is still read after our end, for the caller to see it and close
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
-RESET = struct.pack("ii", 1, 0)  # a linger of no time: closing resets the connection
+LINGER_S = 1.0  # after half-closing, how long to read input while waiting for the caller to close
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+ZERO_LINGER = struct.pack("ii", 1, 0)  # closing with this SO_LINGER value resets the connection
 log = structlog.get_logger()
 
 
 class Stage(Enum):
-    """How far a connection has come; it only ever goes on to a later stage."""
+    """The stage of a connection; it never returns to an earlier one."""
 
-    OPEN = 1  # requests are read
-    LAST = 2  # nothing more is read; what was taken is still answered
-    DISCARDING = 3  # the rest of a body is read for the caller's sake alone
-    SHUT = 4  # our side has ended: what comes is thrown away until the caller closes, too
-    LOST = 5
+    OPEN = 1  # reading requests
+    NO_MORE_INPUT = 2  # no more input is parsed; accepted requests are still answered
+    DISCARDING = 3  # the rest of a body is read and dropped, so that the caller reads its answer
+    HALF_CLOSED = 4  # our side is closed; input is dropped until the caller closes
+    CLOSED = 5
 
 
-ENDS = "the sidecar ends"  # why a request is refused that nobody would be here to answer
-READING = (Stage.OPEN, Stage.DISCARDING)
+SHUTTING_DOWN = "the sidecar ends"  # the reason given to callers
+READING_STAGES = (Stage.OPEN, Stage.DISCARDING)
 
 
-class Rejected(Exception):
-    """Bad input: neither the module nor an endpoint hears of it."""
+class RequestRejected(Exception):
+    """An invalid or refused request, answered without involving the balancer or an endpoint."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
         self.status = status
 
 
-class Incoming:
-    """A request as it came, or what was wrong with it."""
+class IncomingRequest:
+    """A request as received, or the reason why it is rejected."""
 
     __slots__ = (
-        "arrived_us", "body", "expects", "fault", "headers", "http_1_1", "keep", "method", "upload", "url",
+        "arrived_us", "body", "expects_continue", "headers", "http_1_1", "keep_alive", "method", "rejection",
+        "upload", "url",
     )  # fmt: skip
 
-    def __init__(self, fault: Rejected | None = None) -> None:
+    def __init__(self, rejection: RequestRejected | None = None) -> None:
         self.method = b""
         self.url = b""
         self.headers: Headers = []
         self.body = b""
-        self.upload: Upload | None = None  # the body, where it is passed on as it comes
+        self.upload: Upload | None = None  # the body, if it is forwarded while it is received
         self.http_1_1 = True
-        self.keep = False
-        self.expects = False  # the caller waits for a word before it sends the body
+        self.keep_alive = False
+        self.expects_continue = False  # `Expect: 100-continue`: the caller waits before sending the body
         self.arrived_us = 0
-        self.fault = fault
+        self.rejection = rejection
 
 
-class Reception(Protocol):
-    """Where callers arrive: what is common to their connections, and which requests are taken."""
+class CallerServer(Protocol):
+    """What caller connections need of the server: shared state and the admission of requests."""
 
     host: Host
-    most_kept: int  # of a body, in either direction
+    most_kept: int  # bytes of a body, in either direction
     intake: Intake
-    open_ids: set[bytes]  # requests that have no answer yet
+    open_request_ids: set[bytes]  # ids of the requests not yet answered
 
-    def joined(self, caller: CallerConnection) -> None: ...
+    def on_connected(self, caller: CallerConnection) -> None: ...
 
-    def served(self, caller: CallerConnection) -> None:
-        """An answer has been given on this connection."""
+    def on_answered(self, caller: CallerConnection) -> None:
+        """An answer has been written to this connection."""
 
-    def left(self, caller: CallerConnection) -> None: ...
+    def on_disconnected(self, caller: CallerConnection) -> None: ...
 
-    def forget(self, request_id: bytes) -> None:
-        """A request is over."""
+    def release_id(self, request_id: bytes) -> None:
+        """The request with this id has ended."""
 
-    def count(self, what: str) -> None:
-        """Callers were turned away for this."""
+    def count_failure(self, reason: str) -> None:
+        """Count a refused request or a closed connection under this reason."""
 
-    def check(self, incoming: Incoming) -> None:
-        """Raise what is wrong with a request whose body is still to come."""
+    def check_head(self, incoming: IncomingRequest) -> None:
+        """Check a request whose body has not been received yet.
 
-    def admit(self, caller: CallerConnection, incoming: Incoming) -> Request | None:
-        """The request to take, or None where it is answered already."""
+        Raises:
+            RequestRejected: with the reason.
+        """
+
+    def admit(self, caller: CallerConnection, incoming: IncomingRequest) -> Request | None:
+        """Return the request to serve, or None if it has already been answered."""
 
 
 class CallerConnection(asyncio.BufferedProtocol):
-    """One caller's connection: requests are served one after another."""
+    """One caller's connection; requests are served one at a time, in order."""
 
-    _buffer = bytearray(READ_SIZE)  # for all: what is read is dealt with at once
+    _buffer = bytearray(READ_SIZE)  # shared by all connections: each read is consumed at once
 
-    def __init__(self, server: Reception) -> None:
+    def __init__(self, server: CallerServer) -> None:
         self.server = server
         self.current: Request | None = None
-        self.waiting: list[Incoming] = []  # came before the answer to the one before
-        self.keep = True
+        self.waiting: list[IncomingRequest] = []  # pipelined requests, waiting for the current one
+        self.keep_alive = True
         self.receiving = False
-        self.due_us = 0  # by when the first request, or the one that comes in, must have moved on; 0: none
+        self.due_us = 0  # when the first request, or the one being received, is timed out; 0: never
         self.stage = Stage.OPEN
-        self.congested = False  # whether the caller does not take what we write
-        self.blocked_since_us = 0
-        self.fault: Rejected | None = None
-        self._http_1_1 = True  # of the request that is served, as the next
-        self._served: Upload | None = None  # its body, where that is passed on as it comes
-        self._incoming: Incoming | None = None  # its head, once that is whole
-        self._source: Source | None = None  # where an answer comes from that is passed on
-        self._chunked = False  # how that answer is framed
+        self.congested = False  # the write buffer is full: the caller reads too slowly
+        self.write_blocked_since_us = 0
+        self.rejection: RequestRejected | None = None
+        self._http_1_1 = True  # whether the current request is HTTP/1.1
+        self._current_upload: Upload | None = None  # its body, if that is forwarded while it is received
+        self._incoming: IncomingRequest | None = None  # the request being received, once its head is complete
+        self._answer_source: Source | None = None  # the source of an answer that is being forwarded
+        self._answer_chunked = False  # whether that answer is written chunked
         self._paused = False
-        self._unfed = b""  # read, but not parsed yet
-        self._read_us = 0  # when that, or what is parsed, was read
-        self._linger: asyncio.TimerHandle | None = None
-        self._first = True  # no answer has been given yet
+        self._unfed = b""  # input read but not yet parsed
+        self._last_read_us = 0  # when the last input was read
+        self._close_timer: asyncio.TimerHandle | None = None
+        self._awaiting_first_answer = True
         self.parser = httptools.HttpRequestParser(self)
 
     # --- the socket ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # Not `isinstance`: uvloop's transports only have the shape of asyncio's.
+        # A cast, not `isinstance`: uvloop's transports don't subclass asyncio's.
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=self.server.most_kept)
-        self.quiet_since_us = now_us()
-        self.due_us = self.quiet_since_us + int(READ_S * 1e6)
-        self.server.joined(self)
+        self.idle_since_us = now_us()
+        self.due_us = self.idle_since_us + int(READ_S * 1e6)
+        self.server.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        self._read_us = now_us()
-        if not self._unfed and (nbytes <= PIECE or self._heads(nbytes) <= MOST_HEADS):
-            self._feed(memoryview(self._buffer)[:nbytes])
+        self._last_read_us = now_us()
+        if not self._unfed and (nbytes <= PIECE or self._count_heads(nbytes) <= MOST_HEADS):
+            self._parse(memoryview(self._buffer)[:nbytes])
         else:
             self._unfed += memoryview(self._buffer)[:nbytes]
-            self._feed_on()
+            self._parse_pending()
 
-    def _heads(self, nbytes: int) -> int:
-        """How many requests may end their heads in what was read."""
+    def _count_heads(self, nbytes: int) -> int:
+        """An upper bound of the number of request heads that end in this read."""
         return self._buffer.count(b"\n\r\n", 0, nbytes) + self._buffer.count(b"\n\n", 0, nbytes)
 
-    def _feed_on(self) -> None:
-        """Parse what was read, up to a request that has to wait: parsed, it takes many times the room."""
-        while self._unfed and not self.waiting and self.stage in READING:
-            piece, self._unfed = self._unfed[:PIECE], self._unfed[PIECE:]
-            self._feed(piece)
-        if self.stage not in READING:
+    def _parse_pending(self) -> None:
+        """Parse pending input until a request has to wait; parsed requests take many times the memory."""
+        while self._unfed and not self.waiting and self.stage in READING_STAGES:
+            part, self._unfed = self._unfed[:PIECE], self._unfed[PIECE:]
+            self._parse(part)
+        if self.stage not in READING_STAGES:
             self._unfed = b""
         self.flow()
 
-    def _feed(self, data: bytes | memoryview) -> None:
-        if self.stage not in READING:
+    def _parse(self, data: bytes | memoryview) -> None:
+        if self.stage not in READING_STAGES:
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self.stage = Stage.LAST  # the request itself was taken, and its answer closes the connection
+            # The request itself is served, and its answer closes the connection.
+            self.stage = Stage.NO_MORE_INPUT
         except httptools.HttpParserError:
-            self.stop(self.fault or Rejected(400, "malformed HTTP"))
+            self.stop_reading(self.rejection or RequestRejected(400, "malformed HTTP"))
 
-    def stop(self, fault: Rejected) -> None:
-        """Read nothing more; the answer comes in its turn, and the connection closes after it."""
+    def stop_reading(self, rejection: RequestRejected) -> None:
+        """Stop parsing input; the rejection is answered in order and closes the connection."""
         if self.stage is Stage.DISCARDING:
-            self.shut()
+            self.half_close()
         if self.stage is not Stage.OPEN:
             return
-        self.stage = Stage.LAST
+        self.stage = Stage.NO_MORE_INPUT
         incoming, self._incoming = self._incoming, None
         if incoming is None or incoming.upload is None:
-            self._accept(Incoming(fault))
+            self._serve_or_queue(IncomingRequest(rejection))
         elif self.current is not None and self.current.upload is incoming.upload:
-            self.server.count(f"{fault.status} {fault}, amid a body")
-            self.server.host.withdraw(self.current, fault.status, f"{fault}\n".encode())
-        else:  # it waits for its turn already
-            incoming.fault = fault
+            self.server.count_failure(f"{rejection.status} {rejection}, amid a body")
+            self.server.host.withdraw(self.current, rejection.status, f"{rejection}\n".encode())
+        else:  # it is already in the queue
+            incoming.rejection = rejection
 
     def eof_received(self) -> bool:
-        return False  # a caller that closes has gone away, whatever it still could read
+        return False  # a half-closed connection counts as closed by the caller
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.stage = Stage.LOST
-        if self._linger is not None:
-            self._linger.cancel()
-            self._linger = None
-        del self.parser  # it calls back into this object: a cycle, and those would pile up
+        self.stage = Stage.CLOSED
+        if self._close_timer is not None:
+            self._close_timer.cancel()
+            self._close_timer = None
+        del self.parser  # breaks a reference cycle; such cycles would accumulate until a full collection
         self.waiting.clear()
         self._unfed = b""
-        self._incoming = self._source = self._served = None
-        self.server.left(self)
-        current = self._over()
+        self._incoming = self._answer_source = self._current_upload = None
+        self.server.on_disconnected(self)
+        current = self._release_current()
         if current is not None:
             self.server.host.gone(current)
 
-    def _over(self) -> Request | None:
-        """The request that was served is so no longer."""
+    def _release_current(self) -> Request | None:
+        """Detach and return the current request, if any."""
         current, self.current = self.current, None
         if current is not None:
-            self.server.forget(current.id)
+            self.server.release_id(current.id)
             self.server.host.figures.inflight -= current.whole
         return current
 
     def flow(self) -> None:
-        """Read on, or stop reading, as what has come is taken."""
+        """Pause or resume reading, depending on waiting requests and the congestion of the upload."""
         upload = self._incoming.upload if self._incoming is not None else None
         pause = bool(self.waiting) or (upload is not None and upload.congested)
         if pause == self._paused or self.transport.is_closing():
             return
         self._paused = pause
         if pause:
-            self.due_us = 0  # it is not the caller who keeps us waiting
+            self.due_us = 0  # no timeout: the delay is not the caller's
             self.transport.pause_reading()
         else:
             if self.receiving:
@@ -245,19 +251,19 @@
 
     def pause_writing(self) -> None:
         self.congested = True
-        self.blocked_since_us = now_us()
-        if self._source is not None:
-            self._source.flow()
+        self.write_blocked_since_us = now_us()
+        if self._answer_source is not None:
+            self._answer_source.flow()
 
     def resume_writing(self) -> None:
         self.congested = False
-        self.blocked_since_us = 0
-        if self._source is not None:
-            self._source.flow()
+        self.write_blocked_since_us = 0
+        if self._answer_source is not None:
+            self._answer_source.flow()
         elif self.waiting:
-            self._next()
+            self._schedule_next()
 
-    # --- the parser's calls ---
+    # --- parser callbacks ---
 
     def on_message_begin(self) -> None:
         self.receiving = True
@@ -265,74 +271,74 @@
         self._url = b""
         self._headers: Headers = []
         self._body: list[bytes] = []
-        self._head_size = self._body_size = 0
+        self._head_bytes = self._body_bytes = 0
 
     def on_url(self, url: bytes) -> None:
         self._url += url
-        self._grow_head(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self._grow_head(len(name) + len(value))
-        if self._incoming is None:  # what comes after the body, trailers, belongs to the way it came by
-            # The parser leaves the white space that may follow a value, which is no part of it.
+        self._count_head_bytes(len(name) + len(value))
+        if self._incoming is None:  # trailers are dropped: they belong to this hop's chunked coding
+            # The parser doesn't strip optional white space after a value.
             self._headers.append((name, value.strip(b" \t")))
 
-    def _grow_head(self, size: int) -> None:
-        self._head_size += size
-        if self._head_size > MAX_HEAD:
-            self._fault(Rejected(431, "the headers are too long"))
+    def _count_head_bytes(self, size: int) -> None:
+        self._head_bytes += size
+        if self._head_bytes > MAX_HEAD_BYTES:
+            self._reject(RequestRejected(431, "the headers are too long"))
 
     def on_headers_complete(self) -> None:
-        incoming = self._incoming = Incoming()
+        incoming = self._incoming = IncomingRequest()
         incoming.method = self.parser.get_method()
         incoming.url = self._url
         incoming.headers = self._headers
         incoming.http_1_1 = self.parser.get_http_version() == "1.1"
-        incoming.keep = incoming.http_1_1 and self.parser.should_keep_alive()
+        incoming.keep_alive = incoming.http_1_1 and self.parser.should_keep_alive()
         try:
             length, chunked = framing(self._headers)
         except FramingError as error:
-            self._fault(Rejected(501, str(error)))
+            self._reject(RequestRejected(501, str(error)))
         if length is None and not chunked:
             return
         now = now_us()
         if self.due_us:
             self.due_us = max(self.due_us, now + int(BODY_S * 1e6))
-        if (length or 0) > MOST_BODY:
-            self._fault(Rejected(413, "the body is too long"))
-        incoming.expects = incoming.http_1_1 and any(
+        if (length or 0) > MAX_BODY_BYTES:
+            self._reject(RequestRejected(413, "the body is too long"))
+        incoming.expects_continue = incoming.http_1_1 and any(
             len(name) == 6 and name.lower() == b"expect" and value.lower() == b"100-continue"
             for name, value in incoming.headers
         )
-        if incoming.expects and self.current is None and not self.waiting:
+        if incoming.expects_continue and self.current is None and not self.waiting:
             try:
-                self._invite(incoming)
-            except Rejected as rejected:
-                self._fault(rejected)
+                self._send_continue(incoming)
+            except RequestRejected as rejected:
+                self._reject(rejected)
         if (length or 0) > self.server.most_kept:
-            self._pass_on(incoming, length)
+            self._start_upload(incoming, length)
 
-    def _invite(self, incoming: Incoming) -> None:
-        """Ask for the body, where nothing is wrong with the head."""
-        incoming.expects = False
-        self.server.check(incoming)
+    def _send_continue(self, incoming: IncomingRequest) -> None:
+        """Ask for the body with `100 Continue` if the head is valid."""
+        incoming.expects_continue = False
+        self.server.check_head(incoming)
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _pass_on(self, incoming: Incoming, length: int | None) -> None:
-        """The body is too large to be kept: it is taken with its head, and passed on as it comes."""
+    def _start_upload(self, incoming: IncomingRequest, length: int | None) -> None:
+        """Serve the request before its body, which is too large to buffer and is forwarded as received."""
         incoming.upload = Upload(length, self.server.most_kept, self, self._body)
         incoming.arrived_us = now_us()
         self._body = []
-        self._accept(incoming)
+        self._serve_or_queue(incoming)
 
     def on_body(self, body: bytes) -> None:
-        self._body_size += len(body)
+        self._body_bytes += len(body)
         if self.due_us:
             now = now_us()
-            moved = self.due_us + len(body) * 1_000_000 // BODY_RATE
-            self.due_us = min(moved, now + int(READ_S * 1e6))
-        if self._body_size > MOST_BODY:
-            self._fault(Rejected(413, "the body is too long"))
+            extended_us = self.due_us + len(body) * 1_000_000 // MIN_BODY_BYTES_PER_S
+            self.due_us = min(extended_us, now + int(READ_S * 1e6))
+        if self._body_bytes > MAX_BODY_BYTES:
+            self._reject(RequestRejected(413, "the body is too long"))
         incoming = self._incoming
         if incoming is None or self.stage is Stage.DISCARDING:
             return
@@ -341,25 +347,25 @@
             self.flow()
             return
         self._body.append(body)
-        if self._body_size > self.server.most_kept:
-            self._pass_on(incoming, None)
+        if self._body_bytes > self.server.most_kept:
+            self._start_upload(incoming, None)
 
-    def _fault(self, fault: Rejected) -> None:
-        self.fault = fault
-        raise fault
+    def _reject(self, rejection: RequestRejected) -> None:
+        self.rejection = rejection
+        raise rejection
 
     def on_message_complete(self) -> None:
         self.receiving = False
         self.due_us = 0
         incoming, self._incoming = self._incoming, None
         if self.stage is Stage.DISCARDING or incoming is None:
-            self.shut()
+            self.half_close()
             return
-        incoming.keep = incoming.keep and not self.parser.should_upgrade()
+        incoming.keep_alive = incoming.keep_alive and not self.parser.should_upgrade()
         if incoming.upload is None:
             incoming.body = b"".join(self._body)
-            incoming.arrived_us = self._read_us
-            self._accept(incoming)
+            incoming.arrived_us = self._last_read_us
+            self._serve_or_queue(incoming)
             return
         incoming.upload.finish()
         incoming.arrived_us = now_us()
@@ -367,190 +373,199 @@
             self.server.host.figures.inflight += 1
             self.server.host.came_whole(self.current)
 
-    # --- one request after another ---
+    # --- serving requests in order ---
 
     @property
     def busy(self) -> bool:
-        """Whether a request is on this connection, or has begun to come."""
-        return self.current is not None or bool(self.waiting) or (self.receiving and self.stage in READING)
+        """Whether a request is being served, is queued or is being received."""
+        return (
+            self.current is not None
+            or bool(self.waiting)
+            or (self.receiving and self.stage in READING_STAGES)
+        )
 
     @property
-    def unheard(self) -> bool:
-        """Whether nothing has come whole on this connection yet."""
-        return self._first and self.receiving and self.current is None and not self.waiting
+    def receiving_first_request(self) -> bool:
+        """Whether the first request of this connection is still being received."""
+        return self._awaiting_first_answer and self.receiving and self.current is None and not self.waiting
 
-    def resting(self) -> bool:
-        """Whether closing costs nothing: no request, none unread in the kernel, and no answer still here.
+    def can_close(self) -> bool:
+        """Whether the connection is idle: no request, no unread input in the kernel and no unsent answer.
 
-        The loop may not have come to what has arrived. A close over it would reset the connection.
+        The event loop may not have processed input that has arrived; closing then would reset the connection.
         """
         if self.busy or self.transport.get_write_buffer_size():
             return False
-        return self.stage is Stage.SHUT or not self._kernel_has(select.POLLIN)
+        return self.stage is Stage.HALF_CLOSED or not self._poll_socket(select.POLLIN)
 
     def left_unread(self) -> bool:
-        """Whether the caller has closed and the loop has not told of it; ends it.
+        """Whether the caller has closed the connection; aborts it if the event loop has not noticed yet.
 
-        While nothing is read it would never tell, and a loop that was held up has timers and others' bytes
-        to deal with first.
+        The event loop doesn't notice while reading is paused, and after a delay it may process timers and
+        other connections first.
         """
         if not self.transport.is_closing():
-            if not self._kernel_has(select.POLLRDHUP):
+            if not self._poll_socket(select.POLLRDHUP):
                 return False
             self.transport.abort()
         return True
 
-    def _kernel_has(self, event: int) -> bool:
+    def _poll_socket(self, event: int) -> bool:
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), event)
         return bool(poll.poll(0))
 
-    def _accept(self, incoming: Incoming) -> None:
+    def _serve_or_queue(self, incoming: IncomingRequest) -> None:
         if self.current is not None or self.waiting or self.congested:
             self.waiting.append(incoming)
             self.flow()
             return
         self._serve(incoming)
 
-    def _serve(self, incoming: Incoming) -> None:
-        self.keep = incoming.keep
+    def _serve(self, incoming: IncomingRequest) -> None:
+        self.keep_alive = incoming.keep_alive
         self._http_1_1 = incoming.http_1_1
-        self._served = incoming.upload
+        self._current_upload = incoming.upload
         try:
             request = self.server.admit(self, incoming)
-        except Rejected as rejected:
-            self.server.count(f"{rejected.status} {rejected}")
+        except RequestRejected as rejected:
+            self.server.count_failure(f"{rejected.status} {rejected}")
             self.answer(rejected.status, [], f"{rejected}\n".encode())
             return
         except Exception:
-            # It has not reached the module, but what was asked for is unclear: no promise is made.
-            log.exception("a request could not be read", target=incoming.url[:200].decode("latin-1"))
+            # The balancer has not seen the request, but its content is unclear: don't declare it not run.
+            log.exception(
+                "unexpected error while reading a request", target=incoming.url[:200].decode("latin-1")
+            )
             self.answer(500, [], b"")
             return
         if request is not None:
             self.current = request
-            self.server.open_ids.add(request.id)
+            self.server.open_request_ids.add(request.id)
             self.server.host.figures.inflight += request.whole
             self.server.host.take(request)
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write an answer; the connection closes after it where the caller, the input or our end asks so."""
-        lines = self._answer_begins(status, headers)
+        """Write a complete answer; then close if the caller, its input or a shutdown requires it."""
+        lines = self._answer_head_lines(status, headers)
         lines.append(b"Content-Length: %d" % len(body))
         self.transport.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
-        self._answer_ends(status)
-
-    def _answer_begins(self, status: int, headers: Headers) -> list[bytes]:
-        # Rule 1: what waits behind this request was taken too, so it is answered even while we drain.
-        self.keep = (
-            self.keep and not self._unread() and (bool(self.waiting) or self.server.intake is Intake.OPEN)
+        self._on_answer_complete(status)
+
+    def _answer_head_lines(self, status: int, headers: Headers) -> list[bytes]:
+        # Every accepted request is answered, and pipelined requests are accepted: a drain doesn't drop them.
+        self.keep_alive = (
+            self.keep_alive
+            and not self._body_incomplete()
+            and (bool(self.waiting) or self.server.intake is Intake.OPEN)
         )
-        lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
+        lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status])]
         lines += [b"%s: %s" % header for header in headers if header[0].lower() not in HOP_BY_HOP]
-        if not self.keep:
+        if not self.keep_alive:
             lines.append(b"Connection: close")
         return lines
 
-    def _answer_ends(self, status: int) -> None:
-        self._source = None
-        current = self._over()
+    def _on_answer_complete(self, status: int) -> None:
+        self._answer_source = None
+        current = self._release_current()
         if current is not None:
-            self.server.host.figures.ended(current.grade, status)
-        self.quiet_since_us = now_us()
-        self._first = False
-        self.server.served(self)
-        if self.keep:
-            self._next()
+            self.server.host.figures.count_answer(current.grade, status)
+        self.idle_since_us = now_us()
+        self._awaiting_first_answer = False
+        self.server.on_answered(self)
+        if self.keep_alive:
+            self._schedule_next()
         else:
-            self._finish()
+            self._close_after_answer()
 
-    # --- an answer that is passed on as it comes ---
+    # --- forwarding an answer while it is received ---
 
     def begin(self, head: Response, source: Source) -> CallerConnection:
         length = head.framing.length
-        self._chunked = length is None and self._http_1_1
+        self._answer_chunked = length is None and self._http_1_1
         if length is None and not self._http_1_1:
-            self.keep = False  # such a caller knows no chunks: the connection's end is the answer's
-        lines = self._answer_begins(200, head.headers)
-        if self._chunked:
+            # HTTP/1.0 has no chunked coding: the end of the connection ends the answer.
+            self.keep_alive = False
+        lines = self._answer_head_lines(200, head.headers)
+        if self._answer_chunked:
             lines.append(b"Transfer-Encoding: chunked")
         elif length is not None:
             lines.append(b"Content-Length: %d" % length)
         self.transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
-        self._source = source
+        self._answer_source = source
         return self
 
     def pass_on(self, data: bytes) -> None:
-        self.transport.write(frame(data) if self._chunked else data)
+        self.transport.write(frame(data) if self._answer_chunked else data)
 
     def finish(self) -> None:
-        if self._chunked:
+        if self._answer_chunked:
             self.transport.write(LAST_CHUNK)
-        self._answer_ends(200)
+        self._on_answer_complete(200)
 
     def break_off(self) -> None:
-        """The caller must be able to tell that the answer is not whole: its connection is reset."""
-        current = self._over()
-        if current is None:  # the caller has gone
+        """Reset the connection, so that the caller can tell that the answer is incomplete."""
+        current = self._release_current()
+        if current is None:  # the caller has disconnected
             return
-        self.server.host.figures.ended(current.grade, 502)
-        self.server.count("answer broken off")
-        self._source = None
-        self.stage = Stage.LOST
+        self.server.host.figures.count_answer(current.grade, 502)
+        self.server.count_failure("answer broken off")
+        self._answer_source = None
+        self.stage = Stage.CLOSED
         sock: Any = self.transport.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         self.transport.abort()
 
-    # --- the next request, or the end ---
+    # --- the next request, or closing the connection ---
 
-    def _next(self) -> None:
-        if self._incoming is not None and self._incoming.expects and not self.waiting:
+    def _schedule_next(self) -> None:
+        if self._incoming is not None and self._incoming.expects_continue and not self.waiting:
             try:
-                self._invite(self._incoming)
-            except Rejected as rejected:
-                self.stop(rejected)
+                self._send_continue(self._incoming)
+            except RequestRejected as rejected:
+                self.stop_reading(rejected)
         if self.waiting and not self.congested:
-            # Later: the answer may have come from within a call that still works on the last request.
-            asyncio.get_running_loop().call_soon(self._resume)
+            # Deferred: the answer may be written from within a call that still uses the previous request.
+            asyncio.get_running_loop().call_soon(self._serve_next)
 
-    def _resume(self) -> None:
+    def _serve_next(self) -> None:
         if not self.waiting or self.current is not None or self.congested:
             return
         if self.left_unread():
             return
         incoming = self.waiting.pop(0)
         self._serve(incoming)
-        self._feed_on()
+        self._parse_pending()
 
-    def _unread(self) -> bool:
-        """Whether the body of the request that is answered is still coming in."""
-        return self._served is not None and not self._served.whole
+    def _body_incomplete(self) -> bool:
+        """Whether the body of the current request is still being received."""
+        return self._current_upload is not None and not self._current_upload.whole
 
-    def _finish(self) -> None:
-        """Close, but not before the caller has had time to read why.
+    def _close_after_answer(self) -> None:
+        """Close the connection, but give the caller time to read the answer.
 
-        A caller in the midst of a body may look for an answer only after it: what comes is read and
-        thrown away.
+        A caller may read an answer only after it has sent its whole body, so the rest of a body is read and
+        dropped.
         """
-        if self._served is not None and self._unread():
-            self._served.give_up()
-        if self.stage is Stage.OPEN and self._unread():
+        if self._current_upload is not None and self._body_incomplete():
+            self._current_upload.give_up()
+        if self.stage is Stage.OPEN and self._body_incomplete():
             self.stage = Stage.DISCARDING
             self.waiting.clear()
-            self.flow()  # Danger: no parsing here, for the answer may have come from within the parser
+            self.flow()  # don't parse here: the answer may be written from within the parser
         else:
-            self.shut()
+            self.half_close()
 
-    def shut(self) -> None:
-        """End our side once all is written, and read on, into nothing, until the caller ends its own.
+    def half_close(self) -> None:
+        """Close our side once everything is written; read and drop input until the caller closes too.
 
-        Danger: a socket that is closed over unread input resets the connection, and an answer that is still
-        on its way goes with it. What the caller sends from here on it sends again elsewhere: it gets our end
-        and no answer. It is never served.
+        Closing a socket that has unread input resets the connection, which can discard an answer in transit.
+        Requests received from here on are never served: the caller sees the close without an answer and can
+        send them again elsewhere.
         """
-        if self.stage in (Stage.SHUT, Stage.LOST):
+        if self.stage in (Stage.HALF_CLOSED, Stage.CLOSED):
             return
-        self.stage = Stage.SHUT
+        self.stage = Stage.HALF_CLOSED
         self.due_us = 0
         self.waiting.clear()
         self._unfed = b""
@@ -558,47 +573,51 @@
         self.flow()
         if not self.transport.is_closing():
             self.transport.write_eof()
-            self._linger_on(now_us() + int(STALL_S * 1e6))
+            self._schedule_close(now_us() + int(STALL_S * 1e6))
 
-    def _linger_on(self, latest_us: int) -> None:
-        self._linger = asyncio.get_running_loop().call_later(LINGER_S, self._close, latest_us)
+    def _schedule_close(self, close_by_us: int) -> None:
+        self._close_timer = asyncio.get_running_loop().call_later(
+            LINGER_S, self._close_unless_reading, close_by_us
+        )
 
-    def _close(self, latest_us: int) -> None:
-        """The caller keeps its side open: end all the same, though not while it still reads."""
-        if self._unsent() and now_us() < latest_us:
-            self._linger_on(latest_us)
+    def _close_unless_reading(self, close_by_us: int) -> None:
+        """Abort a connection that the caller keeps open, unless it is still reading its answer."""
+        if self._has_undelivered_output() and now_us() < close_by_us:
+            self._schedule_close(close_by_us)
         else:
             self.transport.abort()
 
-    def _unsent(self) -> bool:
-        """Whether some of what was written has not reached the caller's machine."""
+    def _has_undelivered_output(self) -> bool:
+        """Whether some of the output has not been acknowledged by the caller's host."""
         if self.transport.get_write_buffer_size():
             return True
         unacknowledged = bytearray(4)
         try:
             fcntl.ioctl(self.transport.get_extra_info("socket").fileno(), termios.TIOCOUTQ, unacknowledged)
         except OSError:
-            return False  # it can't be told here
+            return False  # not supported on this platform
         return any(unacknowledged)
 
-    def end(self) -> None:
-        """The process ends: what is half here is refused, what rests is closed, what waits has its turn."""
+    def shut_down(self) -> None:
+        """On process exit: reject an incomplete request or close if idle; queued requests are answered."""
         if self.receiving:
-            self.stop(Rejected(503, ENDS))
-        elif self.resting():
-            self.shut()
+            self.stop_reading(RequestRejected(503, SHUTTING_DOWN))
+        elif self.can_close():
+            self.half_close()
 
     def look_after(self, now: int) -> None:
-        """Guards the descriptors against callers that never begin, or never finish, what they do."""
-        if self.blocked_since_us and now - self.blocked_since_us > STALL_S * 1e6:
-            self.server.count("does not read its answer")
+        """Time out callers that don't send or don't read, so that they don't hold descriptors."""
+        if self.write_blocked_since_us and now - self.write_blocked_since_us > STALL_S * 1e6:
+            self.server.count_failure("does not read its answer")
             self.transport.abort()
         elif self._paused and self.left_unread():
             pass
-        elif self.due_us and self.stage in READING and now >= self.due_us:
-            if self.receiving and self.stage is Stage.OPEN:  # the answer closes the connection
-                self.stop(Rejected(408, "the request did not come whole"))
+        elif self.due_us and self.stage in READING_STAGES and now >= self.due_us:
+            if self.receiving and self.stage is Stage.OPEN:  # its answer closes the connection
+                self.stop_reading(RequestRejected(408, "the request did not come whole"))
             else:
                 discarding = self.stage is Stage.DISCARDING
-                self.server.count("body stalled after its answer" if discarding else "no request came")
-                self.shut()
+                self.server.count_failure(
+                    "body stalled after its answer" if discarding else "no request came"
+                )
+                self.half_close()
--- a/eiderhub/sidecar/clock.py
+++ b/eiderhub/sidecar/clock.py
@@ -1,4 +1,4 @@
-"""The monotonic clock in integer microseconds, and alarms that never go off early."""
+"""The monotonic clock in integer microseconds, and timers that never fire early."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 import time
 from collections.abc import Callable
 
-# Unix time less monotonic time. Taken once: a start time converted anew with each list would look like a
-# restart of the endpoint whenever the system's clock is set.
+# Unix time minus monotonic time, taken once. If it were computed for every list, a step of the system clock
+# would shift the endpoints' start times and look like a restart of each endpoint.
 UNIX_OFFSET_US = (time.time_ns() - time.monotonic_ns()) // 1000
 
 
@@ -18,8 +18,8 @@
 class Alarm:
     """Calls back once the clock has reached `due_us`.
 
-    The loop keeps time in whole milliseconds and rounds: a plain `call_later` may come up to one too early,
-    and the module would find its own deadline still ahead.
+    The event loop rounds times to whole milliseconds, so a plain `call_later` may fire up to 1 ms early, when
+    the balancer's deadline has not been reached yet.
     """
 
     __slots__ = ("_callback", "_handle", "due_us")
@@ -27,15 +27,15 @@
     def __init__(self, due_us: int, callback: Callable[[], object]) -> None:
         self.due_us = due_us
         self._callback = callback
-        self._arm()
+        self._schedule()
 
-    def _arm(self) -> None:
+    def _schedule(self) -> None:
         delay = max(0, self.due_us - now_us()) / 1e6
-        self._handle = asyncio.get_running_loop().call_later(delay + 0.0005, self._ring)
+        self._handle = asyncio.get_running_loop().call_later(delay + 0.0005, self._on_timer)
 
-    def _ring(self) -> None:
+    def _on_timer(self) -> None:
         if now_us() < self.due_us:
-            self._arm()
+            self._schedule()
         else:
             self._callback()
 
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told at its start: the environment and the file that it names, TOML or JSON."""
+"""The configuration of a sidecar: environment variables and the TOML or JSON file that they name."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 from eiderhub.registry.settings import Follow, Register
 from eiderhub.settings import Setup
 from eiderhub.sidecar.discovery import DiscoveryResponse, Listing, readable
-from eiderhub.sidecar.logs import LINES_PER_S, Form
+from eiderhub.sidecar.logs import DEFAULT_LINES_PER_S, Form
 
-SOCKETS = 1024  # descriptors, where the configuration states no limit
-MEMORY_MB = 128  # likewise
+DEFAULT_SOCKETS = 1024  # file descriptors, if the configuration sets no limit
+DEFAULT_MEMORY_MB = 128  # if the configuration sets no limit
 
 
-PEOPLE_ONLY = ("registry", "register", "regions")  # tables that only TOML may have
+TOML_ONLY_TABLES = ("registry", "register", "regions")
 
 
 class ConfigError(Exception):
-    """A configuration that no sidecar can start from, worded for those on call."""
+    """The configuration is invalid; the message is written for operators."""
 
 
 class Bounds(Struct, frozen=True, kw_only=True):
-    """What the process may use."""
+    """Resource limits of the process."""
 
-    cores: Annotated[float, Meta(gt=0)] = 1.0  # the platform's to enforce
-    memory_mb: Annotated[float, Meta(gt=0)] = MEMORY_MB
-    sockets: Annotated[int, Meta(ge=1)] = SOCKETS
+    cores: Annotated[float, Meta(gt=0)] = 1.0  # enforced by the platform, not here
+    memory_mb: Annotated[float, Meta(gt=0)] = DEFAULT_MEMORY_MB
+    sockets: Annotated[int, Meta(ge=1)] = DEFAULT_SOCKETS
 
 
 class Log(Struct, frozen=True, kw_only=True):
     form: Form = Form.AUTO
-    lines_per_s: Annotated[int, Meta(ge=1, le=10_000)] = LINES_PER_S
+    lines_per_s: Annotated[int, Meta(ge=1, le=10_000)] = DEFAULT_LINES_PER_S
 
 
 class Document(Struct, frozen=True, kw_only=True):
@@ -51,28 +51,28 @@
 
     settings: Setup
     name: str = ""
-    listen: AddressText | None = None  # where callers connect
+    listen: AddressText | None = None  # for callers
     discovery: AddressText | None = None
     management: Annotated[str, Meta(pattern="^$|" + PATTERN, description="an address:port")] = ""
     seed: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]*$", description="a hexadecimal number")] | int = ""
     limits: Bounds = Bounds()
     log: Log = Log()
-    known: DiscoveryResponse | None = None  # the list of endpoints as it was last known
-    registry: Follow | None = None  # the project's own list service, in place of `discovery`
-    register: Register | None = None  # the endpoint beside us, with that service
-    regions: dict[Name, Annotated[list[Name], Meta(min_length=1)]] = {}  # the zones of each
+    known: DiscoveryResponse | None = None  # the last known endpoint list
+    registry: Follow | None = None  # the project's own registry, instead of `discovery`
+    register: Register | None = None  # registers the local endpoint with that registry
+    regions: dict[Name, Annotated[list[Name], Meta(min_length=1)]] = {}  # the zones of each region
 
     def __post_init__(self) -> None:
-        places: dict[str, str] = {}
+        region_by_zone: dict[str, str] = {}
         for region, zones in self.regions.items():
             for zone in zones:
-                if places.setdefault(zone, region) != region:
-                    both = f"{places[zone]} and in {region}"
-                    raise ValueError(f"regions: zone {zone} stands in {both}; leave one out")
+                if region_by_zone.setdefault(zone, region) != region:
+                    both_regions = f"{region_by_zone[zone]} and in {region}"
+                    raise ValueError(f"regions: zone {zone} stands in {both_regions}; leave one out")
         own = self.settings.my_zone
-        if places and own and own not in places:
-            why = f"our own zone {own} (settings.my_zone) is in none; {nearest(own, places)}"
-            raise ValueError(f"regions: {why}")
+        if region_by_zone and own and own not in region_by_zone:
+            reason = f"our own zone {own} (settings.my_zone) is in none; {nearest(own, region_by_zone)}"
+            raise ValueError(f"regions: {reason}")
         if self.register is not None and not self.register.addresses and self.registry is None:
             raise ValueError("register.addresses: missing, and there is no [registry] to take them from")
 
@@ -86,8 +86,8 @@
     sockets: int
     known: Listing
     settings: Settings
-    management: Address | None = None  # where operators call
-    memory: int = MEMORY_MB << 20  # bytes
+    management: Address | None = None  # for operators
+    memory_bytes: int = DEFAULT_MEMORY_MB << 20
     log: Log = field(default_factory=Log)
     tier: str = ""
     follow: Follow | None = None
@@ -95,7 +95,7 @@
 
 
 def parse_address(text: str | None, key: str) -> Address:
-    """An address from the environment, or one that the file has; `key` names where it stands."""
+    """Parse an address from the environment or the file; `key` names the setting in errors."""
     if text is None:
         raise ConfigError(f"{key}: missing")
     try:
@@ -105,34 +105,39 @@
 
 
 def read_document(path: str) -> Document:
-    """A configuration file.
+    """Read a configuration file.
 
     Raises:
-        DocumentError: with all of its faults.
+        DocumentError: with all errors found.
     """
-    document, people = parse_file(Path(path))
-    if not people and isinstance(document, dict):
-        # What the platform's configuration names keeps the platform's meaning, whatever it may come to name.
-        document = {key: value for key, value in document.items() if key not in PEOPLE_ONLY}
-        document["known"] = _sifted(document.get("known"))
-    found: Document = convert(document, Document, path, people)
-    return found
+    document, human_format = parse_file(Path(path))
+    if not human_format and isinstance(document, dict):
+        # JSON files come from the platform, whose format may define these names with other meanings.
+        document = {key: value for key, value in document.items() if key not in TOML_ONLY_TABLES}
+        document["known"] = _without_unreadable(document.get("known"))
+    converted: Document = convert(document, Document, path, human_format)
+    return converted
 
 
-def _sifted(known: Any) -> Any:
-    """The list that was known last, less entries that can't be read: they must not stop the start."""
+def _without_unreadable(known: Any) -> Any:
+    """The last known list without its unreadable entries, which must not prevent a start."""
     if not isinstance(known, dict) or not isinstance(known.get("instances"), list):
         return known
-    found = [entry for entry in known["instances"] if readable(entry)]
-    if len(found) in (0, len(known["instances"])):  # none: its first fault is told
+    readable_entries = [entry for entry in known["instances"] if readable(entry)]
+    # If none is readable, the list is kept, so that its first error is reported.
+    if len(readable_entries) in (0, len(known["instances"])):
         return known
-    return {**known, "instances": found, "unreadable": len(known["instances"]) - len(found)}
+    return {
+        **known,
+        "instances": readable_entries,
+        "unreadable": len(known["instances"]) - len(readable_entries),
+    }
 
 
-def _document(environ: Mapping[str, str]) -> Document:
+def _document_from_environment(environ: Mapping[str, str]) -> Document:
     path = environ.get("GW_CONFIG")
     if not path:
-        raise ConfigError("GW_CONFIG: missing; it names the configuration file")
+        raise ConfigError("GW_CONFIG: not set; it must name the configuration file")
     try:
         return read_document(path)
     except DocumentError as error:
@@ -140,47 +145,47 @@
 
 
 def load_discovery(environ: Mapping[str, str]) -> Address | Follow:
-    """Discovery as the file has it now: after SIGHUP the variable still holds the address before."""
-    document = _document(environ)
+    """The discovery address from the file alone: after SIGHUP the environment variable is out of date."""
+    document = _document_from_environment(environ)
     return document.registry or parse_address(document.discovery, "discovery")
 
 
-def _seed(value: str | int) -> int:
+def _parse_seed(value: str | int) -> int:
     return int(str(value), 16) if value != "" else secrets.randbits(64)
 
 
 def config_of(document: Document, environ: Mapping[str, str]) -> Config:
-    """The variables stand above what the file says of the same."""
+    """Combine the file with the environment variables, which take precedence."""
 
-    def address(variable: str, told: str | None) -> Address:
+    def address(variable: str, file_value: str | None) -> Address:
         text = environ.get(variable)
         return (
             parse_address(text, variable)
             if text
-            else parse_address(told, variable.removeprefix("GW_").lower())
+            else parse_address(file_value, variable.removeprefix("GW_").lower())
         )
 
     tiers: list[Any] = document.settings.tiers
-    places = {zone: region for region, zones in document.regions.items() for zone in zones}
-    managed = environ.get("GW_MANAGEMENT") or document.management
+    region_by_zone = {zone: region for region, zones in document.regions.items() for zone in zones}
+    management_text = environ.get("GW_MANAGEMENT") or document.management
     return Config(
         name=environ.get("GW_NAME") or document.name,
         listen=address("GW_LISTEN", document.listen),
         discovery=Address("", 0) if document.registry else address("GW_DISCOVERY", document.discovery),
-        seed=_seed(document.seed),
+        seed=_parse_seed(document.seed),
         sockets=document.limits.sockets,
         known=document.known.listing() if document.known is not None else Listing(0, True, []),
-        settings=dataclasses.replace(document.settings.settings(), regions=places),
-        management=address("GW_MANAGEMENT", document.management) if managed else None,
-        memory=int(document.limits.memory_mb * (1 << 20)),
+        settings=dataclasses.replace(document.settings.settings(), regions=region_by_zone),
+        management=address("GW_MANAGEMENT", document.management) if management_text else None,
+        memory_bytes=int(document.limits.memory_mb * (1 << 20)),
         log=document.log,
         tier=str(tiers[document.settings.layer]),
         follow=document.registry,
-        register=_with_addresses(document),
+        register=_register_settings(document),
     )
 
 
-def _with_addresses(document: Document) -> Register | None:
+def _register_settings(document: Document) -> Register | None:
     register, follow = document.register, document.registry
     if register is None or register.addresses or follow is None:
         return register
@@ -191,6 +196,6 @@
     """Read the configuration.
 
     Raises:
-        ConfigError: with one line that names what is wrong.
+        ConfigError: with a one-line message that names the error.
     """
-    return config_of(_document(environ), environ)
+    return config_of(_document_from_environment(environ), environ)
--- a/eiderhub/sidecar/figures.py
+++ b/eiderhub/sidecar/figures.py
@@ -1,4 +1,4 @@
-"""The figures that operators read: plain counters, written where things end. Reading changes nothing."""
+"""Request counters for operators; reading them has no side effects."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class Figures:
-    """What has come of requests and attempts since the process began."""
+    """Counts of requests and attempts since the process started."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.success = dict.fromkeys(classes, 0)
         self.busy = dict.fromkeys(self.success, 0)
         self.failure = dict.fromkeys(self.success, 0)
-        self.inflight = 0  # requests that came whole and have not ended
-        self.backend_calls = 0  # attempts written whole
+        self.inflight = 0  # requests received completely and not yet answered
+        self.backend_calls = 0  # attempts whose request has been written completely
 
-    def ended(self, grade: str, status: int) -> None:
-        """A request of this class ended with this answer; one that was broken off counts as failed."""
+    def count_answer(self, request_class: str, status: int) -> None:
+        """Count a final answer by its status; an aborted answer is counted as a failure."""
         if status == 200:
-            self.success[grade] += 1
+            self.success[request_class] += 1
         elif status in (429, 503):
-            self.busy[grade] += 1
+            self.busy[request_class] += 1
         else:
-            self.failure[grade] += 1
+            self.failure[request_class] += 1
 
     def lines(self, hosts_listed: int, hosts_down: int) -> list[str]:
         lines = [
--- a/eiderhub/sidecar/logs.py
+++ b/eiderhub/sidecar/logs.py
@@ -1,4 +1,4 @@
-"""The sidecar's log: one JSON object a line, or a readable form on a terminal, in bounded lines a second."""
+"""Logging setup: one JSON object per line, or text on a terminal, limited to a number of lines per second."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 import structlog
 from structlog.typing import EventDict, Processor, WrappedLogger
 
-LINES_PER_S = 20  # a log that runs full would hold up every request
+DEFAULT_LINES_PER_S = 20  # writing a full log pipe would block every request
 
 
 class Form(Enum):
-    AUTO = "auto"  # readable on a terminal, else JSON
+    AUTO = "auto"  # text on a terminal, JSON otherwise
     JSON = "json"
     TEXT = "text"
 
 
 class Bounded:
-    """Lets through so many lines a second; the next line that goes out tells how many did not."""
+    """Limits the lines per second; the next line written carries the number of dropped lines."""
 
     def __init__(self, lines_per_s: int, clock: Callable[[], float] = time.monotonic) -> None:
-        self._most = lines_per_s
+        self._lines_per_s = lines_per_s
         self._clock = clock
         self._second = 0
         self._count = 0
@@ -37,7 +37,7 @@
         if second != self._second:
             self._second, self._count = second, 0
         self._count += 1
-        if self._count > self._most:
+        if self._count > self._lines_per_s:
             self._dropped += 1
             raise structlog.DropEvent
         if self._dropped:
@@ -45,15 +45,15 @@
         return event
 
 
-def _bound(fields: Mapping[str, Any]) -> Processor:
+def _bind_fields(fields: Mapping[str, Any]) -> Processor:
     def bind(_: WrappedLogger, __: str, event: EventDict) -> EventDict:
         return {**fields, **event}
 
     return bind
 
 
-class _Forward(logging.Handler):
-    """What libraries log, asyncio above all, goes the same way."""
+class _StructlogHandler(logging.Handler):
+    """Forwards the log records of libraries, mainly asyncio, to structlog."""
 
     def emit(self, record: logging.LogRecord) -> None:
         try:
@@ -71,13 +71,13 @@
 def configure(
     fields: Mapping[str, Any],
     form: Form = Form.AUTO,
-    lines_per_s: int = LINES_PER_S,
+    lines_per_s: int = DEFAULT_LINES_PER_S,
     stream: TextIO | None = None,
 ) -> None:
-    """Send all logs of this process to the stream (standard error), with these fields on each line."""
+    """Write all logs of this process to the stream (default: stderr), with these fields on each line."""
     stream = stream or sys.stderr
     readable = form is Form.TEXT or (form is Form.AUTO and stream.isatty())
-    ends: list[Processor] = (
+    renderers: list[Processor] = (
         [structlog.dev.ConsoleRenderer(colors=stream.isatty())]
         if readable
         else [structlog.processors.format_exc_info, structlog.processors.JSONRenderer(_encode)]
@@ -85,13 +85,13 @@
     structlog.configure(
         processors=[
             Bounded(lines_per_s),
-            _bound(fields),
+            _bind_fields(fields),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            *ends,
+            *renderers,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.WriteLoggerFactory(stream),
         cache_logger_on_first_use=True,
     )
-    logging.basicConfig(level=logging.WARNING, handlers=[_Forward()], force=True)
+    logging.basicConfig(level=logging.WARNING, handlers=[_StructlogHandler()], force=True)
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -1,4 +1,4 @@
-"""A sidecar in this process on loopback sockets; tests drive its fake endpoints and discovery."""
+"""A sidecar in the test process on loopback sockets, with fake endpoints and discovery."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from eiderhub.sidecar.process import UPSTREAM_SHARE
 from eiderhub.sidecar.server import Server
 
-PATIENCE_S = 10.0  # a test that waits longer for an event has failed
+TEST_TIMEOUT_S = 10.0  # a test that takes longer has failed
 
 SETUP: dict[str, Any] = {
     "Categories": [
@@ -63,11 +63,11 @@
 }
 
 
-def run(test: Coroutine[Any, Any, None], patience_s: float = PATIENCE_S) -> None:
-    """Run a test on the loop that the sidecar has in service."""
+def run(test: Coroutine[Any, Any, None], timeout_s: float = TEST_TIMEOUT_S) -> None:
+    """Run a test on uvloop, which the sidecar uses in production."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(patience_s):
+        async with asyncio.timeout(timeout_s):
             await test
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
@@ -75,10 +75,10 @@
 
 
 class Message:
-    """A whole HTTP message read off a connection."""
+    """A complete HTTP message."""
 
-    def __init__(self, first: bytes, headers: dict[str, str], body: bytes) -> None:
-        self.first = first.decode()
+    def __init__(self, start_line: bytes, headers: dict[str, str], body: bytes) -> None:
+        self.first = start_line.decode()
         self.headers = headers
         self.body = body
 
@@ -89,21 +89,21 @@
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
     head = await reader.readuntil(b"\r\n\r\n")
-    first, *lines = head[:-4].split(b"\r\n")
+    start_line, *lines = head[:-4].split(b"\r\n")
     headers = {}
     for line in lines:
         name, _, value = line.decode().partition(": ")
         headers[name.lower()] = value
-    return Message(first, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
+    return Message(start_line, headers, await reader.readexactly(int(headers.get("content-length", "0"))))
 
 
-class Asked:
-    """A request as an endpoint or discovery got it; the test says what comes back."""
+class ReceivedRequest:
+    """A request received by a fake server; the test decides on the reply."""
 
     def __init__(self, message: Message, writer: asyncio.StreamWriter, connection: int) -> None:
         self.message = message
         self.writer = writer
-        self.connection = connection  # which of the server's connections it came on
+        self.connection = connection  # number of the server's connection that it arrived on
 
     def reply(self, status: int = 200, body: bytes = b"done", *headers: str) -> None:
         lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
@@ -114,13 +114,13 @@
 
 
 class Fake:
-    """A server whose every request waits for the test's word."""
+    """A server that queues its requests until the test replies."""
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[Asked] = asyncio.Queue()
+        self.asked: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.ends: asyncio.Queue[int] = asyncio.Queue()  # connections that the other side ended
+        self.ends: asyncio.Queue[int] = asyncio.Queue()  # numbers of connections closed by the other side
 
     async def start(self, port: int = 0) -> Fake:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
@@ -133,13 +133,13 @@
         self.writers.append(writer)
         try:
             while True:
-                self.asked.put_nowait(Asked(await read_message(reader), writer, number))
+                self.asked.put_nowait(ReceivedRequest(await read_message(reader), writer, number))
         except (asyncio.IncompleteReadError, ConnectionError):
             self.ends.put_nowait(number)
         finally:
             writer.close()
 
-    async def next(self) -> Asked:
+    async def next(self) -> ReceivedRequest:
         return await self.asked.get()
 
 
@@ -156,63 +156,65 @@
     }
 
 
-def listing(generation: int, reset: bool, *rows: dict[str, Any]) -> bytes:
-    return json.dumps({"generation": generation, "reset": reset, "instances": rows}).encode()
+def listing(generation: int, reset: bool, *entries: dict[str, Any]) -> bytes:
+    return json.dumps({"generation": generation, "reset": reset, "instances": entries}).encode()
 
 
 class Client:
-    """A caller's connection."""
+    """A client connection to the sidecar."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
-        self.serial = 0
+        self.requests_sent = 0
 
     def send(
         self,
-        grade: str = "pay",
+        request_class: str = "pay",
         deadline_ms: int = 2500,
         body: bytes = b"x",
         request_id: str = "",
         **changes: str,
     ) -> None:
-        self.serial += 1
+        self.requests_sent += 1
         headers = {
             "Host": "service.internal",
-            "Req-Id": request_id or f"{id(self):x}{self.serial:04x}",
+            "Req-Id": request_id or f"{id(self):x}{self.requests_sent:04x}",
             "Req-Owner": "acme",
             "Req-Deadline-Ms": str(deadline_ms),
         }
-        if grade == "hold":
+        if request_class == "hold":
             headers["Idempotency-Key"] = "k1"
-        if grade != "look":
+        if request_class != "look":
             headers["Content-Length"] = str(len(body))
         headers.update({name.replace("_", "-"): value for name, value in changes.items()})
-        lines = [f"{'GET' if grade == 'look' else 'POST'} /{grade}/a?b=1 HTTP/1.1"]
+        lines = [f"{'GET' if request_class == 'look' else 'POST'} /{request_class}/a?b=1 HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in headers.items() if value]
-        self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + (body if grade != "look" else b""))
+        self.writer.write(
+            "\r\n".join(lines).encode() + b"\r\n\r\n" + (body if request_class != "look" else b"")
+        )
 
     async def answer(self) -> Message:
         return await read_message(self.reader)
 
-    async def ask(self, grade: str = "pay", **values: Any) -> Message:
-        self.send(grade, **values)
+    async def ask(self, request_class: str = "pay", **values: Any) -> Message:
+        self.send(request_class, **values)
         return await self.answer()
 
 
 class Sidecar:
-    """Host and server, on port 0, with fakes behind them."""
+    """A host and a server on an ephemeral port, with fake endpoints and discovery."""
 
     def __init__(self, endpoints: int = 1, sockets: int = 1024, callers: int = 500, **settings: Any) -> None:
-        self.count = endpoints
-        self.callers = callers
+        self.endpoint_count = endpoints
+        self.max_callers = callers
         self.sockets = sockets
         self.setup = {**SETUP, **settings}
 
     async def __aenter__(self) -> Sidecar:
         self.discovery = await Fake().start()
-        self.endpoints = [await Fake().start() for _ in range(self.count)]
-        rows = [row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
+        self.endpoints = [await Fake().start() for _ in range(self.endpoint_count)]
+        entries = [row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
         host, _, port = self.discovery.address.rpartition(":")
         self.config = Config(
             name="n0",
@@ -220,12 +222,12 @@
             discovery=Address(host, int(port)),
             seed=7,
             sockets=self.sockets,
-            known=read_listing(listing(1, True, *rows)),
+            known=read_listing(listing(1, True, *entries)),
             settings=settings_from(self.setup),
         )
-        self.host = Host(self.config, max(1, int(UPSTREAM_SHARE * self.sockets)), self.config.memory)
+        self.host = Host(self.config, max(1, int(UPSTREAM_SHARE * self.sockets)), self.config.memory_bytes)
         self.sweep = asyncio.create_task(self.host.upstream.sweep())
-        self.server = Server(self.host, self.callers)
+        self.server = Server(self.host, self.max_callers)
         await self.server.bind("127.0.0.1", 0)
         self.host.start()
         await self.server.listener.start_serving()
@@ -243,18 +245,18 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
 
-async def first_asked(sidecar: Sidecar) -> Asked:
-    """The next request that any endpoint gets."""
-    waits = [asyncio.create_task(fake.next()) for fake in sidecar.endpoints]
-    done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+async def first_asked(sidecar: Sidecar) -> ReceivedRequest:
+    """Return the next request at any of the endpoints."""
+    tasks = [asyncio.create_task(fake.next()) for fake in sidecar.endpoints]
+    done, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in pending:
         task.cancel()
     return done.pop().result()
 
 
 async def settled() -> None:
-    """Wait until a connection that has just answered may be used again."""
-    await asyncio.sleep(2 * upstream.SETTLE_US / 1e6)  # timers may come a millisecond early
+    """Wait until a connection may be reused after its last answer."""
+    await asyncio.sleep(2 * upstream.SETTLE_US / 1e6)  # timers may fire 1 ms early
 
 
 def started(tmp_path: Path, changes: dict[str, Any]) -> subprocess.Popen[str]:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""An upgrade: the inherited socket, and processes beside each other."""
+"""Upgrade handover: the inherited socket, the lock files and two processes at a time."""
 
 from __future__ import annotations
 
@@ -17,16 +17,23 @@
 from eiderhub.sidecar import handover
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.config import ConfigError
-from eiderhub.sidecar.handover import LEARNED, PREFIX, Presence, inherited_socket, recollect, remember
+from eiderhub.sidecar.handover import (
+    LOCK_FILE_PREFIX,
+    MEMORY_FILE,
+    ProcessLocks,
+    inherited_socket,
+    read_memory,
+    write_memory,
+)
 from tests.sidecar_support import SETUP, Client, Fake, listing, row, run
 
 
-def test_only_a_listening_socket_is_taken(tmp_path: Path) -> None:
+def test_only_a_listening_socket_is_inherited(tmp_path: Path) -> None:
     assert inherited_socket({}) is None
     with socket.create_server(("127.0.0.1", 0)) as listening:
-        found = inherited_socket({"GW_FD": str(listening.fileno())})
-        assert found is not None and found.getsockname() == listening.getsockname()
-        found.detach()
+        inherited = inherited_socket({"GW_FD": str(listening.fileno())})
+        assert inherited is not None and inherited.getsockname() == listening.getsockname()
+        inherited.detach()
     with socket.socket() as other, (tmp_path / "file").open("w") as file:
         for text in (str(other.fileno()), str(file.fileno()), "9999", "-1", "four", "9" * 30):
             with pytest.raises(ConfigError, match="GW_FD"):
@@ -34,33 +41,35 @@
         assert other.fileno() >= 0 and not file.closed
 
 
-def test_what_is_left_in_the_common_directory_counts_for_nothing(tmp_path: Path) -> None:
-    alone = Presence(str(tmp_path))
-    alone.enter()
-    (tmp_path / f"{PREFIX}1").write_bytes(b"\x00damaged")  # of a process that was killed
-    (tmp_path / f"{PREFIX}2").mkdir()
-    os.mkfifo(tmp_path / f"{PREFIX}3")
-    assert alone.others() == 0
-    assert not (tmp_path / f"{PREFIX}1").exists()
+def test_stale_files_in_the_lock_directory_are_ignored(tmp_path: Path) -> None:
+    locks = ProcessLocks(str(tmp_path))
+    locks.acquire()
+    (tmp_path / f"{LOCK_FILE_PREFIX}1").write_bytes(b"\x00damaged")  # left by a killed process
+    (tmp_path / f"{LOCK_FILE_PREFIX}2").mkdir()
+    os.mkfifo(tmp_path / f"{LOCK_FILE_PREFIX}3")
+    assert locks.count_others() == 0
+    assert not (tmp_path / f"{LOCK_FILE_PREFIX}1").exists()
     for directory in (None, str(tmp_path / "missing")):
-        lost = Presence(directory)
-        lost.enter()
-        assert lost.others() == 0
+        unusable = ProcessLocks(directory)
+        unusable.acquire()
+        assert unusable.count_others() == 0
 
 
-KNOWN = Memory([PoolMemory(1.0, 12.5, 0.2, 0.25)], [EndpointMemory("s-0", 7, 0.5, 1.5, -3)])
+MEMORY = Memory([PoolMemory(1.0, 12.5, 0.2, 0.25)], [EndpointMemory("s-0", 7, 0.5, 1.5, -3)])
 
 
-def test_what_was_learned_is_read_as_it_was_written(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    remember(str(tmp_path), KNOWN)
-    assert recollect(str(tmp_path)) == KNOWN
-    assert [path.name for path in tmp_path.iterdir()] == [LEARNED]
-    remember(str(tmp_path / "missing"), KNOWN)  # which costs nothing
-    assert recollect(str(tmp_path / "missing")) is None
+def test_memory_file_is_read_as_written_until_it_expires(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    write_memory(str(tmp_path), MEMORY)
+    assert read_memory(str(tmp_path)) == MEMORY
+    assert [path.name for path in tmp_path.iterdir()] == [MEMORY_FILE]
+    write_memory(str(tmp_path / "missing"), MEMORY)  # no error
+    assert read_memory(str(tmp_path / "missing")) is None
     written = now_us()
-    for later, known in ((9_000_000, True), (11_000_000, False), (-1_000_000, False)):
+    for later, accepted in ((9_000_000, True), (11_000_000, False), (-1_000_000, False)):
         monkeypatch.setattr(handover, "now_us", lambda later=later: written + later)
-        assert (recollect(str(tmp_path)) is not None) is known
+        assert (read_memory(str(tmp_path)) is not None) is accepted
 
 
 @pytest.mark.parametrize(
@@ -80,14 +89,16 @@
         b'{"at_us": "soon", "pools": [], "endpoints": []}',
     ],
 )
-def test_damaged_memory_is_none(tmp_path: Path, damage: bytes) -> None:
-    (tmp_path / LEARNED).write_bytes(damage.replace(b"%d", b"%d" % now_us()))
-    assert recollect(str(tmp_path)) is None
+def test_damaged_memory_file_is_ignored(tmp_path: Path, damage: bytes) -> None:
+    (tmp_path / MEMORY_FILE).write_bytes(damage.replace(b"%d", b"%d" % now_us()))
+    assert read_memory(str(tmp_path)) is None
 
 
-def start(tmp_path: Path, listening: socket.socket, management: int, known: bytes) -> subprocess.Popen[str]:
+def start_process(
+    tmp_path: Path, listener: socket.socket, management: int, known_list: bytes
+) -> subprocess.Popen[str]:
     path = tmp_path / f"config-{management}.json"
-    listen = f"127.0.0.1:{listening.getsockname()[1]}"
+    listen = f"127.0.0.1:{listener.getsockname()[1]}"
     document = {
         "name": "n0",
         "listen": listen,
@@ -95,17 +106,17 @@
         "discovery": "127.0.0.1:1",
         "seed": "8c1f",
         "settings": SETUP,
-        "known": json.loads(known),
+        "known": json.loads(known_list),
     }
     path.write_text(json.dumps(document), encoding="utf-8")
     environ = {k: v for k, v in os.environ.items() if not k.startswith("GW_")}
-    environ |= {"GW_CONFIG": str(path), "GW_FD": str(listening.fileno()), "TMPDIR": str(tmp_path)}
+    environ |= {"GW_CONFIG": str(path), "GW_FD": str(listener.fileno()), "TMPDIR": str(tmp_path)}
     return subprocess.Popen(
         [sys.executable, "-m", "eiderhub.sidecar"],
         env=environ,
         stderr=subprocess.PIPE,
         text=True,
-        pass_fds=(listening.fileno(),),
+        pass_fds=(listener.fileno(),),
     )
 
 
@@ -115,10 +126,10 @@
         return port
 
 
-async def serving(process: subprocess.Popen[str]) -> None:
+async def wait_until_serving(process: subprocess.Popen[str]) -> None:
     assert process.stderr is not None
     while '"serves"' not in (line := await asyncio.to_thread(process.stderr.readline)):
-        assert line, "the process ended"
+        assert line, "the process exited before it served"
 
 
 async def status(port: int) -> bytes:
@@ -129,39 +140,39 @@
     return answer
 
 
-def test_successor_takes_over_the_socket_and_nothing_is_turned_back(tmp_path: Path) -> None:
+def test_successor_takes_over_the_socket_and_no_request_is_refused(tmp_path: Path) -> None:
     async def test() -> None:
         fake = await Fake().start()
-        known = listing(1, True, row("s-0", fake.address))
+        known_list = listing(1, True, row("s-0", fake.address))
         ports = [free_port(), free_port()]
-        with socket.create_server(("127.0.0.1", 0), backlog=128) as listening:
-            address = listening.getsockname()
-            old = start(tmp_path, listening, ports[0], known)
+        with socket.create_server(("127.0.0.1", 0), backlog=128) as listener:
+            address = listener.getsockname()
+            old = start_process(tmp_path, listener, ports[0], known_list)
             new = None
             try:
-                await serving(old)
-                held = Client(*await asyncio.open_connection(*address))
+                await wait_until_serving(old)
+                waiting = Client(*await asyncio.open_connection(*address))
                 idle = Client(*await asyncio.open_connection(*address))
-                for client in (held, idle):
+                for client in (waiting, idle):
                     client.send()
                     (await fake.next()).reply()
                     assert (await client.answer()).status == 200
-                held.send(deadline_ms=60_000)
-                asked = await fake.next()
-                new = start(tmp_path, listening, ports[1], known)
-                await serving(new)
+                waiting.send(deadline_ms=60_000)
+                request = await fake.next()
+                new = start_process(tmp_path, listener, ports[1], known_list)
+                await wait_until_serving(new)
                 assert await status(ports[1]) == b"OK serving\n"
                 old.send_signal(signal.SIGTERM)
                 while await status(ports[0]) != b"ERR stopping\n":
                     await asyncio.sleep(0.01)
-                asked.reply()
-                for client in (held, idle):  # the last answer of the connection says so
+                request.reply()
+                for client in (waiting, idle):  # the last answer of each connection has `Connection: close`
                     if client is idle:
                         client.send()
                         (await fake.next()).reply()
                     answer = await client.answer()
                     assert (answer.status, answer.headers["connection"]) == (200, "close")
-                for _ in range(20):  # all of them reach the successor
+                for _ in range(20):  # all are accepted by the successor
                     fresh = Client(*await asyncio.open_connection(*address))
                     fresh.send()
                     (await fake.next()).reply()
@@ -175,7 +186,8 @@
                 new.send_signal(signal.SIGTERM)
                 while await status(ports[1]) != b"ERR stopping\n":
                     await asyncio.sleep(0.01)
-                late = Client(*await asyncio.open_connection(*address))  # nobody else would take it
+                # There is no other process to accept this connection.
+                late = Client(*await asyncio.open_connection(*address))
                 late.send()
                 (await fake.next()).reply()
                 assert (await late.answer()).status == 200
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -1,4 +1,4 @@
-"""The operators' calls and the figures, on loopback sockets."""
+"""The management protocol and the metrics, on loopback sockets."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from eiderhub.sidecar import lifecycle
 from eiderhub.sidecar import management as managing
 from eiderhub.sidecar import process as program
-from eiderhub.sidecar.management import MOST, MOST_LINE, Management
+from eiderhub.sidecar.management import MAX_CONNECTIONS, MAX_LINE_BYTES, ManagementServer
 from tests.sidecar_support import Client, Sidecar, listing, row, run
 
 
-class Managed(Sidecar):
-    """A sidecar with its management listener."""
+class ManagedSidecar(Sidecar):
+    """A sidecar with a management listener."""
 
-    async def __aenter__(self) -> Managed:
+    async def __aenter__(self) -> ManagedSidecar:
         await super().__aenter__()
-        self.management = Management(self.server.lifecycle, self.host.figure_lines)
+        self.management = ManagementServer(self.server.lifecycle, self.host.figure_lines)
         await self.management.bind("127.0.0.1", 0)
         return self
 
@@ -30,7 +30,7 @@
         port = self.management.listener.sockets[0].getsockname()[1]
         return await asyncio.open_connection("127.0.0.1", port)
 
-    async def call(self, line: bytes) -> str:
+    async def execute(self, line: bytes) -> str:
         reader, writer = await self.connect()
         writer.write(line)
         answer = await reader.read()
@@ -38,19 +38,19 @@
         return answer.decode()
 
     async def stats(self) -> dict[str, int]:
-        first, *lines, last = (await self.call(b"stats\n")).splitlines()
+        first, *lines, last = (await self.execute(b"stats\n")).splitlines()
         assert (first, last) == ("OK", "END")
         pairs = [line.split("=") for line in lines]
         return {name: int(value) for name, value in pairs}
 
 
-def test_status_says_yes_once_a_list_has_named_endpoints() -> None:
+def test_status_is_ok_once_a_list_has_named_endpoints() -> None:
     async def test() -> None:
-        async with Managed(endpoints=0) as sidecar:
-            assert await sidecar.call(b"status\n") == "ERR starting\n"
-        async with Managed() as sidecar:
-            assert await sidecar.call(b"status\n") == "OK serving\n"
-            assert await sidecar.call(b"status\r\n") == "OK serving\n"
+        async with ManagedSidecar(endpoints=0) as sidecar:
+            assert await sidecar.execute(b"status\n") == "ERR starting\n"
+        async with ManagedSidecar() as sidecar:
+            assert await sidecar.execute(b"status\n") == "OK serving\n"
+            assert await sidecar.execute(b"status\r\n") == "OK serving\n"
 
     run(test())
 
@@ -61,57 +61,57 @@
         (b"reboot\n", "unknown call"),
         (b"\n", "unknown call"),
         (b"\xff\xfe\n", "no plain text"),
-        (b"x" * (MOST_LINE + 1), "too long"),
-        (b"status " + b"x" * MOST_LINE + b"\n", "too long"),
+        (b"x" * (MAX_LINE_BYTES + 1), "too long"),
+        (b"status " + b"x" * MAX_LINE_BYTES + b"\n", "too long"),
     ],
 )
-def test_bad_line_gets_one_error_with_the_reason_and_an_end(line: bytes, reason: str) -> None:
+def test_invalid_line_gets_one_error_with_the_reason_and_a_close(line: bytes, reason: str) -> None:
     async def test() -> None:
-        async with Managed() as sidecar:
-            answer = await sidecar.call(line)
+        async with ManagedSidecar() as sidecar:
+            answer = await sidecar.execute(line)
             assert answer.startswith("ERR ") and reason in answer
             assert answer.count("\n") == 1
-            assert await sidecar.call(b"status\n") == "OK serving\n"
+            assert await sidecar.execute(b"status\n") == "OK serving\n"
 
     run(test())
 
 
-def test_line_may_come_in_pieces_and_an_early_end_costs_nothing() -> None:
+def test_line_may_arrive_in_parts_and_an_early_eof_does_no_harm() -> None:
     async def test() -> None:
-        async with Managed() as sidecar:
+        async with ManagedSidecar() as sidecar:
             reader, writer = await sidecar.connect()
-            for piece in (b"st", b"atus", b"\r", b"\n"):
-                writer.write(piece)
+            for part in (b"st", b"atus", b"\r", b"\n"):
+                writer.write(part)
                 await asyncio.sleep(0)
             assert await reader.read() == b"OK serving\n"
             writer.close()
-            for half in (b"", b"sta"):
+            for incomplete in (b"", b"sta"):
                 reader, writer = await sidecar.connect()
-                writer.write(half)
+                writer.write(incomplete)
                 writer.write_eof()
-                assert (await reader.read()).startswith(b"ERR " if half else b"")
+                assert (await reader.read()).startswith(b"ERR " if incomplete else b"")
                 writer.close()
-            while sidecar.management.waiting:
+            while sidecar.management.connections:
                 await asyncio.sleep(0.01)
 
     run(test())
 
 
-def test_half_lines_are_given_up_and_neither_hold_others_up_nor_pile_up(
+def test_incomplete_lines_time_out_and_neither_block_others_nor_accumulate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        async with Managed() as sidecar:
-            held = []
-            for _ in range(3 * MOST):
+        async with ManagedSidecar() as sidecar:
+            incomplete = []
+            for _ in range(3 * MAX_CONNECTIONS):
                 reader, writer = await sidecar.connect()
                 writer.write(b"stat")
-                held.append((reader, writer))
-            assert await sidecar.call(b"status\n") == "OK serving\n"
-            assert len(sidecar.management.waiting) <= MOST
-            for _, writer in held:
+                incomplete.append((reader, writer))
+            assert await sidecar.execute(b"status\n") == "OK serving\n"
+            assert len(sidecar.management.connections) <= MAX_CONNECTIONS
+            for _, writer in incomplete:
                 writer.close()
-            monkeypatch.setattr(managing, "WAIT_S", 0.05)
+            monkeypatch.setattr(managing, "LINE_TIMEOUT_S", 0.05)
             reader, writer = await sidecar.connect()
             assert (await reader.read()).startswith(b"ERR no whole line")
             writer.close()
@@ -119,22 +119,22 @@
     run(test())
 
 
-def test_figures_are_what_clients_saw() -> None:
+def test_metrics_match_what_clients_received() -> None:
     async def test() -> None:
-        async with Managed(callers=2) as sidecar:
-            zero = await sidecar.stats()
-            assert zero.pop("svc.hosts_listed") == 1
-            assert set(zero.values()) == {0}
+        async with ManagedSidecar(callers=2) as sidecar:
+            initial = await sidecar.stats()
+            assert initial.pop("svc.hosts_listed") == 1
+            assert set(initial.values()) == {0}
             names = ("success", "busy", "failure")
             calls = {f"svc.calls.{c}.{n}" for c in ("look", "hold", "pay") for n in names}
-            assert calls < set(zero)
+            assert calls < set(initial)
             client = await sidecar.client()
 
             client.send("pay")
-            asked = await sidecar.endpoints[0].next()
-            held = await sidecar.stats()
-            assert (held["svc.inflight"], held["svc.backend_calls"]) == (1, 1)
-            asked.reply()
+            request = await sidecar.endpoints[0].next()
+            during = await sidecar.stats()
+            assert (during["svc.inflight"], during["svc.backend_calls"]) == (1, 1)
+            request.reply()
             assert (await client.answer()).status == 200
 
             client.send("pay")
@@ -143,19 +143,19 @@
 
             other = await sidecar.client()
             other.send("look")
-            asked = await sidecar.endpoints[0].next()
+            request = await sidecar.endpoints[0].next()
             client.send("hold")
-            kept = await sidecar.endpoints[0].next()
-            extra = await sidecar.client()  # one more than there may be
+            other_request = await sidecar.endpoints[0].next()
+            extra = await sidecar.client()  # one above the limit
             assert (await extra.ask("look")).status == 503
-            asked.reply()
+            request.reply()
             assert (await other.answer()).status == 200
-            kept.reply()
+            other_request.reply()
             assert (await client.answer()).status == 200
 
-            assert (await client.ask("pay", Req_Id="a b")).status == 400  # no proper request
+            assert (await client.ask("pay", Req_Id="a b")).status == 400  # not a valid request: not counted
 
-            told = await sidecar.stats()
+            final = await sidecar.stats()
             expected = {
                 "svc.calls.pay.success": 1,
                 "svc.calls.pay.failure": 1,
@@ -167,26 +167,26 @@
                 "svc.backend_calls": 4,
                 "svc.hosts_listed": 1,
             }
-            assert {name: told[name] for name in expected} == expected
-            assert await sidecar.stats() == told  # reading changes nothing
+            assert {name: final[name] for name in expected} == expected
+            assert await sidecar.stats() == final  # reading has no side effects
 
     run(test())
 
 
-def test_refusal_by_the_module_and_failure_by_time_are_told_apart() -> None:
+def test_refusals_and_timeouts_are_counted_separately() -> None:
     async def test() -> None:
-        async with Managed(endpoints=0) as sidecar:
+        async with ManagedSidecar(endpoints=0) as sidecar:
             client = await sidecar.client()
             assert (await client.ask("look", deadline_ms=300)).status == 503
-            told = await sidecar.stats()
-            assert (told["svc.calls.look.busy"], told["svc.inflight"]) == (1, 0)
-        async with Managed() as sidecar:
+            metrics = await sidecar.stats()
+            assert (metrics["svc.calls.look.busy"], metrics["svc.inflight"]) == (1, 0)
+        async with ManagedSidecar() as sidecar:
             client = await sidecar.client()
             client.send("pay", deadline_ms=800)
             await sidecar.endpoints[0].next()
             assert (await client.answer()).status == 504
-            told = await sidecar.stats()
-            assert (told["svc.calls.pay.failure"], told["svc.backend_calls"]) == (1, 1)
+            metrics = await sidecar.stats()
+            assert (metrics["svc.calls.pay.failure"], metrics["svc.backend_calls"]) == (1, 1)
             client.send("pay", deadline_ms=9000)
             await sidecar.endpoints[0].next()
             client.writer.close()
@@ -196,7 +196,7 @@
     run(test())
 
 
-def test_what_ends_while_draining_is_counted_and_lists_show_in_the_figures(
+def test_metrics_count_requests_that_end_during_a_drain_and_listed_hosts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(lifecycle, "ACCEPT_S", 0.02)
@@ -204,77 +204,77 @@
     monkeypatch.setattr(program, "AFTER_LONGEST_S", 0.1)
 
     async def test() -> None:
-        async with Managed(endpoints=3) as sidecar:
-            rows = [row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
-            rows[1]["lifecycle"], rows[2]["lifecycle"] = "draining", "gone"
-            (await sidecar.discovery.next()).reply(200, listing(2, False, *rows))
+        async with ManagedSidecar(endpoints=3) as sidecar:
+            entries = [row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
+            entries[1]["lifecycle"], entries[2]["lifecycle"] = "draining", "gone"
+            (await sidecar.discovery.next()).reply(200, listing(2, False, *entries))
             await sidecar.discovery.next()
-            told = await sidecar.stats()
-            assert (told["svc.hosts_listed"], told["svc.hosts_down"]) == (2, 1)
+            metrics = await sidecar.stats()
+            assert (metrics["svc.hosts_listed"], metrics["svc.hosts_down"]) == (2, 1)
             client = await sidecar.client()
             client.send("pay", deadline_ms=60_000)
             await sidecar.endpoints[0].next()
             await program.drain(sidecar.server.lifecycle, sidecar.server, sidecar.host)
             assert (await client.answer()).status == 504
-            told = await sidecar.stats()
-            assert (told["svc.calls.pay.failure"], told["svc.inflight"]) == (1, 0)
+            metrics = await sidecar.stats()
+            assert (metrics["svc.calls.pay.failure"], metrics["svc.inflight"]) == (1, 0)
 
     run(test())
 
 
-async def up(client: Client) -> tuple[int, bool]:
+async def check_readiness(client: Client) -> tuple[int, bool]:
     client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
     answer = await client.answer()
     return answer.status, answer.headers.get("connection") == "close"
 
 
-def test_standby_empties_the_sidecar_and_active_fills_it_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_standby_drains_the_sidecar_and_active_reopens_it(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lifecycle, "ACCEPT_S", 0.05)
-    monkeypatch.setattr(lifecycle, "LEAVE_S", 0.1)
+    monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.1)
 
     async def test() -> None:
-        async with Managed() as sidecar:
+        async with ManagedSidecar() as sidecar:
             idle, busy = await sidecar.client(), await sidecar.client()
-            assert await up(idle) == (200, False)
+            assert await check_readiness(idle) == (200, False)
             busy.send()
-            asked = await sidecar.endpoints[0].next()
-            assert await sidecar.call(b"standby\n") == "OK standby\n"
-            assert await sidecar.call(b"standby\n") == "OK standby\n"
-            assert await sidecar.call(b"status\n") == "ERR standby\n"
-            late = await sidecar.client()  # the front has not seen the no yet
+            request = await sidecar.endpoints[0].next()
+            assert await sidecar.execute(b"standby\n") == "OK standby\n"
+            assert await sidecar.execute(b"standby\n") == "OK standby\n"
+            assert await sidecar.execute(b"status\n") == "ERR standby\n"
+            late = await sidecar.client()  # the front has not seen the 503 of `/up` yet
             late.send()
             (await sidecar.endpoints[0].next()).reply()
             assert (await late.answer()).status == 200
             assert await idle.reader.read() == b""
-            asked.reply()
+            request.reply()
             answer = await busy.answer()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
             assert await busy.reader.read() == b""
             again = await sidecar.client()
-            assert await up(again) == (503, True)
+            assert await check_readiness(again) == (503, True)
             for _ in range(2):
-                assert await sidecar.call(b"active\n") == "OK serving\n"
+                assert await sidecar.execute(b"active\n") == "OK serving\n"
             again = await sidecar.client()
-            assert await up(again) == (200, False)
+            assert await check_readiness(again) == (200, False)
 
     run(test())
 
 
-def test_active_that_crosses_a_drain_and_sigterm_during_standby(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_active_during_a_drain_and_sigterm_during_standby(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lifecycle, "ACCEPT_S", 0.02)
 
     async def test() -> None:
-        async with Managed() as sidecar:
+        async with ManagedSidecar() as sidecar:
             client = await sidecar.client()
-            assert await sidecar.call(b"standby\n") == "OK standby\n"
-            assert await sidecar.call(b"active\n") == "OK serving\n"
-            assert await up(client) == (200, False)
-            await sidecar.call(b"standby\n")
+            assert await sidecar.execute(b"standby\n") == "OK standby\n"
+            assert await sidecar.execute(b"active\n") == "OK serving\n"
+            assert await check_readiness(client) == (200, False)
+            await sidecar.execute(b"standby\n")
             stop = asyncio.create_task(sidecar.server.lifecycle.stop(0.0, 60.0))
-            while await sidecar.call(b"status\n") != "ERR stopping\n":
+            while await sidecar.execute(b"status\n") != "ERR stopping\n":
                 await asyncio.sleep(0.01)
             for line in (b"standby\n", b"active\n"):
-                assert await sidecar.call(line) == "ERR stopping\n"
+                assert await sidecar.execute(line) == "ERR stopping\n"
             await stop
             assert await client.reader.read() == b""
 
