--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -130,7 +130,7 @@
 UNANSWERED = frozenset((Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED))
 ANSWERED = frozenset((Outcome.OK, Outcome.ERROR, Outcome.FULL))
 NEVER_RAN = frozenset((Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT))
-SWEEP, WATCH_TIMER = "sweep", "ask"
+SWEEP_TIMER, WATCH_TIMER = "sweep", "ask"
 
 
 def may_refuse(request_class: RequestClass, may_have_run: bool) -> bool:
@@ -381,7 +381,7 @@
     __slots__ = (
         "backoff_end", "backoff_start", "cell", "credit", "credit_at", "ejected_until", "ejections",
         "failed_at", "failing", "id", "in_flight", "kind", "launched_at", "on_trial", "ready", "refusals",
-        "slowness", "sort_key", "taken", "used_at", "waiting_since", "weight", "zone",
+        "slowness", "sort_key", "usage", "used_at", "waiting_since", "weight", "zone",
     )  # fmt: skip
 
     def __init__(self, entry: Endpoint) -> None:
@@ -390,7 +390,7 @@
         self.in_flight = self.failed_at = self.backoff_start = 0
         self.waiting_since = 0  # calls are in flight without an answer since; 0: none
         self.credit, self.credit_at = -1.0, 0  # calls earned while cold; below 0: not started
-        self.taken = 0.0  # share of capacity in use at all instances, with one more call; 0: unknown
+        self.usage = 0.0  # share of capacity in use at all instances, with one more call; 0: unknown
         self.launched_at = self.used_at = 0  # used_at: last use of a connection to it, 0: never
         self.reset_health()
         self.update(entry)
@@ -605,7 +605,7 @@
         self.scarcity = 0.0  # recent share of calls within budget without room at once
         self.given_up: dict[str, int] = {}  # unserved calls since the last log line, by reason
         self.next_state_log = now_us + STATE_LOG_INTERVAL_US
-        self.copies: deque[tuple[int, Call]] = deque()  # time of the hedge
+        self.hedges: deque[tuple[int, Call]] = deque()  # time of the hedge
         self.watch_backoff, self.watch_pending = WATCH_BACKOFF_US, False
         if settings.discovery is Discovery.ASK:
             self.actions.watch(True)
@@ -713,7 +713,7 @@
         if mark == WATCH_TIMER:
             self.watch_pending = False
             self.actions.watch(True)
-        elif mark == SWEEP and now_us >= self.sweep_at >= 0:
+        elif mark == SWEEP_TIMER and now_us >= self.sweep_at >= 0:
             self.sweep_at = -1
             self._sweep(now_us)
 
@@ -726,7 +726,7 @@
     def _limits(self) -> list[ConcurrencyLimit]:
         return [pool.limit for placement in self.placements for pool in placement.pools]
 
-    def learned(self, now_us: int) -> Memory:
+    def learned_state(self, now_us: int) -> Memory:
         """State for a successor process; changes nothing."""
         known = [e for e in self.endpoints.values() if e.ready and (e.on_trial or e.slowness or e.failing)]
         ejected = [(e.ejected_until - now_us or -1) if e.on_trial else 0 for e in known]
@@ -736,7 +736,7 @@
             pools, [EndpointMemory(e.id, e.launched_at, e.failing, e.slowness, left) for e, left in pairs]
         )
 
-    def recall(self, now_us: int, memory: Memory) -> None:
+    def restore(self, now_us: int, memory: Memory) -> None:
         """Take over the state of the previous process; called after the first list."""
         # Without it a new process sends to hung endpoints, and refuses calls by caps not yet learned.
         if len(memory.pools) == len(self._limits()):  # an older version may have other pools
@@ -819,7 +819,7 @@
     def _schedule_sweep(self, now: int) -> None:
         if self.sweep_at < 0:
             self.sweep_at = now + SWEEP_INTERVAL_US
-            self.actions.timer(SWEEP_INTERVAL_US, SWEEP)
+            self.actions.timer(SWEEP_INTERVAL_US, SWEEP_TIMER)
 
     def _sweep(self, now: int) -> None:
         queue = self.queue
@@ -830,9 +830,9 @@
             queue.remove(call)
             self._refuse(call, "held too long")
         queue.track_sojourn(now)
-        while self.copies and (self.copies[0][0] <= now or self.copies[0][1].answered):
-            self._hedge(now, self.copies.popleft()[1])
-        if queue.count or self.copies:
+        while self.hedges and (self.hedges[0][0] <= now or self.hedges[0][1].answered):
+            self._hedge(now, self.hedges.popleft()[1])
+        if queue.count or self.hedges:
             self._schedule_sweep(now)
 
     def _hedge(self, now: int, call: Call) -> None:
@@ -891,9 +891,9 @@
                 continue
             if ring and best is None and not nearer_empty and not self._worth_spilling(now, call, ring):
                 return False
-            if (e := self._pick(now, pool, call)) and (best is None or e.taken + USAGE_MARGIN < best.taken):
+            if (e := self._pick(now, pool, call)) and (best is None or e.usage + USAGE_MARGIN < best.usage):
                 best, its_pool = e, pool
-            if best is not None and (ring or best.taken <= BUSY_USAGE):
+            if best is not None and (ring or best.usage <= BUSY_USAGE):
                 break
         if best is not None:
             self._send(now, call, best, its_pool)
@@ -1003,7 +1003,7 @@
             median_us = pool.limit.median * call.request_class.aim_us
             # Only the outermost layer hedges: hedges of nested layers multiply, and only it sees all stress.
             if median_us and self.hedging and call.request_class.effect is Effect.IDEMPOTENT:
-                self.copies.append((now + int(HEDGE_DELAY_FACTOR * median_us), call))
+                self.hedges.append((now + int(HEDGE_DELAY_FACTOR * median_us), call))
                 self._schedule_sweep(now)
         idle_bucket = -1  # unknown which of several connections is used
         if not endpoint.in_flight:
--- a/eiderhub/batch/dispatch.py
+++ b/eiderhub/batch/dispatch.py
@@ -12,6 +12,7 @@
 from itertools import islice
 from typing import NamedTuple
 
+from eiderhub.batch.job_order import JobOrder, LateStartBudget, is_progressing
 from eiderhub.batch.jobs import Item, ItemState, JobTable
 from eiderhub.batch.messages import (
     SESSION_TIMEOUT_S,
@@ -28,7 +29,6 @@
     WorkerReported,
 )
 from eiderhub.batch.scheduler import AssignmentRound, Scheduler
-from eiderhub.batch.turns import JobOrder, LateStartBudget, is_progressing
 from eiderhub.batch.workers import WorkerHealth
 from eiderhub.coordination.messages import Write
 from eiderhub.coordination.wire import OWN_SUPPORT
@@ -38,7 +38,7 @@
 RECONNECT_GRACE_S = 0.8  # time to announce running items after a new primary or a lost session
 
 
-class Why(Enum):
+class ReclaimReason(Enum):
     """Why items were reclaimed from a sidecar."""
 
     NOT_HELD = "does not hold"
@@ -49,11 +49,11 @@
     """Items that were reclaimed from a sidecar; for the log."""
 
     node: str
-    reason: Why
+    reason: ReclaimReason
     items: list[ItemKey]
 
 
-class Session:
+class WorkerSession:
     """One sidecar's session with this primary."""
 
     __slots__ = ("last_message_at", "node", "orders_sent")
@@ -65,7 +65,7 @@
 
 
 class OutgoingMessage(NamedTuple):
-    session: Session
+    session: WorkerSession
     message: BatchMessage
 
 
@@ -74,10 +74,10 @@
 
     def __init__(self, table: JobTable) -> None:
         self.table = table
-        self.scheduler = Scheduler(table.load_of)
+        self.scheduler = Scheduler(table.running_count)
         self.outbox: list[OutgoingMessage] = []
-        self.repairs: list[ReclaimedItems] = []
-        self._sessions: dict[str, Session] = {}  # by node
+        self.reclaimed: list[ReclaimedItems] = []
+        self._sessions: dict[str, WorkerSession] = {}  # by node
         # Nodes without a session, and when their items are reclaimed.
         self._disconnected: dict[str, float] = {}
         self._epoch = 0
@@ -93,14 +93,14 @@
         self._disconnected.clear()
         self._assign_from = now + RECONNECT_GRACE_S
 
-    def _send(self, session: Session, message: BatchMessage) -> None:
+    def _send(self, session: WorkerSession, message: BatchMessage) -> None:
         self.outbox.append(OutgoingMessage(session, message))
 
     # --- sessions ---
 
-    def open(self, now: float, message: WorkerOpen) -> Session:
+    def open_session(self, now: float, message: WorkerOpen) -> WorkerSession:
         """A sidecar has opened a session; it replaces an earlier session of that name."""
-        session = Session(message.node, now)
+        session = WorkerSession(message.node, now)
         self._sessions[message.node] = session
         self._disconnected.pop(message.node, None)
         self._send(session, WorkerAccepted(self._epoch, OWN_SUPPORT))
@@ -110,17 +110,17 @@
         self._reconcile(session, 0, message.running)
         return session
 
-    def is_current(self, session: Session) -> bool:
+    def is_current(self, session: WorkerSession) -> bool:
         return self._sessions.get(session.node) is session
 
-    def closed(self, now: float, session: Session) -> None:
+    def session_closed(self, now: float, session: WorkerSession) -> None:
         """The session has ended; its sidecar may reconnect within the grace period."""
         if self.is_current(session):
             del self._sessions[session.node]
             self.scheduler.remove_worker(session.node)
             self._disconnected[session.node] = now + RECONNECT_GRACE_S
 
-    def report(self, now: float, session: Session, message: WorkerReport) -> None:
+    def report(self, now: float, session: WorkerSession, message: WorkerReport) -> None:
         """A sidecar reports the items that it holds."""
         if not self.is_current(session):
             return
@@ -131,16 +131,16 @@
         self._reconcile(session, message.received, message.held)
         self._send(session, WorkerReported())
 
-    def _reconcile(self, session: Session, received: int, announced: list[ItemKey]) -> None:
+    def _reconcile(self, session: WorkerSession, received: int, announced: list[ItemKey]) -> None:
         """Make the table and the sidecar agree, except for orders that it had not yet received."""
         held = set(announced)
         read = [item for item in self.table.running_at(session.node) if item.order_number <= received]
-        self._reclaim(session.node, Why.NOT_HELD, [item for item in read if item.key not in held])
+        self._reclaim(session.node, ReclaimReason.NOT_HELD, [item for item in read if item.key not in held])
         for key in announced:
             if not self.table.confirm_running(session.node, key):
                 self._send(session, CancelItem(key))
 
-    def silent(self, now: float) -> list[Session]:
+    def timed_out_sessions(self, now: float) -> list[WorkerSession]:
         """Sessions to be closed because their sidecars have sent nothing for too long."""
         return [s for s in self._sessions.values() if now - s.last_message_at > SESSION_TIMEOUT_S]
 
@@ -151,7 +151,7 @@
                 self._disconnected.setdefault(node, now + RECONNECT_GRACE_S)
         for node in [node for node, until in self._disconnected.items() if now >= until]:
             del self._disconnected[node]
-            self._reclaim(node, Why.DISCONNECTED, self.table.running_at(node))
+            self._reclaim(node, ReclaimReason.DISCONNECTED, self.table.running_at(node))
         if now >= self._next_probe_at:
             self._next_probe_at = now + PROBE_INTERVAL_S
             self._request_probes(now)
@@ -165,11 +165,11 @@
             if not self.scheduler.is_reachable(now, session.node):
                 self._send(session, ProbeEndpoints())
 
-    def _reclaim(self, node: str, reason: Why, items: list[Item]) -> None:
+    def _reclaim(self, node: str, reason: ReclaimReason, items: list[Item]) -> None:
         for item in items:
             self._requeue(item)
         if items:
-            self.repairs.append(ReclaimedItems(node, reason, [item.key for item in items]))
+            self.reclaimed.append(ReclaimedItems(node, reason, [item.key for item in items]))
 
     # --- items ---
 
@@ -177,7 +177,7 @@
         self.scheduler.item_unassigned(item.key)
         self.table.requeue(item)
 
-    def give_out(self, now: float, wall_time: float) -> None:
+    def assign_items(self, now: float, wall_time: float) -> None:
         """Assign as many waiting items as the sidecars have free slots for."""
         if now < self._assign_from:
             return
@@ -218,7 +218,7 @@
         self._send(session, order)
         return True
 
-    def started(self, now: float, session: Session, key: ItemKey) -> None:
+    def item_started(self, now: float, session: WorkerSession, key: ItemKey) -> None:
         """The first event of an item has arrived at a sidecar."""
         item = self.table.find(key)
         if item is not None and item.node == session.node:
@@ -226,7 +226,7 @@
             item.job.progressed_at = now
             self.scheduler.item_started(now, session.node, key)
 
-    def finish(self, now: float, session: Session, message: ItemFinished) -> list[Write]:
+    def finish_item(self, now: float, session: WorkerSession, message: ItemFinished) -> list[Write]:
         """A sidecar has the result of an item; returns the writes, none if there is a result already."""
         item = self.table.find(message.key)
         node = item.node if item is not None else ""
@@ -240,13 +240,13 @@
                 self._cancel(node, message.key)
         return writes
 
-    def stored(self, session: Session, key: ItemKey) -> bool:
+    def result_committed(self, session: WorkerSession, key: ItemKey) -> bool:
         """The result of an item is committed; returns whether readers have something new."""
-        newly_committed = self.table.listed(key)
+        newly_committed = self.table.mark_result_committed(key)
         self._send(session, ItemStored(key))
         return newly_committed
 
-    def returned(self, now: float, session: Session, message: ItemReturned) -> None:
+    def item_returned(self, now: float, session: WorkerSession, message: ItemReturned) -> None:
         """A sidecar no longer runs an item."""
         if not self.is_current(session):
             return
--- a/eiderhub/batch/ledger.py
+++ b/eiderhub/batch/item_tracker.py
@@ -29,11 +29,11 @@
 RESEND_INTERVAL_S = 1.0  # an outcome that the primary has not confirmed as stored is sent again
 
 
-class Order(Enum):
+class OrderResult(Enum):
     """Whether an order to run an item is new to the sidecar."""
 
     NEW = "new"
-    HELD = "held"  # the sidecar has the item already, running or ended
+    ALREADY_HELD = "held"  # the sidecar has the item already, running or ended
 
 
 class _HeldItem:
@@ -47,7 +47,7 @@
         self.sent_at = 0.0
 
 
-class ItemLedger:
+class ItemTracker:
     """The items of one sidecar and the state of its session with the primary."""
 
     def __init__(self, node: str, zone: str) -> None:
@@ -72,13 +72,13 @@
 
     # --- the session ---
 
-    def open(self) -> WorkerOpen:
+    def open_session(self) -> WorkerOpen:
         """Start a new session and return its first message."""
         self.accepted = False
         self._orders_received = 0
         return WorkerOpen(self._node, self._zone, self.keys, self._reach, OWN_SUPPORT)
 
-    def accept(self, now: float) -> list[BatchMessage]:
+    def accept_session(self, now: float) -> list[BatchMessage]:
         """The primary has accepted the session; returns started items, outcomes so far and a report."""
         self.accepted = True
         self._last_message_at = now
@@ -87,22 +87,22 @@
             messages += self._send_outcome(now, key)
         return [*messages, self._report(now)]
 
-    def end(self) -> None:
+    def end_session(self) -> None:
         """The session has ended."""
         self.accepted = False
 
-    def heard(self, now: float) -> None:
+    def message_received(self, now: float) -> None:
         """A message of the primary has arrived."""
         self._last_message_at = now
 
-    def endpoints_answered(self) -> None:
+    def endpoint_answered(self) -> None:
         """An endpoint has answered a call of this sidecar."""
         self._answered_since_report = True
         self._reach = Reach.ANSWERED
 
-    def probed(self, now: float) -> list[BatchMessage]:
+    def probe_answered(self, now: float) -> list[BatchMessage]:
         """An endpoint has answered a probe; returns the report that the primary waits for."""
-        self.endpoints_answered()
+        self.endpoint_answered()
         return [self._report(now)] if self.accepted else []
 
     def routes_changed(self, now: float, generation: int) -> list[BatchMessage]:
@@ -132,15 +132,15 @@
 
     # --- items ---
 
-    def order(self, key: ItemKey) -> Order:
+    def receive_order(self, key: ItemKey) -> OrderResult:
         """Add an item that the primary has ordered to run here."""
         self._orders_received += 1
         if key in self._held:
-            return Order.HELD
+            return OrderResult.ALREADY_HELD
         self._held[key] = _HeldItem()
-        return Order.NEW
+        return OrderResult.NEW
 
-    def began(self, key: ItemKey) -> list[BatchMessage]:
+    def mark_started(self, key: ItemKey) -> list[BatchMessage]:
         """The first event of the item has come from an endpoint; returns the messages to send."""
         held = self._held.get(key)
         if held is None:
@@ -148,7 +148,7 @@
         held.started = True
         return [ItemStarted(key)] if self.accepted else []
 
-    def ended(self, now: float, outcome: ItemFinished | ItemReturned) -> list[BatchMessage]:
+    def mark_ended(self, now: float, outcome: ItemFinished | ItemReturned) -> list[BatchMessage]:
         """The item has ended here; returns the messages to send."""
         held = self._held.get(outcome.key)
         if held is None:
@@ -169,6 +169,6 @@
             del self._held[key]
         return [held.outcome]
 
-    def forget(self, key: ItemKey) -> None:
+    def remove_item(self, key: ItemKey) -> None:
         """Remove an item whose result is stored or which has been cancelled."""
         self._held.pop(key, None)
--- a/eiderhub/batch/jobs.py
+++ b/eiderhub/batch/jobs.py
@@ -32,7 +32,7 @@
 PURGE_SLACK_S = 60.0  # a job is purged this long after its status and results expire
 
 
-class BatchTerms(NamedTuple):
+class BatchLimits(NamedTuple):
     """The limits that a batch route sets for its jobs."""
 
     route: str
@@ -111,17 +111,17 @@
         return ItemKey(self.job.record.id, self.id)
 
     @property
-    def stored(self) -> bool:
+    def has_committed_result(self) -> bool:
         """Whether its result is committed."""
-        return NO_POSITION < self.position < self.job.visible
+        return NO_POSITION < self.position < self.job.committed_positions
 
 
 class Job:
     def __init__(self, record: JobRecord) -> None:
         self.record = record
         self.items = {each.id: Item(self, each) for each in record.items}
-        self.positions = 0  # positions assigned to results
-        self.visible = 0  # positions whose results are committed
+        self.assigned_positions = 0  # positions assigned to results
+        self.committed_positions = 0  # positions whose results are committed
         self.starts = 0  # first events of its items reported to this primary
         # When one of its items last started or ended, on the clock of the primary.
         self.progressed_at = float("-inf")
@@ -175,10 +175,10 @@
             for _, result in self._reader.scan(f"{RESULT_PREFIX}{job.record.id}/"):
                 record = msgspec.msgpack.decode(result, type=ResultRecord)
                 item = job.items[record.id]
-                item.state, item.position = ItemState.FINISHED, job.positions
-                job.positions += 1
+                item.state, item.position = ItemState.FINISHED, job.assigned_positions
+                job.assigned_positions += 1
                 job.waiting_count -= 1
-            job.visible = job.positions
+            job.committed_positions = job.assigned_positions
             errors = self._reader.get(ERRORS_PREFIX + job.record.id)
             for name, count in msgspec.msgpack.decode(errors, type=dict[str, int]).items() if errors else ():
                 job.items[name].errors = count
@@ -202,7 +202,7 @@
         """The ids of jobs that have items running at any of the nodes."""
         return {key.job for node in nodes for key in self._running.get(node, ())}
 
-    def load_of(self, node: str) -> int:
+    def running_count(self, node: str) -> int:
         """The number of items that are recorded as running at a node."""
         return len(self._running.get(node, {}))
 
@@ -224,7 +224,7 @@
     def expected_bytes(self) -> float:
         """Estimated store space for the results of all unfinished items, by the average result size."""
         open_jobs = (job for job in self.jobs.values() if not job.record.ended)
-        unfinished = sum(len(job.items) - job.positions for job in open_jobs)
+        unfinished = sum(len(job.items) - job.assigned_positions for job in open_jobs)
         return unfinished * self._mean_result_bytes
 
     def queued_tokens(self, route: str) -> float:
@@ -233,7 +233,9 @@
 
     # --- jobs ---
 
-    def submit(self, wall_time: float, job_id: str, limits: BatchTerms, body: bytes) -> list[Write] | Refusal:
+    def submit(
+        self, wall_time: float, job_id: str, limits: BatchLimits, body: bytes
+    ) -> list[Write] | Refusal:
         """Add a job and return its writes; none if it is in the table already."""
         if job_id in self.jobs:
             return []
@@ -262,15 +264,15 @@
             Write(BODY_PREFIX + job_id, body),
         ]
 
-    def tokens(self, job_id: str) -> int:
+    def total_tokens(self, job_id: str) -> int:
         """Tokens of all items of a job."""
         return int(sum(item.tokens for item in self.jobs[job_id].items.values()))
 
-    def accepted(self, job_id: str) -> None:
+    def mark_committed(self, job_id: str) -> None:
         """Note that the job is committed: its items may run."""
         self.jobs[job_id].committed = True
 
-    def forget(self, job_id: str) -> None:
+    def discard(self, job_id: str) -> None:
         """Remove a job that was not committed."""
         job = self.jobs.pop(job_id, None)
         self._submitted_items.pop(job_id, None)
@@ -296,10 +298,10 @@
             Write(ERRORS_PREFIX + job_id, None),
         ]
 
-    def errors(self, job_id: str) -> list[Write]:
+    def error_writes(self, job_id: str) -> list[Write]:
         """Writes that store the failed attempts of a job, so that the next primary continues the count."""
         job = self.jobs.get(job_id)
-        if job is None or job.record.ended or job.positions == len(job.items):
+        if job is None or job.record.ended or job.assigned_positions == len(job.items):
             return []
         counts = {item.id: item.errors for item in job.items.values() if item.errors}
         return [Write(ERRORS_PREFIX + job_id, msgspec.msgpack.encode(counts))]
@@ -308,7 +310,7 @@
         route = job.record.route
         self._queued_tokens[route] = max(0.0, self._queued_tokens.get(route, 0.0) - tokens)
 
-    def purge(self, wall_time: float, status_ttl_s: float) -> list[Write]:
+    def purge_expired(self, wall_time: float, status_ttl_s: float) -> list[Write]:
         """Remove the oldest job that is finished and whose status and results have expired, if there is one.
 
         A job that is submitted again after that counts as new; its client has given up long before.
@@ -316,11 +318,11 @@
         for job in self.jobs.values():
             record = job.record
             kept_s = max(status_ttl_s, record.retention_s) + PURGE_SLACK_S
-            finished = record.ended or job.visible == len(job.items)
+            finished = record.ended or job.committed_positions == len(job.items)
             if finished and wall_time > record.accepted_at + kept_s:
                 self.jobs.pop(record.id)
                 self._submitted_items.pop(record.id, None)
-                results = [_result_key(record.id, position) for position in range(job.positions)]
+                results = [_result_key(record.id, position) for position in range(job.assigned_positions)]
                 keys = [prefix + record.id for prefix in (JOB_PREFIX, BODY_PREFIX, ERRORS_PREFIX)] + results
                 return [Write(key, None) for key in keys]
         return []
@@ -341,23 +343,23 @@
         value = msgspec.msgpack.encode(record)
         pages = len(value) // STORE_PAGE_BYTES + 1
         self._mean_result_bytes += RESULT_MEAN_WEIGHT * (pages * STORE_PAGE_BYTES - self._mean_result_bytes)
-        writes = [Write(_result_key(key.job, job.positions), value)]
+        writes = [Write(_result_key(key.job, job.assigned_positions), value)]
         self._set_state(item, ItemState.FINISHED)
-        item.position = job.positions
+        item.position = job.assigned_positions
         item.progress = None
         self._release_tokens(job, item.tokens)
-        job.positions += 1
-        if job.positions == len(job.items):
+        job.assigned_positions += 1
+        if job.assigned_positions == len(job.items):
             self._submitted_items.pop(key.job, None)
             writes += [Write(BODY_PREFIX + key.job, None), Write(ERRORS_PREFIX + key.job, None)]
         return writes
 
-    def listed(self, key: ItemKey) -> bool:
+    def mark_result_committed(self, key: ItemKey) -> bool:
         """Note that the results up to that of the item are committed; returns whether that is new."""
         item = self.find(key)
-        if item is None or item.position < item.job.visible:
+        if item is None or item.position < item.job.committed_positions:
             return False
-        item.job.visible = item.position + 1
+        item.job.committed_positions = item.position + 1
         return True
 
     def page(self, job_id: str, start: int) -> ResultPage | Refusal:
@@ -367,7 +369,7 @@
             return Refusal(ErrorKind.UNKNOWN, "no such job")
         results: list[ResultRecord] = []
         size = 0
-        for position in range(max(0, start), job.visible):
+        for position in range(max(0, start), job.committed_positions):
             value = self._reader.get(_result_key(job_id, position))
             if value is None or (results and size + len(value) > MAX_PAGE_BYTES):
                 break
@@ -390,7 +392,7 @@
             submission = msgspec.json.decode(body, type=Submission)
             found = {item.id: item for item in submission.requests}
             job = self.jobs[job_id]
-            if not job.record.ended and job.positions < len(job.items):
+            if not job.record.ended and job.assigned_positions < len(job.items):
                 self._submitted_items[job_id] = found
         return found
 
@@ -409,7 +411,7 @@
         jobs = [
             job
             for job in self.jobs.values()
-            if job.committed and not job.record.ended and job.positions < len(job.items)
+            if job.committed and not job.record.ended and job.assigned_positions < len(job.items)
         ]
         return sorted(jobs, key=lambda job: job.due_at)
 
@@ -432,7 +434,7 @@
         if item is None or item.job.record.ended:
             return False
         if item.state is ItemState.FINISHED:
-            return not item.stored  # the result may be from this node, with its commit pending
+            return not item.has_committed_result  # the result may be from this node, with its commit pending
         if item.state is ItemState.RUNNING:
             return item.node == node
         self._set_state(item, ItemState.RUNNING, node)
@@ -455,7 +457,7 @@
             item.progress = progress
         return item
 
-    def hopeless(self, wall_time: float, known_routes: set[str] | None) -> list[Item]:
+    def undeliverable_items(self, wall_time: float, known_routes: set[str] | None) -> list[Item]:
         """Waiting items that end as dead letters: out of attempts, expired, or without a route.
 
         `known_routes`: the routes in force; None if they are not known, and routes are not checked.
--- a/eiderhub/batch/messages.py
+++ b/eiderhub/batch/messages.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from eiderhub.coordination.wire import UNTOLD, WireSupport
+from eiderhub.coordination.wire import DEFAULT_SUPPORT, WireSupport
 
 REPORT_INTERVAL_S = 1.0  # how often a sidecar reports the items that it holds
 SESSION_TIMEOUT_S = 3.0  # a session is closed once its peer has sent nothing for this long
@@ -41,12 +41,12 @@
     zone: str
     running: list[ItemKey]
     reach: Reach = Reach.UNKNOWN
-    support: WireSupport = UNTOLD
+    support: WireSupport = DEFAULT_SUPPORT
 
 
 class WorkerAccepted(Struct, tag=True, frozen=True):
     epoch: int
-    support: WireSupport = UNTOLD
+    support: WireSupport = DEFAULT_SUPPORT
 
 
 class WorkerReport(Struct, tag=True, frozen=True):
--- a/eiderhub/batch/progress.py
+++ b/eiderhub/batch/progress.py
@@ -42,7 +42,7 @@
     late: bool  # its results were due before the last refresh
 
 
-class ProgressWatch:
+class ProgressMonitor:
     """Compares the job table with its earlier state, to find items and jobs without progress."""
 
     def __init__(self) -> None:
@@ -52,17 +52,20 @@
         self.waiting = 0
         self.out_of_attempts = 0  # waiting items that are to become dead letters
 
-    def look(self, now: float, wall_time: float, table: JobTable) -> None:
+    def refresh(self, now: float, wall_time: float, table: JobTable) -> None:
         """Read the table again; `wall_time`: the time of day, for the deadlines of jobs."""
         self._update_idle_jobs(now, wall_time, table)
         running: dict[ItemKey, RunningItemStatus] = {}
         uncommitted: dict[str, UncommittedJob] = {}
         waiting = out_of_attempts = 0
         for job in table.jobs.values():
-            if job.positions > job.visible:
+            if job.assigned_positions > job.committed_positions:
                 previous = self._uncommitted.get(job.record.id)
-                unchanged = previous is not None and previous[1:3] == (job.positions, job.visible)
-                current = UncommittedJob(job.record.id, job.positions, job.visible, now)
+                unchanged = previous is not None and previous[1:3] == (
+                    job.assigned_positions,
+                    job.committed_positions,
+                )
+                current = UncommittedJob(job.record.id, job.assigned_positions, job.committed_positions, now)
                 uncommitted[job.record.id] = previous if previous is not None and unchanged else current
         for job in table.open_jobs():
             for item in job.items.values():
@@ -80,7 +83,7 @@
     def _update_idle_jobs(self, now: float, wall_time: float, table: JobTable) -> None:
         jobs: dict[str, IdleJob] = {}
         for job in table.open_jobs():
-            name, progress_count = job.record.id, job.starts + job.positions
+            name, progress_count = job.record.id, job.starts + job.assigned_positions
             known = self._jobs.get(name)
             since = known.since if known is not None and known.progress_count == progress_count else now
             jobs[name] = IdleJob(name, progress_count, since, wall_time > job.due_at)
@@ -125,7 +128,7 @@
             )
         return "; ".join(parts)
 
-    def lines(self, now: float) -> list[str]:
+    def metric_lines(self, now: float) -> list[str]:
         """The same as metrics, one per line."""
         nodes = Counter(item.node for item in self._running.values())
         lines = [f"items_waiting {self.waiting}", f"items_out_of_attempts {self.out_of_attempts}"]
--- a/eiderhub/batch/scheduler.py
+++ b/eiderhub/batch/scheduler.py
@@ -190,12 +190,12 @@
         self._live_calls = 0.0  # smoothed number of calls at endpoints, without items
         self._live_calls_at = NEVER
 
-    def follow(self, endpoints: int, capacity: int) -> None:
+    def set_endpoints(self, endpoints: int, capacity: int) -> None:
         """Set the number of endpoints and the number of requests that they can process at once in total."""
         self._endpoints = max(1, endpoints)
         self._capacity = capacity
 
-    def follow_load(self, now: float, calls: int) -> None:
+    def update_load(self, now: float, calls: int) -> None:
         """Set the number of calls, items included, that all sidecars have open at the endpoints for items."""
         live = max(0.0, float(calls - self._items_at_endpoints()))
         decreased = live < self._live_calls and now - self._live_calls_at <= LOAD_VALID_S
@@ -227,7 +227,7 @@
         self._item_returns.clear()
         self._return_counts.clear()
 
-    def placement(self, now: float) -> SchedulerStatus:
+    def status(self, now: float) -> SchedulerStatus:
         """Summarise the sidecars and the items that they have returned."""
         workers = self.workers.values()
         return SchedulerStatus(
--- a/eiderhub/cli/tier.py
+++ b/eiderhub/cli/tier.py
@@ -106,9 +106,9 @@
 
     :param file: the JSON document
     """
-    checked = configuration.read(file.read_bytes()).and_then(configuration.check)
+    checked = configuration.parse(file.read_bytes()).and_then(configuration.validate)
     if isinstance(checked, Err):
-        print(f"{file}: {checked.err_value.why}", file=sys.stderr)
+        print(f"{file}: {checked.err_value.reason}", file=sys.stderr)
         return 1
     print(f"{file}: valid, {len(checked.ok_value['routes'])} routes")
     return 0
--- a/eiderhub/control/desk.py
+++ b/eiderhub/control/change_processor.py
@@ -19,9 +19,15 @@
 from result import Err, Result
 
 from eiderhub.control import configuration
-from eiderhub.control.configuration import CURRENT_KEY, LAST_PURGED_KEY, TAKEN_PREFIX, Accepted, Change
+from eiderhub.control.configuration import (
+    CHANGE_DIGEST_PREFIX,
+    CURRENT_KEY,
+    LAST_PURGED_KEY,
+    Accepted,
+    Change,
+)
 from eiderhub.control.errors import ErrorKind, Refusal
-from eiderhub.coordination.commits import CommitQueue, Fate
+from eiderhub.coordination.commits import CommitOutcome, CommitQueue
 from eiderhub.coordination.replication import Replica
 from eiderhub.coordination.store import StoreFailed
 
@@ -36,16 +42,16 @@
     def scan(self, prefix: str) -> Iterable[tuple[str, bytes]]: ...
 
 
-class Outcome(Enum):
+class ChangeOutcome(Enum):
     ACKNOWLEDGED = "acknowledged"
     REFUSED = "refused"
     NOT_PRIMARY = "not primary"  # the change was not attempted
     UNKNOWN = "unknown"  # it may be in force, or come into force later
 
 
-class Answer(NamedTuple, Generic[T]):
+class ChangeResult(NamedTuple, Generic[T]):
     caller: T
-    outcome: Outcome
+    outcome: ChangeOutcome
     refusal: Refusal | None = None
 
 
@@ -61,7 +67,7 @@
     caller: T
 
 
-class Desk(Generic[T]):
+class ChangeProcessor(Generic[T]):
     def __init__(self, replica: Replica, state: StateReader) -> None:
         self._replica = replica
         self._state = state
@@ -86,7 +92,7 @@
         self._enter_epoch(now)
         return self._replica.leads(now) and self._is_current()
 
-    def step(self, now: float) -> list[Answer[T]]:
+    def step(self, now: float) -> list[ChangeResult[T]]:
         """Start queued changes and return the results that are known."""
         self._enter_epoch(now)
         results = self._collect_results()
@@ -101,10 +107,12 @@
 
     def _enter_epoch(self, now: float) -> None:
         """On a new epoch, read the state once it is settled, when all of it is committed."""
-        if not self._is_current() and self._replica.settled(now):
+        if not self._is_current() and self._replica.all_committed(now):
             self._epoch = self._replica.epoch
             self._read_newest()
-            keys = (key.removeprefix(TAKEN_PREFIX) for key, _ in self._state.scan(TAKEN_PREFIX))
+            keys = (
+                key.removeprefix(CHANGE_DIGEST_PREFIX) for key, _ in self._state.scan(CHANGE_DIGEST_PREFIX)
+            )
             self._retained = sorted(int(key) for key in keys)
 
     def _is_current(self) -> bool:
@@ -115,7 +123,7 @@
         if body is None:
             self._newest = self._document = None
         elif self._newest is None or self._newest.body != body:
-            self._document = configuration.stored(body)
+            self._document = configuration.parse_stored(body)
             self._newest = CommittedConfiguration(self._document["generation"], body)
 
     # --- changes ---
@@ -124,9 +132,9 @@
         """Whether a change is in progress; the next one waits until it has ended."""
         return self._in_progress is not None
 
-    def _begin(self, now: float, pending: _PendingChange[T]) -> Answer[T] | None:
+    def _begin(self, now: float, pending: _PendingChange[T]) -> ChangeResult[T] | None:
         if not self.leads(now):
-            return Answer(pending.caller, Outcome.NOT_PRIMARY)
+            return ChangeResult(pending.caller, ChangeOutcome.NOT_PRIMARY)
         decision = self._decide(pending.change)
         if isinstance(decision, Err):
             return self._refusal_result(pending, decision.err_value)
@@ -137,18 +145,18 @@
             else:
                 position = self._replica.position
         except StoreFailed:
-            return Answer(pending.caller, Outcome.UNKNOWN)
+            return ChangeResult(pending.caller, ChangeOutcome.UNKNOWN)
         self._in_progress = pending
         self._commits.add(position, pending)
         return None
 
     def _decide(self, change: Change) -> Result[Accepted, Refusal]:
-        parsed = configuration.read(change.body)
+        parsed = configuration.parse(change.body)
         if isinstance(parsed, Err):
             return parsed
         document = parsed.ok_value
         last_purged = int(self._state.get(LAST_PURGED_KEY) or 0)
-        recorded_digest = self._state.get(f"{TAKEN_PREFIX}{document.get('generation')}")
+        recorded_digest = self._state.get(f"{CHANGE_DIGEST_PREFIX}{document.get('generation')}")
         decision = configuration.decide(self._document, recorded_digest, last_purged, change, document)
         return decision.map(self._with_purge)
 
@@ -157,23 +165,23 @@
         return accepted._replace(writes=accepted.writes + configuration.purge(self._retained, accepted))
 
     @staticmethod
-    def _refusal_result(pending: _PendingChange[T], refusal: Refusal) -> Answer[T]:
-        outcome = Outcome.UNKNOWN if refusal.kind is ErrorKind.UNCERTAIN else Outcome.REFUSED
-        return Answer(pending.caller, outcome, refusal)
+    def _refusal_result(pending: _PendingChange[T], refusal: Refusal) -> ChangeResult[T]:
+        outcome = ChangeOutcome.UNKNOWN if refusal.kind is ErrorKind.UNCERTAIN else ChangeOutcome.REFUSED
+        return ChangeResult(pending.caller, outcome, refusal)
 
-    def _collect_results(self) -> list[Answer[T]]:
+    def _collect_results(self) -> list[ChangeResult[T]]:
         """Results of changes that are committed, or whose fate is unknown because the epoch has ended."""
-        return [self._complete(pending, fate) for pending, fate in self._commits.take()]
+        return [self._complete(pending, fate) for pending, fate in self._commits.take_resolved()]
 
-    def _complete(self, pending: _PendingChange[T], fate: Fate) -> Answer[T]:
+    def _complete(self, pending: _PendingChange[T], fate: CommitOutcome) -> ChangeResult[T]:
         self._in_progress = None
-        if fate is not Fate.COMMITTED:
-            return Answer(pending.caller, Outcome.UNKNOWN)
+        if fate is not CommitOutcome.COMMITTED:
+            return ChangeResult(pending.caller, ChangeOutcome.UNKNOWN)
         previous = self._newest
         self._read_newest()
         if self._newest is not None and self._newest != previous:
             self._retain(self._newest.generation)
-        return Answer(pending.caller, Outcome.ACKNOWLEDGED)
+        return ChangeResult(pending.caller, ChangeOutcome.ACKNOWLEDGED)
 
     def _retain(self, generation: int) -> None:
         last_purged = int(self._state.get(LAST_PURGED_KEY) or 0)
--- a/eiderhub/control/configuration.py
+++ b/eiderhub/control/configuration.py
@@ -20,7 +20,7 @@
 from eiderhub.coordination.messages import Write
 
 CURRENT_KEY = "config/current"
-TAKEN_PREFIX = "config/taken/"  # digest of the change that created a generation
+CHANGE_DIGEST_PREFIX = "config/taken/"  # digest of the change that created a generation
 LAST_PURGED_KEY = "config/forgotten"  # the last generation whose digest was purged
 RETAINED_CHANGES = 20_000  # digests kept to recognise a change that is sent again
 PURGE_BATCH = 500  # digests deleted at once
@@ -34,14 +34,14 @@
 class Change(NamedTuple):
     """A PUT or PATCH request of the operator."""
 
-    base: int  # generation that the change applies to
+    base_generation: int  # generation that the change applies to
     is_patch: bool
     body: bytes
 
     @property
     def digest(self) -> bytes:
         method = b"patch" if self.is_patch else b"put"
-        return hashlib.sha256(b"%s %d " % (method, self.base) + self.body).hexdigest().encode()
+        return hashlib.sha256(b"%s %d " % (method, self.base_generation) + self.body).hexdigest().encode()
 
 
 class Accepted(NamedTuple):
@@ -89,7 +89,7 @@
     return int(text)
 
 
-def read(body: bytes) -> Result[Document, Refusal]:
+def parse(body: bytes) -> Result[Document, Refusal]:
     """Parse a JSON object by RFC 8259: UTF-8, no NaN, no duplicate keys, numbers in range of a double.
 
     A leading byte order mark is ignored, as the RFC allows.
@@ -108,7 +108,7 @@
     return Ok(document) if isinstance(document, dict) else _invalid("not a JSON object")
 
 
-def stored(body: bytes) -> Document:
+def parse_stored(body: bytes) -> Document:
     """Parse a stored configuration, which was validated when accepted, possibly by an older release."""
     document: Document = json.loads(body)
     return document
@@ -116,10 +116,10 @@
 
 def generation_of(body: bytes) -> int:
     """The generation of a valid configuration."""
-    return int(stored(body)["generation"])
+    return int(parse_stored(body)["generation"])
 
 
-def services_of(route: Document) -> list[tuple[str, float]]:
+def weighted_services(route: Document) -> list[tuple[str, float]]:
     """The services that a route refers to, with their weights."""
     if route.get("weighted_backends"):
         return [(entry["backend"], entry["weight"]) for entry in route["weighted_backends"]]
@@ -177,7 +177,7 @@
     return "$" + "".join(f"[{part}]" if isinstance(part, int) else f".{part}" for part in path)
 
 
-def check(document: Document, valid: Document | None = None) -> Result[Document, Refusal]:
+def validate(document: Document, valid: Document | None = None) -> Result[Document, Refusal]:
     """Validate a complete configuration against the protocol specification.
 
     `valid` is a valid configuration; items that equal its items are not checked against the schema again.
@@ -198,7 +198,7 @@
     service_names = {backend["name"] for backend in document["backends"]}
     host_prefixes: set[tuple[str, str]] = set()
     for route in document["routes"]:
-        services = services_of(route)
+        services = weighted_services(route)
         referenced = [name for name, _ in services] + [route[key] for key in ("backend",) if key in route]
         unknown = sorted({name for name in referenced if name not in service_names})
         if unknown or not services:
@@ -274,7 +274,7 @@
         return _invalid(f"generation: must be an integer up to {MAX_GENERATION}")
     if recorded_digest == change.digest:
         return Ok(Accepted(generation, []))
-    if generation <= last_purged and change.base < generation:
+    if generation <= last_purged and change.base_generation < generation:
         return Err(
             Refusal(
                 ErrorKind.UNCERTAIN,
@@ -282,20 +282,20 @@
             )
         )
     current_generation = current["generation"] if current else 0
-    if change.base != current_generation:
+    if change.base_generation != current_generation:
         return Err(Refusal(ErrorKind.STALE_VERSION, f"generation {current_generation} is in place"))
     if generation <= current_generation:
         return _invalid(f"generation: must be greater than {current_generation}")
     if change.is_patch and current is None:
         return _invalid("there is no configuration to patch")
     merged = apply_patch(current, document) if change.is_patch and current else Ok(document)
-    validated = merged.and_then(lambda candidate: check(candidate, current))
+    validated = merged.and_then(lambda candidate: validate(candidate, current))
     if isinstance(validated, Err):
         return validated
     body = json.dumps(validated.ok_value, separators=(",", ":")).encode()
     writes = [
         Write(CURRENT_KEY, body),
-        Write(f"{TAKEN_PREFIX}{generation}", change.digest),
+        Write(f"{CHANGE_DIGEST_PREFIX}{generation}", change.digest),
     ]
     return Ok(Accepted(generation, writes))
 
@@ -310,6 +310,6 @@
         return []
     purged = retained[:PURGE_BATCH]
     return [
-        *(Write(f"{TAKEN_PREFIX}{generation}", None) for generation in purged),
+        *(Write(f"{CHANGE_DIGEST_PREFIX}{generation}", None) for generation in purged),
         Write(LAST_PURGED_KEY, str(purged[-1]).encode()),
     ]
--- a/eiderhub/control/errors.py
+++ b/eiderhub/control/errors.py
@@ -17,7 +17,7 @@
     FAILED = "failed"  # an endpoint failed; the request may have run
 
 
-STATUS = {
+HTTP_STATUS = {
     ErrorKind.INVALID: 400,
     ErrorKind.STALE_VERSION: 412,
     ErrorKind.UNKNOWN: 404,
@@ -33,8 +33,8 @@
     """The reason why a request was not carried out."""
 
     kind: ErrorKind
-    why: str
+    reason: str
 
     @property
     def status(self) -> int:
-        return STATUS[self.kind]
+        return HTTP_STATUS[self.kind]
--- a/eiderhub/control/freshness.py
+++ b/eiderhub/control/freshness.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-FRESH_S = 0.9  # older tables are not passed on
+MAX_TABLE_AGE_S = 0.9  # older tables are not passed on
 
 
 class Freshness:
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._current_at = float("-inf")  # latest time at which the tables were known to be current
 
-    def answered(self, sent_at: float, age_s: float | None) -> None:
+    def record_answer(self, sent_at: float, age_s: float | None) -> None:
         """Record the answer to the ping sent at `sent_at`; `age_s` is the age of the answering node's tables.
 
         None: the answering node cannot tell.
@@ -29,11 +29,11 @@
     def age(self, now: float) -> float | None:
         """The age of the tables in seconds; None if they are too old to be passed on."""
         age = now - self._current_at
-        return age if age < FRESH_S else None
+        return age if age < MAX_TABLE_AGE_S else None
 
     def is_fresh(self, now: float) -> bool:
         return self.age(now) is not None
 
-    def silent_since(self, opened_at: float) -> float:
+    def last_current_at(self, opened_at: float) -> float:
         """When the tables were last known to be current, at the earliest when the session was opened."""
         return max(self._current_at, opened_at)
--- a/eiderhub/control/load.py
+++ b/eiderhub/control/load.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable, Hashable, Mapping
 from typing import NamedTuple
 
-KEPT_S = 1.0  # four ping intervals
-MOST_TOLD = 64  # endpoints; those in the session's zone come first
-SUMMED_S = 0.05  # a sum over all sessions is reused: in a large fleet it takes a millisecond
+REPORT_TTL_S = 1.0  # four ping intervals
+MAX_ENDPOINTS_PER_UPDATE = 64  # endpoints; those in the session's zone come first
+TOTALS_TTL_S = 0.05  # a sum over all sessions is reused: in a large fleet it takes a millisecond
 
 
 class _Report(NamedTuple):
@@ -33,11 +33,11 @@
 
     def report(self, now: float, session: Hashable, calls: Mapping[str, int]) -> None:
         """Replace the report of a session of this node: its calls in flight by endpoint."""
-        self.forget(session)
+        self.remove(session)
         self._reports[session] = _Report(now, {e: n for e, n in calls.items() if n > 0})
         self._local_total.update(self._reports[session].calls)
 
-    def forget(self, session: Hashable) -> None:
+    def remove(self, session: Hashable) -> None:
         """Remove the report of a session that has ended or reports anew."""
         report = self._reports.pop(session, None)
         if report is None:
@@ -47,33 +47,33 @@
             if self._local_total[endpoint] <= 0:
                 del self._local_total[endpoint]
 
-    def heard_elsewhere(self, now: float, calls: Mapping[str, int]) -> None:
+    def report_remote(self, now: float, calls: Mapping[str, int]) -> None:
         """Replace the report of the primary: the calls in flight of all other nodes' sessions."""
         self._remote = _Report(now, calls)
 
-    def own(self, now: float) -> dict[str, int]:
+    def local(self, now: float) -> dict[str, int]:
         """Calls in flight of this node's sessions, after removing expired reports."""
-        for session in [s for s, report in self._reports.items() if now - report.at > KEPT_S]:
-            self.forget(session)
+        for session in [s for s, report in self._reports.items() if now - report.at > REPORT_TTL_S]:
+            self.remove(session)
         return dict(self._local_total)
 
     def total(self, now: float) -> dict[str, int]:
         """Calls in flight of the sessions of all nodes."""
-        calls = Counter(self.own(now))
-        if now - self._remote.at <= KEPT_S:
+        calls = Counter(self.local(now))
+        if now - self._remote.at <= REPORT_TTL_S:
             calls.update(self._remote.calls)
         return dict(calls)
 
-    def others(self, now: float, session: Hashable) -> dict[str, int]:
+    def total_excluding(self, now: float, session: Hashable) -> dict[str, int]:
         """Calls in flight of all sessions but this one, for all endpoints."""
         return self._subtract_session(session, self.total(now))
 
-    def nearest(
+    def zone_total_excluding(
         self, now: float, session: Hashable, zone: str, zone_of: Callable[[str], str]
     ) -> dict[str, int]:
         """Calls in flight of all sessions but this one, limited to what one update to its zone may carry."""
         totals = self._zone_totals.get(zone)
-        if totals is None or now - totals.at > SUMMED_S:
+        if totals is None or now - totals.at > TOTALS_TTL_S:
             totals = self._zone_totals[zone] = _Report(now, _limit_to_update(self.total(now), zone, zone_of))
         return self._subtract_session(session, totals.calls)
 
@@ -90,7 +90,7 @@
 
 def _limit_to_update(calls: dict[str, int], zone: str, zone_of: Callable[[str], str]) -> dict[str, int]:
     """Limit the endpoints to what one update may carry, those in the zone first."""
-    if len(calls) <= MOST_TOLD:
+    if len(calls) <= MAX_ENDPOINTS_PER_UPDATE:
         return calls
     ordered = sorted(calls, key=lambda endpoint: zone_of(endpoint) != zone)
-    return {endpoint: calls[endpoint] for endpoint in ordered[:MOST_TOLD]}
+    return {endpoint: calls[endpoint] for endpoint in ordered[:MAX_ENDPOINTS_PER_UPDATE]}
--- a/eiderhub/control/messages.py
+++ b/eiderhub/control/messages.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from eiderhub.coordination.wire import UNTOLD, UNTOLD_VERSION, WireSupport
+from eiderhub.coordination.wire import DEFAULT_SUPPORT, DEFAULT_WIRE_VERSION, WireSupport
 
 
 class TableVersion(NamedTuple):
@@ -23,7 +23,7 @@
     role: str  # edge, control or storage
     zone: str
     identity: str = ""  # of its replica, if it has one: id@host:port
-    wire_version: int = UNTOLD_VERSION
+    wire_version: int = DEFAULT_WIRE_VERSION
 
 
 class EndpointRecord(Struct, array_like=True, frozen=True):
@@ -49,14 +49,14 @@
     """The first message of each side on a connection between replicas."""
 
     node: NodeRecord
-    support: WireSupport = UNTOLD
+    support: WireSupport = DEFAULT_SUPPORT
 
 
 class SessionOpen(Struct, tag=True, frozen=True):
     """The first message of a session with a control node."""
 
     node: NodeRecord
-    support: WireSupport = UNTOLD
+    support: WireSupport = DEFAULT_SUPPORT
 
 
 class SessionAccepted(Struct, tag=True, frozen=True):
--- a/eiderhub/control/publication.py
+++ b/eiderhub/control/publication.py
@@ -9,7 +9,7 @@
 
 from typing import Any
 
-from eiderhub.control.desk import CommittedConfiguration, Desk
+from eiderhub.control.change_processor import ChangeProcessor, CommittedConfiguration
 from eiderhub.control.distribution import Subscriber, Tables
 from eiderhub.control.freshness import Freshness
 from eiderhub.control.messages import ConfigurationUpdate, SessionPing, SessionPong, TableUpdate
@@ -23,7 +23,7 @@
     """
 
     def __init__(
-        self, tables: Tables, freshness: Freshness, replica: Replica, change_processor: Desk[Any]
+        self, tables: Tables, freshness: Freshness, replica: Replica, change_processor: ChangeProcessor[Any]
     ) -> None:
         self._tables = tables
         self._freshness = freshness
@@ -41,16 +41,16 @@
         """Whether this node leads and its tables belong to the current epoch."""
         return self._replica.leads(now) and self._epoch == self._replica.epoch
 
-    def begin(self, now: float) -> bool:
+    def begin_epoch(self, now: float) -> bool:
         """Start publishing a new epoch if this node leads one; returns whether it does."""
         if self._epoch == self._replica.epoch or not self._change_processor.leads(now):
             return False
         self._epoch = self._replica.epoch
         self._published = None
-        self.follow(now)
+        self.publish_newest(now)
         return True
 
-    def follow(self, now: float) -> CommittedConfiguration | None:
+    def publish_newest(self, now: float) -> CommittedConfiguration | None:
         """Put the newest committed configuration into the tables; returns it if it is new in this epoch."""
         newest = self._change_processor.newest(now) if self.leads(now) else None
         if newest is None or newest == self._published:
@@ -63,7 +63,7 @@
         """The age in seconds of this node's tables behind the primary's; None if they must not be sent."""
         return 0.0 if self.leads(now) else self._freshness.age(now)
 
-    def pending(self, now: float, subscriber: Subscriber) -> list[TableUpdate]:
+    def next_updates(self, now: float, subscriber: Subscriber) -> list[TableUpdate]:
         """The updates that the session lacks, if this node may send them now."""
         return subscriber.next_updates(self._tables) if self.age(now) is not None else []
 
@@ -75,4 +75,4 @@
         Updates precede the pong, which confirms the age of everything that was sent before it.
         """
         subscriber.acknowledge(ping)
-        return [*self.pending(now, subscriber), SessionPong(ping.sent_at, self.age(now))]
+        return [*self.next_updates(now, subscriber), SessionPong(ping.sent_at, self.age(now))]
--- a/eiderhub/control/retirement.py
+++ b/eiderhub/control/retirement.py
@@ -25,21 +25,21 @@
     done: bool = False
 
 
-def write_order(name: str, order: RetireOrder) -> Write:
+def encode_order(name: str, order: RetireOrder) -> Write:
     return Write(RETIRE_PREFIX + name, msgspec.json.encode(order))
 
 
-def read_orders(entries: Iterable[tuple[str, bytes]]) -> dict[str, RetireOrder]:
+def decode_orders(entries: Iterable[tuple[str, bytes]]) -> dict[str, RetireOrder]:
     """Decode the orders in the control state, by machine name."""
     decode = msgspec.json.Decoder(RetireOrder).decode
     return {key.removeprefix(RETIRE_PREFIX): decode(value) for key, value in entries}
 
 
-def published(orders: Mapping[str, RetireOrder]) -> list[Retirement]:
+def retirement_records(orders: Mapping[str, RetireOrder]) -> list[Retirement]:
     return [Retirement(name, order.identities, order.done) for name, order in orders.items()]
 
 
-def is_repeat(order: RetireOrder | None, identity: str) -> bool:
+def is_duplicate(order: RetireOrder | None, identity: str) -> bool:
     """Whether this order already covers the machine that now has this identity.
 
     A done order covers only the identities that it lists: a new machine may reuse the name.
--- a/eiderhub/control/sessions.py
+++ b/eiderhub/control/sessions.py
@@ -10,7 +10,7 @@
 from eiderhub.control.messages import NodeRecord
 
 SESSION_TIMEOUT_S = 1.5  # a session that is silent for longer has ended
-SIDECAR = "edge"  # role of sidecars, which are published as a count, not by name
+SIDECAR_ROLE = "edge"  # role of sidecars, which are published as a count, not by name
 RESTORED_REPORTER = "restored"  # reporter name of the nodes restored from an earlier primary
 
 
@@ -22,7 +22,7 @@
         # By reporting control node, with the time of the report.
         self._reported: dict[str, tuple[list[NodeRecord], float]] = {}
 
-    def heard(self, now: float, node: NodeRecord) -> None:
+    def refresh(self, now: float, node: NodeRecord) -> None:
         self._local[node.name, node.role] = (node, now)
 
     def report(self, now: float, reporter: str, nodes: list[NodeRecord]) -> None:
@@ -36,29 +36,29 @@
     def remove(self, node: NodeRecord) -> None:
         self._local.pop((node.name, node.role), None)
 
-    def own(self, now: float) -> list[NodeRecord]:
+    def local_nodes(self, now: float) -> list[NodeRecord]:
         """The nodes that have a session with this control node."""
         return [node for node, last_seen in self._local.values() if now - last_seen < SESSION_TIMEOUT_S]
 
-    def named(self, now: float) -> list[NodeRecord]:
+    def named_nodes(self, now: float) -> list[NodeRecord]:
         """All control and storage nodes."""
-        return [node for node in self.all(now) if node.role != SIDECAR]
+        return [node for node in self.all_nodes(now) if node.role != SIDECAR_ROLE]
 
-    def sidecars(self, now: float) -> int:
+    def sidecar_count(self, now: float) -> int:
         """The number of sidecars, at least the restored number until that expires."""
-        count = sum(node.role == SIDECAR for node in self.all(now))
+        count = sum(node.role == SIDECAR_ROLE for node in self.all_nodes(now))
         restored_at = self._reported.get(RESTORED_REPORTER, ([], -SESSION_TIMEOUT_S))[1]
         return max(count, self._restored_sidecars) if now - restored_at < SESSION_TIMEOUT_S else count
 
     def wire_versions(self, now: float, primary: NodeRecord) -> dict[str, int]:
         """The number of processes by wire version, including the primary."""
-        processes = {(n.name, n.role): n for n in [*self.all(now), primary]}
+        processes = {(n.name, n.role): n for n in [*self.all_nodes(now), primary]}
         counts = Counter(node.wire_version for node in processes.values())
         return {str(version): counts[version] for version in sorted(counts)}
 
-    def all(self, now: float) -> list[NodeRecord]:
+    def all_nodes(self, now: float) -> list[NodeRecord]:
         """All nodes, ordered by name and role."""
-        by_key = {(n.name, n.role): n for n in self.own(now)}
+        by_key = {(n.name, n.role): n for n in self.local_nodes(now)}
         for nodes, last_seen in self._reported.values():
             if now - last_seen < SESSION_TIMEOUT_S:
                 by_key.update(((n.name, n.role), n) for n in nodes)
--- a/eiderhub/control/spending.py
+++ b/eiderhub/control/spending.py
@@ -27,7 +27,7 @@
     routes: frozenset[str]
 
 
-def tenants_of(document: Document) -> dict[str, Tenant]:
+def capped_tenants(document: Document) -> dict[str, Tenant]:
     """The tenants of a configuration that have a spending cap, by name."""
     tenants = {}
     for item in document.get("tenants", []):
@@ -61,7 +61,7 @@
             for key, value in stored.items()
         }
 
-    def follow(self, tenants: dict[str, Tenant]) -> None:
+    def set_tenants(self, tenants: dict[str, Tenant]) -> None:
         self._tenants = tenants
 
     def remaining(self, name: str) -> int:
@@ -84,7 +84,7 @@
             return LeaseDecision(0, True, self._record(name, remaining))
         return LeaseDecision(tokens, False, self._record(name, tokens))
 
-    def give_back(self, name: str, tokens: int) -> list[Write]:
+    def return_tokens(self, name: str, tokens: int) -> list[Write]:
         """Return unused tokens of a lease to the cap; returns the writes."""
         return self._record(name, -min(tokens, self._leased.get(name, 0))) if name in self._tenants else []
 
@@ -93,21 +93,21 @@
         return [Write(LEASED_PREFIX + name, msgspec.json.encode(self._leased[name]))]
 
 
-class LeasePurse:
+class LeaseBalances:
     """The leased tokens of one process, by tenant."""
 
     def __init__(self) -> None:
         self._tokens: dict[str, int] = {}
         self._exhausted: frozenset[str] = frozenset()
 
-    def stopped(self, name: str) -> bool:
+    def is_exhausted(self, name: str) -> bool:
         return name in self._exhausted
 
-    def stop(self, names: frozenset[str]) -> None:
+    def set_exhausted(self, names: frozenset[str]) -> None:
         """Set the tenants whose cap is used up. Their work is not charged any more, even if tokens remain."""
         self._exhausted = names
 
-    def add(self, name: str, tokens: int) -> None:
+    def credit(self, name: str, tokens: int) -> None:
         self._tokens[name] = self._tokens.get(name, 0) + tokens
 
     def charge(self, name: str, tokens: int) -> bool:
--- a/eiderhub/control/kept_list.py
+++ b/eiderhub/control/stored_endpoints.py
@@ -13,7 +13,7 @@
 from eiderhub.control.messages import EndpointRecord, EndpointsUpdate
 from eiderhub.coordination.messages import Write
 
-LIST_KEY = "endpoints"
+ENDPOINTS_KEY = "endpoints"
 
 _decode = msgspec.msgpack.Decoder(list[EndpointRecord]).decode
 
@@ -24,20 +24,20 @@
     def get(self, key: str) -> bytes | None: ...
 
 
-def writes_of(state: StateReader, endpoints: list[EndpointRecord]) -> list[Write]:
+def endpoint_list_writes(state: StateReader, endpoints: list[EndpointRecord]) -> list[Write]:
     """The writes that store this list; none if it is already stored."""
     value = msgspec.msgpack.encode(endpoints)
-    return [] if value == state.get(LIST_KEY) else [Write(LIST_KEY, value)]
+    return [] if value == state.get(ENDPOINTS_KEY) else [Write(ENDPOINTS_KEY, value)]
 
 
-def provisional_list(state: StateReader, current: EndpointsUpdate) -> list[EndpointRecord] | None:
+def initial_endpoint_list(state: StateReader, current: EndpointsUpdate) -> list[EndpointRecord] | None:
     """The stored list, for a primary that has no endpoints; None if there is none or it is not needed.
 
     The stored list may contain endpoints that no longer exist, whose addresses may since belong to another
     service. Calls name the instance that they are meant for, so any other instance rejects them without
     running them.
     """
-    value = state.get(LIST_KEY)
+    value = state.get(ENDPOINTS_KEY)
     if value is None or current.endpoints:
         return None
     try:
--- a/eiderhub/coordination/catch_up.py
+++ b/eiderhub/coordination/catch_up.py
@@ -10,7 +10,7 @@
 
 from collections import deque
 
-from eiderhub.coordination.forms import FIRST_FORM
+from eiderhub.coordination.forms import FIRST_FORMAT
 from eiderhub.coordination.messages import Position, Replicated, Staged, Update
 from eiderhub.coordination.store import Chunk
 
@@ -96,7 +96,7 @@
         self.catch_up_sent_at = 0.0  # when missing updates or a snapshot were last sent to it
         self.last_heard_at = now  # when its last reply arrived
         self.synced_position: Position | None = None  # as reported in this epoch
-        self.readable_format = FIRST_FORM  # newest record format that it has reported
+        self.readable_format = FIRST_FORMAT  # newest record format that it has reported
         self.sent_position: Position | None = None  # sent on this connection; None: unknown
         self.snapshot_transfer: SnapshotTransfer | None = None
 
@@ -104,4 +104,4 @@
         """Forget what was sent on the previous connection: it may be lost."""
         self.sent_position = None
         self.snapshot_transfer = None
-        self.readable_format = FIRST_FORM  # a different program version may be running there now
+        self.readable_format = FIRST_FORMAT  # a different program version may be running there now
--- a/eiderhub/coordination/commits.py
+++ b/eiderhub/coordination/commits.py
@@ -11,7 +11,7 @@
 T = TypeVar("T")
 
 
-class Fate(Enum):
+class CommitOutcome(Enum):
     COMMITTED = "committed"
     UNKNOWN = "unknown"  # the write may or may not survive a change of primary
 
@@ -32,11 +32,11 @@
         """Track a write that this replica has proposed at the position."""
         self._pending.append(_PendingWrite(position, waiter))
 
-    def take(self) -> list[tuple[T, Fate]]:
+    def take_resolved(self) -> list[tuple[T, CommitOutcome]]:
         """Remove and return the waiters whose outcome is now known."""
         if not self._pending:
             return []
-        resolved: list[tuple[T, Fate]] = []
+        resolved: list[tuple[T, CommitOutcome]] = []
         unresolved = []
         for write in self._pending:
             outcome = self._outcome(write.position)
@@ -47,10 +47,10 @@
         self._pending = unresolved
         return resolved
 
-    def _outcome(self, position: Position) -> Fate | None:
+    def _outcome(self, position: Position) -> CommitOutcome | None:
         if not self._leads_epoch(position.epoch):
-            return Fate.UNKNOWN
-        return Fate.COMMITTED if position.version <= self._replica.committed else None
+            return CommitOutcome.UNKNOWN
+        return CommitOutcome.COMMITTED if position.version <= self._replica.committed else None
 
     def _leads_epoch(self, epoch: int) -> bool:
         return self._replica.role is Role.PRIMARY and epoch == self._replica.epoch
--- a/eiderhub/coordination/forms.py
+++ b/eiderhub/coordination/forms.py
@@ -11,30 +11,30 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-FORM_KEY = "group/form"
-FIRST_FORM = 1
+FORMAT_KEY = "group/form"
+FIRST_FORMAT = 1
 
 
-class StateForms(NamedTuple):
+class RecordFormats(NamedTuple):
     """The newest record formats that one program supports."""
 
-    reads: int = FIRST_FORM
-    writes: int = FIRST_FORM  # only once all members read it
+    reads: int = FIRST_FORMAT
+    writes: int = FIRST_FORMAT  # only once all members read it
 
 
-OWN_FORMS = StateForms()
+OWN_FORMATS = RecordFormats()
 
 
-def decode_form(value: bytes | None) -> int:
+def decode_format(value: bytes | None) -> int:
     """The format that a group writes, from its replicated state."""
-    return int(value) if value else FIRST_FORM
+    return int(value) if value else FIRST_FORMAT
 
 
 def encode_format(record_format: int) -> bytes:
     return str(record_format).encode()
 
 
-def next_form(current: int, own: StateForms, readable_by_members: Iterable[int]) -> int | None:
+def next_format(current: int, own: RecordFormats, readable_by_members: Iterable[int]) -> int | None:
     """The format that the primary may raise the group to, one step at a time; None if there is none.
 
     A member that cannot read the new format could no longer follow, lead or restart.
--- a/eiderhub/coordination/lease.py
+++ b/eiderhub/coordination/lease.py
@@ -33,6 +33,6 @@
             return float("inf")
         return others_confirmed_at[needed - 1] if needed <= len(others_confirmed_at) else 0.0
 
-    def end(self, members: Collection[str]) -> float:
+    def expires_at(self, members: Collection[str]) -> float:
         """When the lease expires if no further acknowledgement arrives."""
         return self.majority_confirmed_at(members) + self._timing.lease
--- a/eiderhub/coordination/membership.py
+++ b/eiderhub/coordination/membership.py
@@ -71,7 +71,7 @@
 
 def may_remove(view: GroupView, size: GroupSize) -> bool:
     """Whether a member may be removed: enough live ones remain, each with all committed writes."""
-    return len(view.live) >= size.least and all(view.synced(member) for member in view.live)
+    return len(view.live) >= size.min_live and all(view.synced(member) for member in view.live)
 
 
 def next_change(view: GroupView, learners: Collection[str], size: GroupSize) -> MembershipChange | None:
--- a/eiderhub/coordination/messages.py
+++ b/eiderhub/coordination/messages.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from eiderhub.coordination.forms import FIRST_FORM
+from eiderhub.coordination.forms import FIRST_FORMAT
 
 
 class Position(NamedTuple):
@@ -72,7 +72,7 @@
     sent_at: float
     gap: bool = False
     staged: Staged | None = None
-    reads_form: int = FIRST_FORM  # newest record format that the replica's program reads
+    reads_form: int = FIRST_FORMAT  # newest record format that the replica's program reads
 
 
 class RequestEpoch(Struct, tag=True, frozen=True):
--- a/eiderhub/coordination/tail.py
+++ b/eiderhub/coordination/recent_changes.py
@@ -14,9 +14,9 @@
 
 from eiderhub.coordination.messages import Position, Update
 
-KEPT_UPDATES = 24  # so few that they share a store page with data that each update writes anyway
+RETAINED_ENTRIES = 24  # so few that they share a store page with data that each update writes anyway
 MAX_KEYS_PER_ENTRY = 40  # no entry is kept for an update that changes more
-MOST_BYTES = 4 << 20  # of values sent instead of a snapshot
+MAX_CHANGED_BYTES = 4 << 20  # of values sent instead of a snapshot
 
 
 class ChangedKeys(Struct, array_like=True, frozen=True):
@@ -27,7 +27,7 @@
     keys: list[str]
 
 
-def step(previous: Position, updates: list[Update]) -> ChangedKeys | None:
+def changed_keys(previous: Position, updates: list[Update]) -> ChangedKeys | None:
     """The entry for updates applied together; None if they change too many keys for one."""
     keys = list(dict.fromkeys(write.key for update in updates for write in update.writes))
     if len(keys) > MAX_KEYS_PER_ENTRY:
--- a/eiderhub/coordination/repair.py
+++ b/eiderhub/coordination/repair.py
@@ -59,7 +59,9 @@
     return min(MAX_COPY_BYTES_PER_S, link_mbps * 1e6 / 8) if link_mbps > 0 else MAX_COPY_BYTES_PER_S
 
 
-def judge(catch_up_s: float, timing: Timing, link_mbps: float, state_bytes: int) -> tuple[bool, str]:
+def check_catch_up_bound(
+    catch_up_s: float, timing: Timing, link_mbps: float, state_bytes: int
+) -> tuple[bool, str]:
     """Whether a repair with the current state finishes in time, and a line with the largest such state."""
     repair, bytes_per_s = repair_time(timing), copy_bytes_per_s(link_mbps)
     max_bytes = repair.max_state_bytes(catch_up_s, bytes_per_s)
--- a/eiderhub/coordination/replication.py
+++ b/eiderhub/coordination/replication.py
@@ -21,13 +21,13 @@
 
 from eiderhub.coordination.catch_up import CHUNK_BYTES, History, Peer, SnapshotTransfer
 from eiderhub.coordination.forms import (
-    FIRST_FORM,
-    FORM_KEY,
-    OWN_FORMS,
-    StateForms,
-    decode_form,
+    FIRST_FORMAT,
+    FORMAT_KEY,
+    OWN_FORMATS,
+    RecordFormats,
+    decode_format,
     encode_format,
-    next_form,
+    next_format,
 )
 from eiderhub.coordination.lease import Lease
 from eiderhub.coordination.membership import (
@@ -53,11 +53,11 @@
     Update,
     Write,
 )
-from eiderhub.coordination.store import NOWHERE, ReplicaStore, StoreFailed
+from eiderhub.coordination.store import INITIAL_POSITION, ReplicaStore, StoreFailed
 from eiderhub.coordination.timing import GroupSize, Timing, majority
 from eiderhub.coordination.witness import WitnessView, decide
 
-GROUP_STATE_KEYS = frozenset({MEMBERS_KEY, BARRED_KEY, FORM_KEY})
+GROUP_STATE_KEYS = frozenset({MEMBERS_KEY, BARRED_KEY, FORMAT_KEY})
 
 
 class Role(Enum):
@@ -82,18 +82,18 @@
         rng: random.Random,
         size: GroupSize | None = None,
         timing: Timing | None = None,
-        formats: StateForms = OWN_FORMS,
+        formats: RecordFormats = OWN_FORMATS,
     ) -> None:
         self.identity = identity
         self.formats = formats
         self.store = store
         self.timing = timing or Timing()
-        self.candidates: list[str] = []  # replicas that ask to join, the preferred ones first
+        self.join_candidates: list[str] = []  # replicas that ask to join, the preferred ones first
         self.outbox: list[Outgoing] = []
         self.role = Role.BACKUP
         self.primary: str | None = None  # of the epoch that this replica follows
         self.committed = 0  # version; not stored: reported by the primary
-        self.unreadable_form: int | None = None  # written by the primary, not readable here
+        self.unreadable_format: int | None = None  # written by the primary, not readable here
         self._size = size or GroupSize()
         self._rng = rng
         self._load_group()
@@ -102,18 +102,18 @@
         self._election_due_at = now + self._election_timeout(now)
         # while a candidate
         self._votes: set[str] = set()
-        self._unled: set[str] = set()  # that follow no primary and restarted recently
+        self._members_without_leader: set[str] = set()  # that follow no primary and restarted recently
         self._pre_vote = False
         self._requested_epoch = 0
         # while the primary
         self._peers: dict[str, Peer] = {}
         self._lease = Lease(identity, self.timing)
-        self._history = History(NOWHERE)
+        self._history = History(INITIAL_POSITION)
         self._epoch_first_version = 0  # first version of this primary's epoch
         self._group_change_version = 0  # of the latest group change; earlier epochs' are committed
         self._committed_at_heartbeats = (0, 0)  # the last but one, and the last
         self._primary_since = 0.0
-        self._transfer_until: float | None = None  # of a running transfer of leadership
+        self._transfer_deadline: float | None = None  # of a running transfer of leadership
         self._successor: str | None = None  # still missing updates before it can take over
         self._next_heartbeat_at = 0.0
         self._learners: set[str] = set()
@@ -132,7 +132,7 @@
         return self.store.position
 
     @property
-    def told_version(self) -> int:
+    def version_or_zero(self) -> int:
         """The version of the state, for status output only; 0 if the store cannot report it."""
         try:
             return self.position.version
@@ -149,7 +149,7 @@
         return self._barred
 
     @property
-    def form(self) -> int:
+    def record_format(self) -> int:
         """The newest format in which records of the state may be written."""
         return self._format
 
@@ -157,16 +157,16 @@
         """Whether this replica is certainly the primary, so that reads may be answered from its state."""
         return (
             self.role is Role.PRIMARY
-            and self._transfer_until is None
+            and self._transfer_deadline is None
             and self._epoch_is_committed()
-            and now < self._lease.end(self._members)
+            and now < self._lease.expires_at(self._members)
         )
 
-    def settled(self, now: float) -> bool:
+    def all_committed(self, now: float) -> bool:
         """On the primary: whether all of its state, including its membership, is committed."""
         return self.leads(now) and self.committed == self.position.version
 
-    def members_settled(self, now: float) -> bool:
+    def membership_committed(self, now: float) -> bool:
         """On the primary: whether the latest change of the group is committed, regardless of later writes."""
         return self.leads(now) and self.committed >= self._group_change_version
 
@@ -190,13 +190,13 @@
 
     def bootstrap(self, members: Iterable[str]) -> None:
         """Initialize a new group: every member is given the same list."""
-        if self.position == NOWHERE and not self._members:
+        if self.position == INITIAL_POSITION and not self._members:
             initial = Update(Position(1, 1), [Write(MEMBERS_KEY, encode_identities(list(members)))])
             self.store.apply([initial])
             self.store.grant(1)
             self._load_group()
 
-    def connected(self, now: float, identity: str) -> None:
+    def on_connected(self, now: float, identity: str) -> None:
         """A new connection to the replica is open; what was sent on the previous one may be lost."""
         peer = self._peers.get(identity)
         if peer is not None:
@@ -242,12 +242,12 @@
         if self.role is Role.PRIMARY:
             self._step_down(now)
 
-    def transfer(self, now: float) -> bool:
+    def transfer_leadership(self, now: float) -> bool:
         """On the primary: hand over to the most recent backup once it has caught up; false if there is none.
 
         From now on this replica does not lead, so that no more writes are made.
         """
-        if self.role is not Role.PRIMARY or self._transfer_until is not None:
+        if self.role is not Role.PRIMARY or self._transfer_deadline is not None:
             return False
         eligible = [
             i for i in sorted(self._members - {self.identity} - self._leaving()) if self._can_succeed(now, i)
@@ -258,7 +258,7 @@
         self._successor = self._rng.choice(
             [i for i in eligible if self._synced_version(i) == highest_version]
         )
-        self._transfer_until = now + self.timing.transfer
+        self._transfer_deadline = now + self.timing.transfer_timeout
         self._notify_successor()
         return True
 
@@ -290,8 +290,8 @@
             self._step_down(now)
 
     def _tick_primary(self, now: float) -> None:
-        if self._transfer_until is not None and now >= self._transfer_until:
-            self._take_back(now)
+        if self._transfer_deadline is not None and now >= self._transfer_deadline:
+            self._abandon_transfer(now)
             return
         if now >= self._next_heartbeat_at:
             self._send_heartbeats(now)
@@ -301,7 +301,7 @@
             return
         self._maintain_membership(now)
 
-    def _take_back(self, now: float) -> None:
+    def _abandon_transfer(self, now: float) -> None:
         """Abandon a transfer of leadership that did not complete in time.
 
         The successor may still take over, and the witnesses grant it the epoch without waiting for a lease to
@@ -331,7 +331,7 @@
         if self._is_outdated(message):
             self._send(sender, self._make_replicated(message, gap=True))
             return
-        self._refuse_unreadable(message)
+        self._reject_unreadable_format(message)
         if message.epoch > self.epoch:
             self.store.grant(message.epoch)
         if self.role is not Role.BACKUP:
@@ -340,7 +340,7 @@
         self._primary_heard_at = now
         self._election_due_at = now + self._election_timeout(now)
         if isinstance(message, SnapshotChunk):
-            accepted = self._take_chunk(message)
+            accepted = self._stage_chunk(message)
         else:
             accepted = self._apply_updates(message)
         if accepted and self.position >= self._resulting_position(message):
@@ -357,7 +357,7 @@
         """Whether the message comes from the primary of an earlier epoch."""
         return message.epoch < self.epoch
 
-    def _refuse_unreadable(self, message: Replicate | SnapshotChunk) -> None:
+    def _reject_unreadable_format(self, message: Replicate | SnapshotChunk) -> None:
         """Refuse a record format that this program cannot read: it would misinterpret the state.
 
         Raises:
@@ -366,9 +366,9 @@
         updates = message.updates if isinstance(message, Replicate) else []
         entries = message.entries if isinstance(message, SnapshotChunk) else []
         writes = [*entries, *(write for update in updates for write in update.writes)]
-        record_formats = [decode_form(write.value) for write in writes if write.key == FORM_KEY]
+        record_formats = [decode_format(write.value) for write in writes if write.key == FORMAT_KEY]
         if any(record_format > self.formats.reads for record_format in record_formats):
-            self.unreadable_form = max(record_formats)
+            self.unreadable_format = max(record_formats)
             raise StoreFailed(
                 f"records of form {max(record_formats)}; this program reads up to {self.formats.reads}"
             )
@@ -382,7 +382,7 @@
 
     def _apply_updates(self, message: Replicate) -> bool:
         """Apply updates that follow the current or the staged state; false if there is a gap."""
-        if self._follows(message.previous):
+        if self._follows_own_state(message.previous):
             if message.updates:
                 self.store.apply(message.updates)
                 self._reload_group_if_changed(
@@ -405,15 +405,15 @@
             self._reload_group_if_changed([write for update in missing for write in update.writes])
         return True
 
-    def _follows(self, previous: Position) -> bool:
+    def _follows_own_state(self, previous: Position) -> bool:
         """Whether updates after the given position follow the current state."""
         return previous == self.position
 
-    def _take_chunk(self, chunk: SnapshotChunk) -> bool:
+    def _stage_chunk(self, chunk: SnapshotChunk) -> bool:
         """Stage a chunk of a snapshot and install it after the last chunk; false if there is a gap."""
-        if self._is_behind_us(chunk):
+        if self._already_has_snapshot(chunk):
             return True
-        if not self._continues(chunk):
+        if not self._is_next_chunk(chunk):
             return False
         self.store.stage(chunk.entries, Staged(chunk.position, chunk.through), first=not chunk.after)
         if chunk.last:
@@ -421,7 +421,7 @@
             self._load_group()
         return True
 
-    def _is_behind_us(self, chunk: SnapshotChunk) -> bool:
+    def _already_has_snapshot(self, chunk: SnapshotChunk) -> bool:
         """Whether this replica is already at the position of the snapshot or later.
 
         Data of an old connection may be read after that of a new one. A state that the primary counts as
@@ -429,7 +429,7 @@
         """
         return self.position.epoch == chunk.epoch and self.position >= chunk.position
 
-    def _continues(self, chunk: SnapshotChunk) -> bool:
+    def _is_next_chunk(self, chunk: SnapshotChunk) -> bool:
         """Whether the chunk starts a snapshot or follows the staged part."""
         return not chunk.after or self.store.staged == Staged(chunk.position, chunk.after)
 
@@ -443,12 +443,12 @@
     def _load_group(self) -> None:
         self._members = decode_identities(self.store.get(MEMBERS_KEY))
         self._barred = decode_identities(self.store.get(BARRED_KEY))
-        self._format = decode_form(self.store.get(FORM_KEY))
+        self._format = decode_format(self.store.get(FORMAT_KEY))
 
     # --- witness and candidate ---
 
     def _election_timeout(self, now: float) -> float:
-        if self._young(now) and self.primary is None:
+        if self._recently_started(now) and self.primary is None:
             return self.timing.initial_election_timeout * (0.5 + self._rng.random())
         return self.timing.election_timeout_min + self.timing.election_timeout_spread * self._rng.random()
 
@@ -456,12 +456,12 @@
         since_primary_heard_s = None if self.primary is None else now - self._primary_heard_at
         leads = (
             self.role is Role.PRIMARY
-            and now < self._lease.end(self._members)
-            and self._transfer_until is None
+            and now < self._lease.expires_at(self._members)
+            and self._transfer_deadline is None
         )
         return WitnessView(self.epoch, self.position, since_primary_heard_s, leads, now - self._started_at)
 
-    def _young(self, now: float) -> bool:
+    def _recently_started(self, now: float) -> bool:
         return now - self._started_at < self.timing.lease
 
     def _start_election(
@@ -476,7 +476,7 @@
             self.role = Role.CANDIDATE
             self.primary = None
         self._votes = {self.identity}
-        self._unled = set()
+        self._members_without_leader = set()
         request = RequestEpoch(self._requested_epoch, self.position, pre_vote, transfer, without_leader)
         for member in sorted(self._members - {self.identity}):
             self._send(member, request)
@@ -500,7 +500,7 @@
     def _on_epoch_answer(self, now: float, sender: str, message: EpochAnswer) -> None:
         is_current = message.epoch == self._requested_epoch and message.trial == self._pre_vote
         if message.young and message.trial and is_current and self.role is Role.BACKUP:
-            self._unled.add(sender)
+            self._members_without_leader.add(sender)
             self._check_votes(now)
         elif not message.granted:
             self._on_epoch_refused(now, message)
@@ -519,28 +519,28 @@
             self.store.grant(message.highest)
 
     def _check_votes(self, now: float) -> None:
-        if self._pre_vote and self.role is Role.BACKUP and self._nobody_is_led(now):
+        if self._pre_vote and self.role is Role.BACKUP and self._no_member_has_leader(now):
             self._start_election(now, pre_vote=False, without_leader=True)
             return
         if len(self._votes & self._members) < majority(len(self._members)):
             return
         if self._pre_vote:
-            if self._requested_epoch == self.epoch + 1 and not self._young(now):
+            if self._requested_epoch == self.epoch + 1 and not self._recently_started(now):
                 self._start_election(now, pre_vote=False)
         elif self.epoch == self._requested_epoch and self.role is Role.CANDIDATE:
             self._become_primary(now)
 
-    def _nobody_is_led(self, now: float) -> bool:
+    def _no_member_has_leader(self, now: float) -> bool:
         """Whether no lease can be valid, because every member has said that it follows no primary."""
-        lease_wait_applies = self._young(now) or bool(self._unled)
-        return lease_wait_applies and self._members <= self._votes | self._unled
+        lease_wait_applies = self._recently_started(now) or bool(self._members_without_leader)
+        return lease_wait_applies and self._members <= self._votes | self._members_without_leader
 
     # --- primary ---
 
     def _become_primary(self, now: float) -> None:
         self.role = Role.PRIMARY
         self.primary = self.identity
-        self._transfer_until = None
+        self._transfer_deadline = None
         self._peers = {i: Peer(now) for i in (self._members | self._learners) - {self.identity}}
         self._lease = Lease(self.identity, self.timing)
         self._history = History(self.position)
@@ -554,7 +554,7 @@
     def _step_down(self, now: float) -> None:
         self.role = Role.BACKUP
         self.primary = None
-        self._transfer_until = None
+        self._transfer_deadline = None
         self._successor = None
         self._peers = {}
         self._votes = set()
@@ -593,7 +593,7 @@
         if message.gap or peer.sent_position is None:
             self._catch_up(now, sender, peer, message)
             return
-        if self._knows(message.position):
+        if self._is_known_state(message.position):
             peer.synced_position = message.position
             peer.snapshot_transfer = None
             self._advance_committed()
@@ -601,7 +601,7 @@
         elif peer.snapshot_transfer is not None:
             self._continue_snapshot(now, sender, peer, peer.snapshot_transfer, message)
 
-    def _knows(self, position: Position) -> bool:
+    def _is_known_state(self, position: Position) -> bool:
         """Whether this primary has itself been at the position that a replica reports.
 
         Under many writes, a reply may be older than the updates kept in memory, but every update of this
@@ -672,10 +672,10 @@
         versions.sort(reverse=True)
         needed = majority(len(self._members))
         majority_version = versions[needed - 1] if len(versions) >= needed else 0
-        if self._commits(majority_version):
+        if self._is_committed_by_majority(majority_version):
             self.committed = max(self.committed, majority_version)
 
-    def _commits(self, version: int) -> bool:
+    def _is_committed_by_majority(self, version: int) -> bool:
         """Whether a version synced by a majority is thereby committed."""
         return version >= self._epoch_first_version
 
@@ -704,7 +704,7 @@
         member in common, and updates are applied in order, so a replica that has the change has everything
         before it.
         """
-        return self.members_settled(now)
+        return self.membership_committed(now)
 
     def _maintain_membership(self, now: float) -> None:
         if not self._may_change_members(now):
@@ -713,7 +713,7 @@
         self._drop_learners(now, view)
         record_format = self._next_format(view)
         if record_format is not None:
-            self.propose(now, [Write(FORM_KEY, encode_format(record_format))])
+            self.propose(now, [Write(FORMAT_KEY, encode_format(record_format))])
             return
         change = next_change(view, self._learners, self._size)
         if change is not None:
@@ -724,21 +724,21 @@
             return
         if needs_learner(view, self._learners, self._size):
             self._add_learner(now, view)
-        if self.identity in view.leaving and len(view.live) >= self._size.least:
-            self.transfer(now)
+        if self.identity in view.leaving and len(view.live) >= self._size.min_live:
+            self.transfer_leadership(now)
 
     def _next_format(self, view: GroupView) -> int | None:
         """The format that the group may be raised to: every member, including silent ones, can read it."""
         others = view.members - {self.identity}
-        return next_form(self._format, self.formats, [self._readable_format(other) for other in others])
+        return next_format(self._format, self.formats, [self._readable_format(other) for other in others])
 
     def _readable_format(self, identity: str) -> int:
         """The newest format that another replica's program has reported it can read."""
         peer = self._peers.get(identity)
-        return peer.readable_format if peer is not None else FIRST_FORM
+        return peer.readable_format if peer is not None else FIRST_FORMAT
 
     def _add_learner(self, now: float, view: GroupView) -> None:
-        learner = next_learner(view, self._learners, self.candidates, self._learner_failed_at)
+        learner = next_learner(view, self._learners, self.join_candidates, self._learner_failed_at)
         if learner is not None:
             self._learners.add(learner)
             self._peers[learner] = Peer(now)
--- a/eiderhub/coordination/roster.py
+++ b/eiderhub/coordination/roster.py
@@ -21,30 +21,30 @@
 
     def __init__(self, identity: str, zone: str) -> None:
         self.retired: frozenset[str] = frozenset()  # identities that must leave permanently
-        self.retired_names: frozenset[str] = frozenset()  # machines that must leave permanently
-        self.gathers = False  # whether to place members in few zones rather than in many
-        self.informed = True  # whether the retirements above are known to be complete
-        self._present: dict[str, str] = {}  # connected identities by address
+        self.retired_nodes: frozenset[str] = frozenset()  # machines that must leave permanently
+        self.prefers_same_zones = False  # whether to place members in few zones rather than in many
+        self.retirements_known = True  # whether the retirements above are known to be complete
+        self._identity_at: dict[str, str] = {}  # connected identities by address
         self._node_names: dict[str, str] = {}  # by identity
         self._zones = {identity: zone}
 
-    def greeted(self, identity: str, name: str, zone: str) -> None:
+    def add_replica(self, identity: str, name: str, zone: str) -> None:
         """Another replica has introduced itself; it replaces any earlier replica at its address."""
-        self._present[address_of(identity)] = identity
+        self._identity_at[address_of(identity)] = identity
         self._node_names[identity] = name
         self._zones[identity] = zone
 
-    def lost(self, identity: str) -> None:
+    def remove_replica(self, identity: str) -> None:
         """The connection to a replica has ended."""
-        if self._present.get(address_of(identity)) == identity:
-            del self._present[address_of(identity)]
+        if self._identity_at.get(address_of(identity)) == identity:
+            del self._identity_at[address_of(identity)]
 
     def retiring(self, members: Collection[str]) -> frozenset[str]:
         """Identities that must leave permanently: those listed, and all on machines being retired."""
-        known = set(members) | set(self._present.values())
-        return self.retired | {i for i in known if self._node_names.get(i, "") in self.retired_names}
+        known = set(members) | set(self._identity_at.values())
+        return self.retired | {i for i in known if self._node_names.get(i, "") in self.retired_nodes}
 
-    def tend(self, replica: Replica) -> None:
+    def update_replica(self, replica: Replica) -> None:
         """Pass a primary the replicas that may join and those that must leave."""
         if replica.role is not Role.PRIMARY:
             return
@@ -52,24 +52,28 @@
         for identity in retiring:
             replica.mark_retiring(identity)
         for member in replica.members:
-            if self._present.get(address_of(member), member) != member:
+            if self._identity_at.get(address_of(member), member) != member:
                 replica.mark_replaced(member)
-        replica.candidates = self.candidates(replica, retiring)
+        replica.join_candidates = self.join_candidates(replica, retiring)
 
-    def candidates(self, replica: Replica, retiring: Collection[str]) -> list[str]:
+    def join_candidates(self, replica: Replica, retiring: Collection[str]) -> list[str]:
         """Replicas that could become members, ordered by preference.
 
         Those in zones without a member come first, or those in zones with one if few zones are preferred.
         While the retirements may be incomplete, replicas at the address of a barred one are left out: they
         may run on a machine that is about to be removed.
         """
-        excluded_addresses = set() if self.informed else {address_of(identity) for identity in replica.barred}
+        excluded_addresses = (
+            set() if self.retirements_known else {address_of(identity) for identity in replica.barred}
+        )
         eligible: Iterable[str] = (
             identity
-            for address, identity in self._present.items()
+            for address, identity in self._identity_at.items()
             if identity not in retiring
             and identity not in replica.members
             and address not in excluded_addresses
         )
         covered_zones = {self._zones.get(member, "") for member in replica.members - set(retiring)}
-        return sorted(eligible, key=lambda i: ((self._zones.get(i, "") in covered_zones) != self.gathers, i))
+        return sorted(
+            eligible, key=lambda i: ((self._zones.get(i, "") in covered_zones) != self.prefers_same_zones, i)
+        )
--- a/eiderhub/coordination/store.py
+++ b/eiderhub/coordination/store.py
@@ -7,7 +7,7 @@
 
 from eiderhub.coordination.messages import Position, Staged, Update, Write
 
-NOWHERE = Position(0, 0)
+INITIAL_POSITION = Position(0, 0)
 
 
 class StoreFailed(Exception):
--- a/eiderhub/coordination/timing.py
+++ b/eiderhub/coordination/timing.py
@@ -14,14 +14,14 @@
     election_timeout_spread: float = 0.25
     initial_election_timeout: float = 0.1  # mean, for a replica that started recently
     replace_after: float = 1.5  # a member that is silent for this long is replaced or removed
-    transfer: float = 1.5  # a planned transfer of leadership is abandoned after this long
+    transfer_timeout: float = 1.5  # a planned transfer of leadership is abandoned after this long
 
 
 class GroupSize(NamedTuple):
     """The intended number of members of a group."""
 
     target: int | None = None  # number of live members; None: every replica that asks to join
-    least: int = 3  # no member is removed unless this many live ones remain
+    min_live: int = 3  # no member is removed unless this many live ones remain
 
 
 def copies_needed(tolerated_losses: int) -> int:
--- a/eiderhub/coordination/wire.py
+++ b/eiderhub/coordination/wire.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 WIRE_VERSION = 2
-UNTOLD_VERSION = 1  # of a process that does not advertise its version
+DEFAULT_WIRE_VERSION = 1  # of a process that does not advertise its version
 
 
 class Feature(Enum):
@@ -26,13 +26,13 @@
 class WireSupport(Struct, array_like=True, frozen=True):
     """What one process supports. Unknown feature names are ignored."""
 
-    version: int = UNTOLD_VERSION
+    version: int = DEFAULT_WIRE_VERSION
     features: list[str] = []
 
-    def takes(self, feature: Feature) -> bool:
+    def includes(self, feature: Feature) -> bool:
         """Whether the process supports the feature; wire version 1 has none."""
-        return self.version > UNTOLD_VERSION and feature.value in self.features
+        return self.version > DEFAULT_WIRE_VERSION and feature.value in self.features
 
 
-UNTOLD = WireSupport()
+DEFAULT_SUPPORT = WireSupport()
 OWN_SUPPORT = WireSupport(WIRE_VERSION, [feature.value for feature in Feature])
--- a/eiderhub/coordination/witness.py
+++ b/eiderhub/coordination/witness.py
@@ -32,7 +32,7 @@
     recently_started: bool  # refused only because the replica started recently
 
 
-def is_young(view: WitnessView, timing: Timing) -> bool:
+def is_recently_started(view: WitnessView, timing: Timing) -> bool:
     """Whether a lease that this replica confirmed before its start may still be valid."""
     return view.uptime_s < timing.lease
 
@@ -41,12 +41,12 @@
     return request.epoch > view.epoch
 
 
-def has_all(view: WitnessView, request: RequestEpoch) -> bool:
+def is_up_to_date(view: WitnessView, request: RequestEpoch) -> bool:
     """Whether the candidate's state is at least as recent as that of this replica."""
     return request.position >= view.position
 
 
-def is_led(view: WitnessView, timing: Timing) -> bool:
+def has_live_primary(view: WitnessView, timing: Timing) -> bool:
     """Whether this replica leads, or a lease that it has confirmed may still be valid."""
     hears_primary = (
         view.since_primary_heard_s is not None and view.since_primary_heard_s < timing.election_timeout_min
@@ -56,7 +56,7 @@
 
 def decide(view: WitnessView, request: RequestEpoch, timing: Timing) -> Decision:
     """Whether the requested epoch is granted; for a trial, whether it would be."""
-    no_active_lease = request.transfer or not is_led(view, timing)
-    eligible = is_new_epoch(view, request) and has_all(view, request) and no_active_lease
-    granted = eligible and (request.unled or not is_young(view, timing))
+    no_active_lease = request.transfer or not has_live_primary(view, timing)
+    eligible = is_new_epoch(view, request) and is_up_to_date(view, request) and no_active_lease
+    granted = eligible and (request.unled or not is_recently_started(view, timing))
     return Decision(granted, eligible and not granted)
--- a/eiderhub/dataplane/admission.py
+++ b/eiderhub/dataplane/admission.py
@@ -19,7 +19,7 @@
 from eiderhub.control.errors import ErrorKind
 from eiderhub.control.messages import EndpointRecord
 from eiderhub.dataplane.activity import EndpointActivity
-from eiderhub.dataplane.engine import EndpointPool, Exchange, Headers
+from eiderhub.dataplane.endpoint_connections import EndpointPool, Exchange, Headers
 from eiderhub.dataplane.events import Event, EventParser
 from eiderhub.dataplane.routes import Route
 from eiderhub.interface import (
@@ -115,9 +115,25 @@
     """One request that has not ended yet."""
 
     __slots__ = (
-        "attempt_count", "balancer", "current", "deadline_timer", "deadline_us", "errors", "exchange",
-        "final", "key", "last_event", "ran", "request", "request_id", "response", "response_started",
-        "route", "sink", "tenant", "tokens",
+        "attempt_count",
+        "balancer",
+        "current_attempt",
+        "deadline_timer",
+        "deadline_us",
+        "exchange",
+        "key",
+        "last_event_id",
+        "no_further_attempts",
+        "possible_runs",
+        "request",
+        "request_id",
+        "response",
+        "response_started",
+        "route",
+        "server_errors",
+        "sink",
+        "tenant",
+        "tokens",
     )  # fmt: skip
 
     def __init__(
@@ -142,13 +158,13 @@
         self.balancer: Balancer | None = None
         self.deadline_timer: asyncio.TimerHandle | None = None
         self.attempt_count = 0
-        self.current: Attempt | None = None  # the attempt in progress
+        self.current_attempt: Attempt | None = None  # the attempt in progress
         self.exchange: Exchange | None = None
-        self.last_event = NO_EVENT_ID
+        self.last_event_id = NO_EVENT_ID
         self.response_started = False
-        self.ran = 0  # attempts that an endpoint may have executed
-        self.errors = 0  # responses with status 500
-        self.final = False  # the route now leads to another service
+        self.possible_runs = 0  # attempts that an endpoint may have executed
+        self.server_errors = 0  # responses with status 500
+        self.no_further_attempts = False  # the route now leads to another service
         self.response: tuple[int, Headers, bytes] | None = None  # the last one that was not a stream
 
     @property
@@ -189,12 +205,12 @@
 
     def _count_received(self, size: int) -> None:
         if self._is_cross_zone:
-            TRAFFIC.received(self._call.traffic_kind, size)
+            TRAFFIC.count_received(self._call.traffic_kind, size)
 
     def count_sent(self, size: int) -> None:
         """Count the bytes of the request if it goes to another zone."""
         if self._is_cross_zone:
-            TRAFFIC.sent(self._call.traffic_kind, size)
+            TRAFFIC.count_sent(self._call.traffic_kind, size)
 
     def _matches_request(self, response_id: bytes | None, status: int, reused: bool) -> bool:
         """Whether the response belongs to this request: endpoints echo its id.
@@ -224,11 +240,11 @@
 
     def _accept_event(self, event: Event) -> bool:
         call = self._call
-        self._admission.answers += 1
-        if call.last_event != NO_EVENT_ID and event.id >= 0 and event.id != call.last_event + 1:
+        self._admission.response_count += 1
+        if call.last_event_id != NO_EVENT_ID and event.id >= 0 and event.id != call.last_event_id + 1:
             return False
         if event.id >= 0:
-            call.last_event = event.id
+            call.last_event_id = event.id
         now = self._admission.now_us()
         if self._first_event_us:
             self._activity.on_event(now)
@@ -244,7 +260,7 @@
     def on_end(self) -> None:
         if self.finished:
             return
-        self._admission.answers += 1
+        self._admission.response_count += 1
         headers_by_name = {name.lower(): value for name, value in self._headers}
         if self._parser is not None:
             if self._parser.has_partial_event or not self._call.response_started:
@@ -265,7 +281,7 @@
             self._abort_exchange()
             return
         call.response = (self._status, self._headers, body)
-        call.errors += self._status == 500
+        call.server_errors += self._status == 500
         final = self._status < 500
         self._end(Outcome.OK if final else Outcome.ERROR, True, final)
 
@@ -317,7 +333,7 @@
         self._balancer: Balancer | None = None  # used for new calls
         self._balancers: list[Balancer] = []  # the current one, and earlier ones that still have calls
         self.refused_count = 0
-        self.answers = 0  # events and responses received from endpoints
+        self.response_count = 0  # events and responses received from endpoints
 
     @staticmethod
     def now_us() -> int:
@@ -328,7 +344,7 @@
         """Whether any call has not ended."""
         return bool(self._calls)
 
-    def figures(self) -> list[tuple[str, int]]:
+    def metrics(self) -> list[tuple[str, int]]:
         """Metrics of this service; `instances` counts the balancers in use."""
         return [
             ("calls", len(self._calls)),
@@ -344,7 +360,7 @@
 
     def is_cross_zone(self, endpoint: str) -> bool:
         """Whether traffic to the endpoint leaves this zone."""
-        return TRAFFIC.crosses(self._zones.get(endpoint, ""))
+        return TRAFFIC.is_cross_zone(self._zones.get(endpoint, ""))
 
     def activity(self, endpoint: str) -> EndpointActivity:
         return self._activities.setdefault(endpoint, EndpointActivity())
@@ -358,17 +374,17 @@
                 capacity = self._capacities.get(identity, 0)
                 calls_from_peers = peer_calls.get(identity, 0)
                 state.weight = (state.in_flight + 1) / activity.load(now_us, calls_from_peers, capacity)
-                state.taken = (
+                state.usage = (
                     (calls_from_peers + activity.calls_in_flight + 1) / capacity if capacity else 0.0
                 )
 
-    def calls_out(self) -> dict[str, int]:
+    def calls_in_flight(self) -> dict[str, int]:
         """This sidecar's calls in flight by endpoint, without endpoints that have none."""
         return {
             identity: a.calls_in_flight for identity, a in self._activities.items() if a.calls_in_flight > 0
         }
 
-    def follow_others(self, calls: Mapping[str, int]) -> None:
+    def update_peer_calls(self, calls: Mapping[str, int]) -> None:
         """Set the calls in flight of all other sidecars, by endpoint."""
         self._peer_calls = calls
         self._peer_calls_at_us = self.now_us()
@@ -378,7 +394,7 @@
 
     # --- updates from the control plane ---
 
-    def follow_routes(self, routes: Sequence[Route], capacity: int) -> None:
+    def update_routes(self, routes: Sequence[Route], capacity: int) -> None:
         """Set the routes to this service; new request classes or tenants need a new balancer."""
         self._capacity = capacity
         routes_by_class = {class_name(route): route for route in routes}
@@ -390,7 +406,7 @@
         self._tenants = tenants
         self._replace_balancer()
 
-    def follow_fleet(self, rank: int, sidecars: int) -> None:
+    def update_fleet(self, rank: int, sidecars: int) -> None:
         if (rank, sidecars) == self._fleet:
             return
         self._fleet = (rank, sidecars)
@@ -398,7 +414,7 @@
             balancer.settings = dataclasses.replace(balancer.settings, rank=rank, balancers=sidecars)
             balancer.discovery(self.now_us(), ListForm.DELTA, [])
 
-    def follow_endpoints(self, records: list[EndpointRecord]) -> None:
+    def update_endpoints(self, records: list[EndpointRecord]) -> None:
         if records == self._records:
             return
         self._records = records
@@ -461,7 +477,7 @@
         new.start(now)
         new.discovery(now, ListForm.FULL, self._balancer_endpoints())
         if old is not None:
-            new.recall(now, old.learned(now))
+            new.restore(now, old.learned_state(now))
         self._balancer = new
         self._balancers = [*self._active_balancers(), new]
         self._seed_balancer()
@@ -474,14 +490,14 @@
         initial = PoolMemory(
             1.0, self._capacity * INITIAL_CAPACITY_SHARE, INITIAL_LATENCY_SHARE, INITIAL_LATENCY_SHARE
         )
-        self._balancer.recall(self.now_us(), Memory([initial] * len(Ring), []))
+        self._balancer.restore(self.now_us(), Memory([initial] * len(Ring), []))
 
     async def reaches_endpoint(self) -> bool:
         """Whether a randomly chosen endpoint accepts a connection."""
         pools = list(self._pools.values())
         return bool(pools) and await self._rng.choice(pools).can_connect()
 
-    def order(self, call: Call) -> None:
+    def submit(self, call: Call) -> None:
         """Admit a call; its sink is notified of the end, possibly before this returns."""
         if self._balancer is None:
             call.sink.refuse(ErrorKind.NOT_READY, MAX_RETRY_AFTER_US)
@@ -511,7 +527,7 @@
         if not self._close_call(call):
             return
         assert call.balancer is not None
-        may_have_run = call.ran > 0 or call.current is not None
+        may_have_run = call.possible_runs > 0 or call.current_attempt is not None
         call.balancer.expired(self.now_us(), call.key)
         self._drop_attempt(call, Outcome.TIMEOUT)
         if call.response_started:
@@ -519,14 +535,14 @@
         else:
             call.sink.refuse(ErrorKind.UNCERTAIN if may_have_run else ErrorKind.NOT_READY, 0)
 
-    def end_all(self) -> None:
+    def time_out_all(self) -> None:
         """End all calls as the process exits: clients get a response instead of a closed connection."""
         for call in list(self._calls.values()):
             self.time_out(call)
 
     def _drop_attempt(self, call: Call, outcome: Outcome) -> None:
         """Cancel the attempt in progress and report its outcome to the balancer."""
-        attempt, call.current = call.current, None
+        attempt, call.current_attempt = call.current_attempt, None
         if attempt is None or call.balancer is None:
             return
         attempt.finished = True
@@ -552,15 +568,17 @@
     ) -> None:
         balancer = call.balancer
         assert balancer is not None
-        call.current = None
-        call.ran += may_have_run
+        call.current_attempt = None
+        call.possible_runs += may_have_run
         succeeded = outcome is Outcome.OK
         if succeeded and self._close_call(call):
             if call.response_started:
                 call.sink.finish()
             elif call.response is not None:
                 call.sink.answer(*call.response)
-        attempts_exhausted = call.final or (may_have_run and call.ran >= call.route.max_attempts)
+        attempts_exhausted = call.no_further_attempts or (
+            may_have_run and call.possible_runs >= call.route.max_attempts
+        )
         if not succeeded and attempts_exhausted and call.key in self._calls:
             self._fail_call(call)
         still_open = call.key in self._calls
@@ -588,7 +606,7 @@
         now = self.now_us()
         attempt = Attempt(self, pending, pending.attempt_count, endpoint, now)
         pending.attempt_count += 1
-        pending.current = attempt
+        pending.current_attempt = attempt
         pool = self._pools.get(endpoint)
         if pool is None:
             self._loop.call_soon(attempt.on_failed, False)
@@ -596,8 +614,8 @@
         head, body = pending.request
         parts = [head, b"Expect-Instance: %s\r\n" % endpoint.encode()]
         parts.append(b"Timeout-Ms: %d\r\n" % max(1, (pending.deadline_us - now) // 1000))
-        if pending.last_event != NO_EVENT_ID:
-            parts.append(b"Last-Event-Id: %d\r\n" % pending.last_event)
+        if pending.last_event_id != NO_EVENT_ID:
+            parts.append(b"Last-Event-Id: %d\r\n" % pending.last_event_id)
         parts.append(b"\r\n")
         parts.append(body)
         data = b"".join(parts)
@@ -616,7 +634,7 @@
         if (
             pending.response_started
             or pending.response is not None
-            or (pending.ran and not pending.route.repeatable)
+            or (pending.possible_runs and not pending.route.repeatable)
         ):
             self._fail_call(pending)
         elif self._close_call(pending):
--- a/eiderhub/dataplane/drain.py
+++ b/eiderhub/dataplane/drain.py
@@ -18,7 +18,7 @@
         self._accepts_all_until = started_at + min(MIN_DRAIN_S, grace_s / 2)
         self._exits_at = started_at + grace_s - EXIT_MARGIN_S
 
-    def takes(self, now: float, max_duration_s: float) -> bool:
+    def accepts(self, now: float, max_duration_s: float) -> bool:
         """Whether to accept a request that may take `max_duration_s`; a rejected one is never executed."""
         return now < self._accepts_all_until or now + max_duration_s <= self._exits_at
 
--- a/eiderhub/dataplane/early.py
+++ b/eiderhub/dataplane/early_requests.py
@@ -18,7 +18,7 @@
 
 class HeldRequest(NamedTuple, Generic[T]):
     request: T
-    since: float  # seconds, on the caller's clock
+    held_since: float  # seconds, on the caller's clock
     expires_at: float
     size_bytes: int
 
@@ -29,8 +29,8 @@
     def __init__(self) -> None:
         self._held: dict[int, HeldRequest[T]] = {}  # keyed by id(request)
         self._bytes = 0
-        self.total = 0  # requests held since the start
-        self.refused = 0  # of these, requests that reached their time limit
+        self.held_total = 0  # requests held since the start
+        self.expired_total = 0  # of these, requests that reached their time limit
 
     def __len__(self) -> int:
         return len(self._held)
@@ -42,7 +42,7 @@
         expires_at = now + min(MAX_HOLD_S, HOLD_TIMEOUT_SHARE * timeout_s)
         self._held[id(request)] = HeldRequest(request, now, expires_at, size_bytes)
         self._bytes += size_bytes
-        self.total += 1
+        self.held_total += 1
         return True
 
     def remove(self, request: T) -> bool:
@@ -53,15 +53,15 @@
         self._bytes -= held.size_bytes
         return True
 
-    def overdue(self, now: float) -> list[T]:
+    def take_expired(self, now: float) -> list[T]:
         """Remove and return the requests past their time limit; the caller refuses them."""
         expired = [held.request for held in self._held.values() if now >= held.expires_at]
         for request in expired:
             self.remove(request)
-        self.refused += len(expired)
+        self.expired_total += len(expired)
         return expired
 
-    def release(self) -> list[HeldRequest[T]]:
+    def take_all(self) -> list[HeldRequest[T]]:
         """Remove and return all held requests; the caller processes them."""
         requests = list(self._held.values())
         self._held.clear()
--- a/eiderhub/dataplane/frontend.py
+++ b/eiderhub/dataplane/frontend.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from eiderhub.control.errors import STATUS, ErrorKind
-from eiderhub.dataplane.engine import Headers
+from eiderhub.control.errors import HTTP_STATUS, ErrorKind
+from eiderhub.dataplane.endpoint_connections import Headers
 from eiderhub.dataplane.events import Event
 from eiderhub.http1 import REASONS, Bounds, Exchange, ServerConnection
 
@@ -30,13 +30,13 @@
 class ClientExchange(Exchange):
     """A client's request and the response to it; `ClientSink` adapts it to admission's `ResponseSink`."""
 
-    __slots__ = ("client", "held_s", "response_started")
+    __slots__ = ("client_address", "held_s", "response_started")
 
     def __init__(
         self, connection: FrontendConnection, first: bool, first_us: int, client_address: str
     ) -> None:
         super().__init__(connection, first, first_us)
-        self.client = client_address
+        self.client_address = client_address
         self.response_started = False
         self.held_s = 0.0  # time spent waiting before the request was submitted to admission
 
@@ -57,7 +57,7 @@
             self.write(LAST_CHUNK)
             self._connection.over(self)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close the connection, which shows the client that the response is incomplete."""
         if not self.gone:
             self.gone = True
@@ -72,9 +72,9 @@
 
     def refuse(self, kind: ErrorKind, retry_after_us: int) -> None:
         if retry_after_us:
-            self.answer(STATUS[kind], b"", (b"Retry-After", b"%.3f" % (retry_after_us / 1e6)))
+            self.answer(HTTP_STATUS[kind], b"", (b"Retry-After", b"%.3f" % (retry_after_us / 1e6)))
         else:
-            self.answer(STATUS[kind])
+            self.answer(HTTP_STATUS[kind])
 
 
 class ClientSink:
@@ -95,7 +95,7 @@
         self._exchange.finish()
 
     def abort(self) -> None:
-        self._exchange.break_off()
+        self._exchange.abort()
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
         self._exchange.forward_response(status, headers, body)
@@ -104,7 +104,7 @@
         self._exchange.refuse(kind, retry_after_us)
 
 
-class PaidSink(ClientSink):
+class RefundingSink(ClientSink):
     """The sink of a prepaid call: `refund` is called once if the call is refused and never runs."""
 
     __slots__ = ("_refund",)
--- a/eiderhub/dataplane/items.py
+++ b/eiderhub/dataplane/items.py
@@ -12,7 +12,7 @@
 import picologging as logging
 
 from eiderhub import address
-from eiderhub.batch.ledger import ItemLedger, Order
+from eiderhub.batch.item_tracker import ItemTracker, OrderResult
 from eiderhub.batch.messages import (
     Answer,
     BatchMessage,
@@ -33,19 +33,19 @@
     WorkerAccepted,
     WorkerReported,
 )
-from eiderhub.control.errors import STATUS, ErrorKind
+from eiderhub.control.errors import HTTP_STATUS, ErrorKind
 from eiderhub.dataplane.admission import BATCH_TENANT, NO_EVENT_ID, Admission, Call
-from eiderhub.dataplane.engine import Headers
+from eiderhub.dataplane.endpoint_connections import Headers
 from eiderhub.dataplane.events import Event
 from eiderhub.dataplane.frontend import request_head
 from eiderhub.dataplane.routes import Route
+from eiderhub.transport.frame_connection import Connection, connect
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection, connect
 from eiderhub.transport.tasks import TaskSet
 
 RECONNECT_DELAY_S = 0.1
 ACCEPT_TIMEOUT_S = 0.6  # a storage node that has not accepted the session by then is not the primary
-CALL_S = 1.6  # for a session, and then for the primary's response, whose absence is UNCERTAIN
+CALL_TIMEOUT_S = 1.6  # for a session, and then for the primary's response, whose absence is UNCERTAIN
 IDLE_METRIC_AFTER_S = 4.0  # items without progress for this long get a metric of their own
 UNPROCESSABLE_STATUS = 422
 ITEM_TIMEOUT_S = 60.0  # limit of an item's execution on this sidecar
@@ -72,10 +72,10 @@
 
     def route_for(self, name: str) -> tuple[Route, Admission] | None: ...
 
-    def leads_to(self, name: str, admission: Admission) -> bool:
+    def routes_to(self, name: str, admission: Admission) -> bool:
         """Whether the route currently leads to that service."""
 
-    def answers(self) -> int:
+    def response_count(self) -> int:
         """Events and responses that this sidecar has received from endpoints."""
 
     async def reaches_endpoint(self) -> bool:
@@ -128,14 +128,14 @@
         """Whether this sidecar has received an event of the item."""
         return self._started
 
-    def looked_at(self, still: bool) -> bool:
+    def check_stalled(self, no_data: bool) -> bool:
         """Count a check; returns whether the item is stalled and has to be returned.
 
         `no_data`: this sidecar has received nothing from any endpoint since the last check.
         """
         if self._started:
             return False
-        self._no_data_checks = self._no_data_checks + 1 if still else 0
+        self._no_data_checks = self._no_data_checks + 1 if no_data else 0
         self._queued_checks = 0 if self.at_endpoint else self._queued_checks + 1
         if self.at_endpoint:
             return self._no_data_checks > self._max_no_data_checks()
@@ -157,22 +157,22 @@
     @property
     def at_endpoint(self) -> bool:
         """Whether an endpoint has the item."""
-        return self.call is not None and self.call.current is not None
+        return self.call is not None and self.call.current_attempt is not None
 
     @property
     def state_text(self) -> str:
         """What the item waits for, for operators."""
-        if self.call is None or self.call.current is None:
+        if self.call is None or self.call.current_attempt is None:
             return "waits for an endpoint"
-        return f"at {self.call.current.endpoint}"
+        return f"at {self.call.current_attempt.endpoint}"
 
     def progress(self) -> Progress | None:
-        if self.call is None or self.call.last_event == NO_EVENT_ID:
+        if self.call is None or self.call.last_event_id == NO_EVENT_ID:
             return None
-        return Progress(self.call.last_event, self.texts)
+        return Progress(self.call.last_event_id, self.texts)
 
     def return_message(self, reason: ReturnReason) -> ItemReturned:
-        errors = self.call.errors if self.call else 0
+        errors = self.call.server_errors if self.call else 0
         return ItemReturned(self.key, reason, errors, self.progress())
 
 
@@ -194,13 +194,13 @@
         self._candidates = candidates
         self._zone_of = zone_of  # of a node, by its address
         self._items: dict[ItemKey, RunningItem] = {}  # running here
-        self._ledger = ItemLedger(node, zone)
+        self._ledger = ItemTracker(node, zone)
         self._connection: Connection | None = None
         self._primary_hint = ""
         self._session_changed = asyncio.Event()
         self._calls: dict[int, asyncio.Future[Answer]] = {}
         self._call_numbers = itertools.count(1)
-        self._up = asyncio.Event()  # set while a primary has accepted the session
+        self._session_ready = asyncio.Event()  # set while a primary has accepted the session
         self._last_response_count = 0  # of the router, at the last check
         self._probes = TaskSet()
         self.stopping = False
@@ -260,7 +260,7 @@
     async def _run_session(self, connection: Connection) -> None:
         self._connection = connection
         self._session_changed.clear()
-        connection.send(self._ledger.open())
+        connection.send(self._ledger.open_session())
         try:
             async with asyncio.timeout(ACCEPT_TIMEOUT_S):
                 await self._session_changed.wait()
@@ -272,7 +272,7 @@
         connection.close()
         for future in self._calls.values():
             if not future.done():
-                future.set_result(Answer(0, STATUS[ErrorKind.UNCERTAIN]))
+                future.set_result(Answer(0, HTTP_STATUS[ErrorKind.UNCERTAIN]))
         self._calls.clear()
 
     async def _until_closed(self, connection: Connection) -> None:
@@ -283,9 +283,9 @@
     def on_message(self, connection: Connection, message: Message) -> None:
         if connection is not self._connection:
             return
-        self._ledger.heard(self.now())
+        self._ledger.message_received(self.now())
         if isinstance(message, WorkerAccepted):
-            connection.support = message.support
+            connection.peer_support = message.support
             self._on_accepted()
         elif isinstance(message, Redirect):
             self._primary_hint = message.primary.partition("@")[2]
@@ -295,7 +295,7 @@
         elif isinstance(message, CancelItem):
             self._cancel_item(message.key)
         elif isinstance(message, ItemStored):
-            self._ledger.forget(message.key)
+            self._ledger.remove_item(message.key)
         elif isinstance(message, ProbeEndpoints):
             if not self._probes:
                 self._probes.start(self._probe(), lambda: None)
@@ -308,14 +308,14 @@
 
     def _on_accepted(self) -> None:
         """The primary has accepted the session."""
-        self._send(self._ledger.accept(self.now()))
-        self._up.set()
+        self._send(self._ledger.accept_session(self.now()))
+        self._session_ready.set()
         self._session_changed.set()
 
     def on_closed(self, connection: Connection) -> None:
         if connection is self._connection:
-            self._ledger.end()
-            self._up.clear()
+            self._ledger.end_session()
+            self._session_ready.clear()
             self._session_changed.set()
 
     def _send(self, messages: Sequence[BatchMessage]) -> None:
@@ -334,10 +334,10 @@
     def _check(self) -> None:
         """Send a report when it is due, close a silent session, and return items without progress."""
         now = self.now()
-        responses = self._router.answers()
+        responses = self._router.response_count()
         no_data, self._last_response_count = responses == self._last_response_count, responses
         if not no_data:
-            self._ledger.endpoints_answered()
+            self._ledger.endpoint_answered()
         if self._connection is not None:
             if self._ledger.is_silent(now):
                 self._connection.close()
@@ -356,19 +356,19 @@
     async def _probe(self) -> None:
         """Check whether an endpoint can be reached, and report it if so."""
         if await self._router.reaches_endpoint():
-            self._send(self._ledger.probed(self.now()))
+            self._send(self._ledger.probe_answered(self.now()))
 
     @staticmethod
     def _return_reason(now: float, item: RunningItem, no_data: bool) -> ReturnReason | None:
         """Why an item without progress has to be returned; None if it does not."""
         idle_s = now - item.last_progress_at
-        if item.looked_at(no_data):
+        if item.check_stalled(no_data):
             return ReturnReason.STUCK
         return ReturnReason.SILENT if idle_s >= ITEM_IDLE_TIMEOUT_S else None
 
     # --- items ---
 
-    def routes_changed(self, generation: int) -> None:
+    def on_routes_changed(self, generation: int) -> None:
         """Apply a new configuration: items that its routes no longer send to the same service are returned.
 
         An item that an endpoint has already finishes its attempt there, but gets no further one.
@@ -377,16 +377,16 @@
         for item in list(self._items.values()):
             if item.call is None or item.admission is None:
                 continue
-            if self._router.leads_to(item.call.route.name, item.admission):
+            if self._router.routes_to(item.call.route.name, item.admission):
                 continue
             if item.at_endpoint:
-                item.call.final = True
+                item.call.no_further_attempts = True
             else:
                 item.admission.abandon(item.call)
                 self.return_item(item, ReturnReason.ROUTE_MOVED)
 
     def _start_item(self, order: RunItem) -> None:
-        if self._ledger.order(order.key) is Order.HELD:
+        if self._ledger.receive_order(order.key) is OrderResult.ALREADY_HELD:
             return  # the next report lists the item, or its end is sent again
         item = RunningItem(self, order)
         self._items[order.key] = item
@@ -409,30 +409,30 @@
         name = f"item {order.key.job} {order.key.item}"
         call = Call(name, route, request_id, (head, order.body), due_us, tenant, tokens, item)
         if order.progress is not None:
-            call.last_event = order.progress.last_event
+            call.last_event_id = order.progress.last_event
             call.response_started = True
-        call.ran = order.errors
+        call.possible_runs = order.errors
         item.call, item.admission = call, admission
-        admission.order(call)
+        admission.submit(call)
 
     def _cancel_item(self, key: ItemKey) -> None:
-        self._ledger.forget(key)
+        self._ledger.remove_item(key)
         item = self._items.pop(key, None)
         if item is not None and item.call is not None and item.admission is not None:
             item.admission.abandon(item.call)
 
     def on_item_started(self, item: RunningItem) -> None:
-        self._send(self._ledger.began(item.key))
+        self._send(self._ledger.mark_started(item.key))
 
     def on_item_ended(self, outcome: ItemFinished | ItemReturned) -> None:
         """Record and report that an item has finished or is returned."""
         if self._items.pop(outcome.key, None) is not None:
-            self._send(self._ledger.ended(self.now(), outcome))
+            self._send(self._ledger.mark_ended(self.now(), outcome))
 
     def return_item(self, item: RunningItem, reason: ReturnReason) -> None:
         self.on_item_ended(item.return_message(reason))
 
-    def return_all(self) -> None:
+    def return_all_items(self) -> None:
         """Return all items as the sidecar stops, with their progress, so that other sidecars resume them."""
         self.stopping = True
         for item in list(self._items.values()):
@@ -448,18 +448,18 @@
     # --- calls to the primary ---
 
     async def submit(self, job: str, route: str, body: bytes) -> Answer:
-        return await self._call(lambda number: Submit(number, job, route, body), CALL_S)
+        return await self._call(lambda number: Submit(number, job, route, body), CALL_TIMEOUT_S)
 
     async def read(self, job: str, start: int, wait_ms: int) -> Answer:
         return await self._call(
-            lambda number: ReadResults(number, job, start, wait_ms), CALL_S + wait_ms / 1000
+            lambda number: ReadResults(number, job, start, wait_ms), CALL_TIMEOUT_S + wait_ms / 1000
         )
 
     async def body(self, job: str, item: str) -> Answer:
-        return await self._call(lambda number: ReadBody(number, job, item), CALL_S)
+        return await self._call(lambda number: ReadBody(number, job, item), CALL_TIMEOUT_S)
 
     async def end(self, job: str) -> Answer:
-        return await self._call(lambda number: EndJob(number, job), CALL_S)
+        return await self._call(lambda number: EndJob(number, job), CALL_TIMEOUT_S)
 
     async def _call(
         self, make_message: Callable[[int], Submit | ReadResults | ReadBody | EndJob], timeout_s: float
@@ -467,11 +467,11 @@
         """The primary's answer; NOT_READY if the call was not sent, UNCERTAIN if it was not answered."""
         try:
             async with asyncio.timeout(timeout_s):
-                await self._up.wait()
+                await self._session_ready.wait()
         except TimeoutError:
-            return Answer(0, STATUS[ErrorKind.NOT_READY])
+            return Answer(0, HTTP_STATUS[ErrorKind.NOT_READY])
         if self._connection is None:
-            return Answer(0, STATUS[ErrorKind.NOT_READY])
+            return Answer(0, HTTP_STATUS[ErrorKind.NOT_READY])
         number = next(self._call_numbers)
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._calls[number] = future
@@ -480,7 +480,7 @@
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
-            return Answer(0, STATUS[ErrorKind.UNCERTAIN])
+            return Answer(0, HTTP_STATUS[ErrorKind.UNCERTAIN])
         finally:
             self._calls.pop(number, None)
 
--- a/eiderhub/dataplane/routes.py
+++ b/eiderhub/dataplane/routes.py
@@ -5,8 +5,8 @@
 import random
 from typing import Any, NamedTuple
 
-from eiderhub.control.configuration import services_of
-from eiderhub.control.spending import tenants_of
+from eiderhub.control.configuration import weighted_services
+from eiderhub.control.spending import capped_tenants
 
 DEFAULT_MAX_ATTEMPTS = 1
 DEFAULT_CAPACITY = 8  # concurrent requests per endpoint of a service that does not set it
@@ -37,7 +37,7 @@
         """Whether a request may be executed more than once."""
         return self.resumable or self.kind in ("idempotent", "batch")
 
-    def draw_service(self, rng: random.Random) -> str:
+    def choose_service(self, rng: random.Random) -> str:
         if len(self.services) == 1:
             return self.services[0][0]
         names = [name for name, _ in self.services]
@@ -64,7 +64,7 @@
         self._by_host: dict[str, list[Route]] = {}
         for route in sorted(routes, key=lambda r: -len(r.prefix)):
             self._by_host.setdefault(route.host, []).append(route)
-        self.tenants = tenants_of(document)
+        self.tenants = capped_tenants(document)
         limits = document.get("limits", {})
         self.idle_timeout_s = clamped(limits.get("idle_timeout_ms", 15_000)) / 1000
         self.max_body_bytes = int(clamped(limits.get("max_body_bytes", 4 << 20)))
@@ -94,7 +94,7 @@
         priority=int(clamped(entry.get("priority", 0))),
         max_attempts=int(clamped(entry.get("max_attempts", DEFAULT_MAX_ATTEMPTS))),
         resumable=bool(entry.get("resumable", False)),
-        services=tuple((name, clamped(weight)) for name, weight in services_of(entry) if weight > 0),
+        services=tuple((name, clamped(weight)) for name, weight in weighted_services(entry) if weight > 0),
         window_ms=clamped(entry.get("completion_window_ms", route_timeout_ms)),
         retention_s=clamped(entry.get("retention_s", 3600)),
         max_queued_tokens=clamped(entry.get("max_queued_tokens", 0)),
--- a/eiderhub/programs/batch_calls.py
+++ b/eiderhub/programs/batch_calls.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from eiderhub.batch.jobs import BatchTerms, JobTable
+from eiderhub.batch.jobs import BatchLimits, JobTable
 from eiderhub.batch.messages import Answer, EndJob, ReadBody, ReadResults, Submit
-from eiderhub.control.errors import STATUS, ErrorKind, Refusal
-from eiderhub.transport.group import CommitUnknown, GroupDriver, NotPrimary
-from eiderhub.transport.spending import Charge, Spending
+from eiderhub.control.errors import HTTP_STATUS, ErrorKind, Refusal
+from eiderhub.transport.group import CommitOutcomeUnknown, GroupDriver, NotPrimary
+from eiderhub.transport.spending import ChargeResult, SpendingClient
 
 BatchCall = Submit | ReadResults | ReadBody | EndJob
 
@@ -29,8 +29,8 @@
         self,
         jobs: JobTable,
         group: GroupDriver,
-        spending: Spending,
-        terms_for: Callable[[str], BatchTerms | None],
+        spending: SpendingClient,
+        terms_for: Callable[[str], BatchLimits | None],
         has_space: Callable[[int], bool],
         on_job_accepted: Callable[[], None],
         on_job_ended: Callable[[str], None],
@@ -57,7 +57,7 @@
             if not future.done():
                 future.set_result(None)
 
-    async def answer(self, message: BatchCall) -> Answer:
+    async def handle(self, message: BatchCall) -> Answer:
         """Handle a request. Reads are answered only while this node is certainly primary.
 
         That includes the answer that a job does not exist.
@@ -74,14 +74,14 @@
             if not self._group.leads():
                 raise NotPrimary
         except NotPrimary:
-            return Answer(message.call, STATUS[ErrorKind.NOT_READY])
-        except CommitUnknown:
-            return Answer(message.call, STATUS[ErrorKind.UNCERTAIN])
+            return Answer(message.call, HTTP_STATUS[ErrorKind.NOT_READY])
+        except CommitOutcomeUnknown:
+            return Answer(message.call, HTTP_STATUS[ErrorKind.UNCERTAIN])
         return answer
 
     @staticmethod
     def _refusal_answer(call: int, refusal: Refusal) -> Answer:
-        return Answer(call, refusal.status, refusal.why.encode())
+        return Answer(call, refusal.status, refusal.reason.encode())
 
     # --- submission ---
 
@@ -101,39 +101,39 @@
     async def _submit_once(self, message: Submit) -> Answer:
         terms, epoch = self._terms_for(message.route), self._epoch
         if terms is None:
-            return Answer(message.call, STATUS[ErrorKind.NOT_READY])
+            return Answer(message.call, HTTP_STATUS[ErrorKind.NOT_READY])
         submitted = self._jobs.submit(time.time(), message.job, terms, message.body)
         if isinstance(submitted, Refusal):
             return self._refusal_answer(message.call, submitted)
         if not submitted:
             return await self._answer_duplicate(message)
         if not self._has_space(len(message.body)):
-            self._jobs.forget(message.job)
+            self._jobs.discard(message.job)
             return self._refusal_answer(message.call, Refusal(ErrorKind.NO_ROOM, "the store is nearly full"))
-        tokens = self._jobs.tokens(message.job)
-        refusal = await self._pay(message.route, tokens)
+        tokens = self._jobs.total_tokens(message.job)
+        refusal = await self._charge_tenant(message.route, tokens)
         if self._epoch != epoch:
             if refusal is None:
                 self._refund(message.route, tokens)
             raise NotPrimary  # the table was reloaded: the job is missing or belongs to another request
         if refusal is not None:
-            self._jobs.forget(message.job)
+            self._jobs.discard(message.job)
             return self._refusal_answer(message.call, refusal)
         try:
             await self._group.write(submitted)
         except NotPrimary:
             self._refund(message.route, tokens)
             if self._epoch == epoch:
-                self._jobs.forget(message.job)
+                self._jobs.discard(message.job)
             raise
-        self._jobs.accepted(message.job)
+        self._jobs.mark_committed(message.job)
         self._on_job_accepted()
         return Answer(message.call, 202)
 
     async def _answer_duplicate(self, message: Submit) -> Answer:
         if not self._jobs.is_committed(message.job):
             raise NotPrimary
-        await self._group.settle()
+        await self._group.wait_all_committed()
         return Answer(message.call, 202)
 
     def _refund(self, route: str, tokens: int) -> None:
@@ -142,15 +142,15 @@
         if tenant is not None:
             self._spending.refund(tenant, tokens)
 
-    async def _pay(self, route: str, tokens: int) -> Refusal | None:
+    async def _charge_tenant(self, route: str, tokens: int) -> Refusal | None:
         """Charge a new job to its tenant. A charged job runs even if the cap is exhausted later."""
         tenant = self._spending.tenant_of(route)
         if tenant is None:
             return None
         charge = await self._spending.charge(tenant, tokens)
-        if charge is Charge.PAID:
+        if charge is ChargeResult.PAID:
             return None
-        kind = ErrorKind.NO_ROOM if charge is Charge.EXHAUSTED else ErrorKind.NOT_READY
+        kind = ErrorKind.NO_ROOM if charge is ChargeResult.EXHAUSTED else ErrorKind.NOT_READY
         return Refusal(kind, f"spending cap: {charge.value}")
 
     # --- reading and ending ---
--- a/eiderhub/programs/control.py
+++ b/eiderhub/programs/control.py
@@ -11,11 +11,11 @@
 from eiderhub import address
 from eiderhub.control.messages import NodeRecord
 from eiderhub.coordination.wire import WIRE_VERSION
-from eiderhub.programs import starting
+from eiderhub.programs import startup
 from eiderhub.programs.control_service import ControlService
 from eiderhub.programs.replica_host import open_store
 from eiderhub.programs.settings import TierSettings
-from eiderhub.transport.framing import Connection
+from eiderhub.transport.frame_connection import Connection
 from eiderhub.transport.metrics import serve_metrics
 
 METRICS_PORT_OFFSET = 1  # subtracted from the last port of `port_range`
@@ -60,8 +60,8 @@
     :param settings: the settings file; by default the one named by OTTERCLEAT_CONFIG
     """
     random.seed()
-    starting.run(serve, settings)
+    startup.run(serve, settings)
 
 
 if __name__ == "__main__":
-    starting.run_command_line(main)
+    startup.run_command_line(main)
--- a/eiderhub/programs/control_service.py
+++ b/eiderhub/programs/control_service.py
@@ -14,7 +14,6 @@
 from eiderhub import address
 from eiderhub.control import retirement
 from eiderhub.control.distribution import Subscriber, Tables
-from eiderhub.control.kept_list import provisional_list, writes_of
 from eiderhub.control.load import LoadTable
 from eiderhub.control.messages import (
     EndpointRecord,
@@ -32,8 +31,9 @@
 )
 from eiderhub.control.platform import PlatformReader, PlatformUnavailable
 from eiderhub.control.publication import Publication
-from eiderhub.control.sessions import SIDECAR, SessionTable
-from eiderhub.control.spending import LEASED_PREFIX, SpendingLedger, tenants_of
+from eiderhub.control.sessions import SIDECAR_ROLE, SessionTable
+from eiderhub.control.spending import LEASED_PREFIX, SpendingLedger, capped_tenants
+from eiderhub.control.stored_endpoints import endpoint_list_writes, initial_endpoint_list
 from eiderhub.coordination.messages import Write
 from eiderhub.coordination.roster import address_of
 from eiderhub.coordination.timing import GroupSize, copies_needed
@@ -41,12 +41,12 @@
 from eiderhub.programs.operator_service import OperatorService
 from eiderhub.programs.replica_host import ReplicaHost
 from eiderhub.programs.settings import TierSettings
-from eiderhub.programs.storage_tending import StorageGroupManager
+from eiderhub.programs.storage_group import StorageGroupManager
 from eiderhub.storage.store import LmdbStore
 from eiderhub.transport.control_session import ControlSession
+from eiderhub.transport.frame_connection import Connection
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection
-from eiderhub.transport.group import CommitUnknown, NotPrimary
+from eiderhub.transport.group import CommitOutcomeUnknown, NotPrimary
 from eiderhub.transport.traffic import TRAFFIC
 from eiderhub.transport.wire_counts import WIRE_COUNTS
 
@@ -86,7 +86,7 @@
         )
         self.group = self._host.group
         self._storage_group = StorageGroupManager(
-            self.group, store, replicas_needed, prefers_same_zones=not settings.zones_lost
+            self.group, store, replicas_needed, prefers_same_zones=not settings.zone_fault_tolerance
         )
         control_port = address.parse(settings.control).port
         self.operator = OperatorService(
@@ -94,7 +94,9 @@
         )
         self._leading_since = 0.0
         self._last_version_number = 0
-        self._platform_reader = PlatformReader(settings.platform) if settings.platform else None
+        self._platform_reader = (
+            PlatformReader(settings.platform_address) if settings.platform_address else None
+        )
         self._spending_ledger = SpendingLedger()
         self._lease_tasks: set[asyncio.Future[None]] = set()
         self._forwarded_leases: dict[str, tuple[Connection, str]] = {}  # sent to the primary, by origin
@@ -112,7 +114,7 @@
             self.tables, self._session.freshness, self.group.replica, self.operator.change_processor
         )
         for seed in self._seed_addresses():
-            self.group.know(seed)
+            self.group.ensure_link(seed)
         loop = asyncio.get_running_loop()
         self._tasks = [
             loop.create_task(self._publish_nodes_forever()),
@@ -142,20 +144,20 @@
     def _open_session(self, connection: Connection, message: SessionOpen) -> None:
         self._sessions[connection] = Session(message.node, Subscriber())
         connection.peer_zone = message.node.zone
-        connection.support = message.support
+        connection.peer_support = message.support
         connection.send(SessionAccepted(OWN_SUPPORT))
 
     def on_closed(self, connection: Connection) -> None:
         self._host.on_closed(connection)
         self._sessions.pop(connection, None)
-        self._load_table.forget(connection)
+        self._load_table.remove(connection)
 
     def _on_ping(self, connection: Connection, ping: SessionPing) -> None:
         session = self._sessions.get(connection)
         if session is None:
             return
         now = self._now()
-        self._session_table.heard(now, session.node)
+        self._session_table.refresh(now, session.node)
         if session.node.role == "control":
             self._session_table.report(now, session.node.identity, ping.attached)
         if ping.group is not None:
@@ -167,10 +169,10 @@
 
     def _send_load(self, now: float, connection: Connection, node: NodeRecord) -> None:
         """Send the calls in flight of all other sessions; sidecars only get those near their zone."""
-        if node.role == SIDECAR:
-            calls = self._load_table.nearest(now, connection, node.zone, self._zone_of_endpoint)
+        if node.role == SIDECAR_ROLE:
+            calls = self._load_table.zone_total_excluding(now, connection, node.zone, self._zone_of_endpoint)
         else:
-            calls = self._load_table.others(now, connection)
+            calls = self._load_table.total_excluding(now, connection)
         connection.send(LoadUpdate(calls))
 
     def _zone_of_endpoint(self, endpoint: str) -> str:
@@ -181,7 +183,7 @@
         return self._endpoint_zones.get(endpoint, "")
 
     def _on_load(self, calls: Mapping[str, int]) -> None:
-        self._load_table.heard_elsewhere(self._now(), calls)
+        self._load_table.report_remote(self._now(), calls)
 
     def _primary_address(self) -> list[str]:
         primary = self.group.replica.primary
@@ -191,9 +193,9 @@
 
     def _complete_ping(self, ping: SessionPing) -> SessionPing:
         """Add this node's sessions, their calls in flight and the storage group's state to a ping."""
-        attached = [n for n in self._session_table.own(self._now()) if n.role != "control"]
+        attached = [n for n in self._session_table.local_nodes(self._now()) if n.role != "control"]
         report, self._storage_group.report = self._storage_group.report, None
-        calls = self._load_table.own(self._now())
+        calls = self._load_table.local(self._now())
         return msgspec.structs.replace(ping, attached=attached, group=report, calls=calls)
 
     def _send_updates(self) -> None:
@@ -201,7 +203,7 @@
             self._send_updates_to(connection, session)
 
     def _send_updates_to(self, connection: Connection, session: Session) -> None:
-        for update in self._publication.pending(self._now(), session.subscriber):
+        for update in self._publication.next_updates(self._now(), session.subscriber):
             connection.send(update)
 
     # --- primary ---
@@ -209,7 +211,7 @@
     def _on_replica_change(self) -> None:
         self.operator.resolve_changes()
         now = self._now()
-        if self._publication.begin(now):
+        if self._publication.begin_epoch(now):
             replica = self.group.replica
             self._leading_since = now
             self._last_version_number = 0
@@ -219,7 +221,7 @@
             self._restore_endpoints()
             self._spending_ledger.load(dict(self._store.scan(LEASED_PREFIX)))
             self._on_configuration()
-        elif self._publication.follow(now) is not None:
+        elif self._publication.publish_newest(now) is not None:
             self._on_configuration()
 
     def _leads(self) -> bool:
@@ -227,7 +229,7 @@
         return self._publication.leads(self._now())
 
     def _storage_nodes(self) -> list[NodeRecord]:
-        return [n for n in self._session_table.all(self._now()) if n.role == "storage" and n.identity]
+        return [n for n in self._session_table.all_nodes(self._now()) if n.role == "storage" and n.identity]
 
     def _restore_sessions(self) -> None:
         """Load the session table that the previous primary replicated."""
@@ -242,7 +244,7 @@
 
         That is the case after all control nodes have restarted.
         """
-        records = provisional_list(self._store, self.tables.endpoints)
+        records = initial_endpoint_list(self._store, self.tables.endpoints)
         if records is not None:
             self.tables.apply(EndpointsUpdate(self._next_version(), records))
             self._send_updates()
@@ -253,7 +255,7 @@
         self._send_updates()
         if current.generation:
             log.info("configuration %d is active", current.generation)
-            self._spending_ledger.follow(tenants_of(current.document))
+            self._spending_ledger.set_tenants(capped_tenants(current.document))
             self._publish_spending()
 
     # --- spending ---
@@ -267,13 +269,13 @@
             return
         try:
             if request.tokens < 0:
-                await self.group.write(self._spending_ledger.give_back(request.tenant, -request.tokens))
+                await self.group.write(self._spending_ledger.return_tokens(request.tenant, -request.tokens))
                 self._publish_spending()
                 return
             leased = self._spending_ledger.lease(request.tenant, request.tokens)
             if leased.writes:
                 await self.group.write(leased.writes)
-        except (NotPrimary, CommitUnknown):
+        except (NotPrimary, CommitOutcomeUnknown):
             return  # the requester retries; tokens that may have been leased count as spent
         connection.send(LeaseAnswer(request.origin, request.tenant, leased.tokens, leased.exhausted))
         self._publish_spending()
@@ -303,19 +305,19 @@
                 if self._leads() and self._now() - self._leading_since > SESSION_RECONNECT_S:
                     await self._storage_group.update(self._storage_nodes(), self.operator.retire_orders())
                     await self.group.commit(self._publish_nodes)
-            except (NotPrimary, CommitUnknown):
+            except (NotPrimary, CommitOutcomeUnknown):
                 pass
             except Exception as error:  # the task must go on, or new nodes would not be published
                 log.error("could not publish nodes: %r", error)
 
     def _publish_nodes(self) -> list[Write]:
         """Publish the node list if it has changed; return the writes that restore it at the next primary."""
-        nodes = self._session_table.named(self._now())
-        sidecars = self._session_table.sidecars(self._now())
+        nodes = self._session_table.named_nodes(self._now())
+        sidecars = self._session_table.sidecar_count(self._now())
         if self._node not in nodes:
             own_key = (self._node.name, self._node.role)
             nodes = [*(node for node in nodes if (node.name, node.role) != own_key), self._node]
-        retirements = retirement.published(self.operator.retire_orders())
+        retirements = retirement.retirement_records(self.operator.retire_orders())
         current = self.tables.nodes
         version_counts = self._session_table.wire_versions(self._now(), self._node)
         update = NodesUpdate(
@@ -357,11 +359,11 @@
             self._send_updates()
 
     async def _store_endpoints(self, records: list[EndpointRecord]) -> None:
-        writes = writes_of(self._store, records)
+        writes = endpoint_list_writes(self._store, records)
         try:
             if writes:
                 await self.group.write(writes)
-        except (NotPrimary, CommitUnknown) as error:
+        except (NotPrimary, CommitOutcomeUnknown) as error:
             log.info("could not store the endpoint list: %r", error)
 
     def metrics(self) -> list[str]:
@@ -370,16 +372,16 @@
         return [
             f"leads {self._leads():d}",
             f"epoch {replica.epoch}",
-            f"version {replica.told_version}",
+            f"version {replica.version_or_zero}",
             f"store_broken {self._store.broken:d}",
             f"committed {replica.committed}",
-            f"form {replica.form}",
+            f"form {replica.record_format}",
             f"generation {self.tables.configuration.generation}",
             *(f'wire_processes{{version="{v}"}} {n}' for v, n in self.tables.nodes.wire_versions.items()),
             f"endpoints {len(self.tables.endpoints.endpoints)}",
             f"nodes {len(self.tables.nodes.nodes)}",
-            *TRAFFIC.lines(),
-            *WIRE_COUNTS.lines(),
+            *TRAFFIC.metric_lines(),
+            *WIRE_COUNTS.metric_lines(),
         ]
 
     async def stop(self) -> None:
--- a/eiderhub/programs/dead_letters.py
+++ b/eiderhub/programs/dead_letters.py
@@ -15,7 +15,7 @@
 from eiderhub.batch.jobs import JobTable
 from eiderhub.batch.messages import ItemKey
 from eiderhub.coordination.messages import Write
-from eiderhub.transport.group import CommitUnknown, GroupDriver, NotPrimary
+from eiderhub.transport.group import CommitOutcomeUnknown, GroupDriver, NotPrimary
 
 CHECK_INTERVAL_S = 0.5  # between searches for dead letters
 ERROR_PAUSE_S = 1.0  # after an unexpected exception
@@ -51,7 +51,7 @@
                 if self._group.leads():
                     await self._list_dead_letters()
                     await self._purge_ended_job()
-            except (NotPrimary, CommitUnknown):
+            except (NotPrimary, CommitOutcomeUnknown):
                 pass  # the next primary does the rest
             except Exception as error:  # the task must go on, or such items would wait forever
                 log.error("could not list dead letters: %r", error)
@@ -59,13 +59,13 @@
 
     async def _list_dead_letters(self) -> None:
         """List all current dead letters in one commit."""
-        if not self._jobs.hopeless(time.time(), self._known_routes()):
+        if not self._jobs.undeliverable_items(time.time(), self._known_routes()):
             return
         keys: list[ItemKey] = []
 
         def change() -> list[Write]:
             # Evaluated again, since the table may have changed before the write.
-            items = self._jobs.hopeless(time.time(), self._known_routes())
+            items = self._jobs.undeliverable_items(time.time(), self._known_routes())
             keys.extend(item.key for item in items)
             return [write for key in keys for write in self._jobs.finish(key, False, "")]
 
@@ -75,4 +75,4 @@
 
     async def _purge_ended_job(self) -> None:
         """Remove one job whose status retention has expired."""
-        await self._group.commit(lambda: self._jobs.purge(time.time(), self._status_ttl_s))
+        await self._group.commit(lambda: self._jobs.purge_expired(time.time(), self._status_ttl_s))
--- a/eiderhub/programs/edge.py
+++ b/eiderhub/programs/edge.py
@@ -9,7 +9,7 @@
 from eiderhub import address
 from eiderhub.dataplane.frontend import FrontendConnection, ReadinessConnection
 from eiderhub.http1 import ServerConnection
-from eiderhub.programs import starting
+from eiderhub.programs import startup
 from eiderhub.programs.edge_service import EdgeService
 from eiderhub.programs.settings import TierSettings
 from eiderhub.transport.metrics import serve_metrics
@@ -44,8 +44,8 @@
 
     :param settings: the settings file; by default the one named by OTTERCLEAT_CONFIG
     """
-    starting.run(serve, settings)
+    startup.run(serve, settings)
 
 
 if __name__ == "__main__":
-    starting.run_command_line(main)
+    startup.run_command_line(main)
--- a/eiderhub/programs/edge_service.py
+++ b/eiderhub/programs/edge_service.py
@@ -17,19 +17,19 @@
 from eiderhub import address
 from eiderhub.batch.messages import Answer
 from eiderhub.control.distribution import Tables
-from eiderhub.control.errors import STATUS, ErrorKind
+from eiderhub.control.errors import HTTP_STATUS, ErrorKind
 from eiderhub.control.messages import EndpointRecord, LeaseRequest, NodeRecord, SessionPing
 from eiderhub.coordination.wire import WIRE_VERSION
 from eiderhub.dataplane.admission import Admission, Call
 from eiderhub.dataplane.drain import Drain
-from eiderhub.dataplane.early import EarlyRequests
-from eiderhub.dataplane.frontend import ClientExchange, ClientSink, PaidSink, request_head
-from eiderhub.dataplane.items import CALL_S, ItemRunner, token_usage
+from eiderhub.dataplane.early_requests import EarlyRequests
+from eiderhub.dataplane.frontend import ClientExchange, ClientSink, RefundingSink, request_head
+from eiderhub.dataplane.items import CALL_TIMEOUT_S, ItemRunner, token_usage
 from eiderhub.dataplane.routes import Route, RouteTable
 from eiderhub.http1 import Exchange
 from eiderhub.programs.settings import TierSettings
 from eiderhub.transport.control_session import ControlSession, control_candidates, zone_of
-from eiderhub.transport.spending import Charge, Spending
+from eiderhub.transport.spending import ChargeResult, SpendingClient
 from eiderhub.transport.tasks import TaskSet
 from eiderhub.transport.traffic import TRAFFIC
 from eiderhub.transport.wire_counts import WIRE_COUNTS
@@ -37,10 +37,10 @@
 LOTS_PATH, ITEMS_PATH = "/lots/", "/items/"
 MAX_RESULT_WAIT_MS = 1000  # for a read of results to wait for new ones
 TIMEOUT_MARGIN_S = 0.025  # time for the answer to reach the client before its time-out
-MAX_BATCH_CALL_S = 2 * CALL_S + MAX_RESULT_WAIT_MS / 1000  # for a batch request to be answered
-STOPPING_US = 50_000  # clients may retry at another sidecar at once
+MAX_BATCH_CALL_S = 2 * CALL_TIMEOUT_S + MAX_RESULT_WAIT_MS / 1000  # for a batch request to be answered
+STOPPING_RETRY_AFTER_US = 50_000  # clients may retry at another sidecar at once
 EXHAUSTED_RETRY_AFTER_US = 60_000_000  # caps are rarely raised sooner
-STARTING_US = 600_000  # a configuration has usually arrived by then
+STARTING_RETRY_AFTER_US = 600_000  # a configuration has usually arrived by then
 DEFAULT_TIMEOUT_MS = 2_000.0  # without a client time-out, while no route is known
 EARLY_CHECK_INTERVAL_S = 0.02  # between checks for expired early requests
 JSON_HEADER = (b"Content-Type", b"application/json")
@@ -60,16 +60,16 @@
         self._call_numbers = itertools.count(1)
         self._drain: Drain | None = None  # set once the process is told to stop
         self.last_request_at = 0.0
-        self._early: EarlyRequests[ClientExchange] = EarlyRequests()
+        self._early_requests: EarlyRequests[ClientExchange] = EarlyRequests()
         self._early_timer: asyncio.TimerHandle | None = None
-        self._spending = Spending(self._send_lease_request)
+        self._spending = SpendingClient(self._send_lease_request)
         self._session = ControlSession(
             self._node,
             self.tables,
             self._control_nodes,
             self._on_tables,
             self._complete_ping,
-            self._spending.answered,
+            self._spending.on_lease_answer,
             self._on_load,
         )
         self._item_runner = ItemRunner(
@@ -88,12 +88,12 @@
         """Add the calls in flight to a ping."""
         calls: dict[str, int] = {}
         for admission in self._admissions.values():
-            calls |= admission.calls_out()
+            calls |= admission.calls_in_flight()
         return msgspec.structs.replace(ping, calls=calls)
 
     def _on_load(self, calls: Mapping[str, int]) -> None:
         for admission in self._admissions.values():
-            admission.follow_others(calls)
+            admission.update_peer_calls(calls)
 
     def _send_lease_request(self, request: LeaseRequest) -> bool:
         return self._session.send(request)
@@ -118,12 +118,12 @@
         if routes is not self._routes or self._endpoints_version != self.tables.endpoints.version:
             self._update_services(routes)
             self._endpoints_version = self.tables.endpoints.version
-        self._spending.follow(routes.tenants, self.tables.spending.exhausted)
+        self._spending.set_tenants(routes.tenants, self.tables.spending.exhausted)
         if routes is not self._routes:
             self._routes = routes
-            self._item_runner.routes_changed(routes.generation)
+            self._item_runner.on_routes_changed(routes.generation)
         self._update_fleet(self.tables.nodes.sidecars)
-        if self._early and self._can_route():
+        if self._early_requests and self._can_route():
             self._route_early_requests()
 
     def _update_fleet(self, sidecars: int) -> None:
@@ -131,7 +131,7 @@
         if sidecars:
             rank = zlib.crc32(self._settings.node_name.encode()) % sidecars
             for admission in self._admissions.values():
-                admission.follow_fleet(rank, sidecars)
+                admission.update_fleet(rank, sidecars)
 
     def _newest_routes(self) -> RouteTable | None:
         """Return the routes of the newest configuration, or None if there is no configuration yet.
@@ -156,11 +156,11 @@
                     service.name, service.capacity, self._settings.zone, self._rng, self._settings.zones
                 )
                 self._admissions[service.name] = admission
-            admission.follow_endpoints(endpoints_by_service.get(service.name, []))
+            admission.update_endpoints(endpoints_by_service.get(service.name, []))
             service_routes = [
                 r for r in table.by_name.values() if any(n == service.name for n, _ in r.services)
             ]
-            admission.follow_routes(service_routes, service.capacity)
+            admission.update_routes(service_routes, service.capacity)
 
     def ready(self) -> bool:
         return not self.draining and self._can_route()
@@ -169,17 +169,17 @@
         route = self._routes.by_name.get(name) if self._routes else None
         if route is None:
             return None
-        admission = self._admissions.get(route.draw_service(self._rng))
+        admission = self._admissions.get(route.choose_service(self._rng))
         return (route, admission) if admission is not None else None
 
-    def leads_to(self, name: str, admission: Admission) -> bool:
+    def routes_to(self, name: str, admission: Admission) -> bool:
         """Whether the current version of the route leads to the service of this admission."""
         route = self._routes.by_name.get(name) if self._routes else None
         return route is not None and any(self._admissions.get(s) is admission for s, _ in route.services)
 
-    def answers(self) -> int:
+    def response_count(self) -> int:
         """Number of responses that this sidecar has received from any endpoint."""
-        return sum(admission.answers for admission in self._admissions.values())
+        return sum(admission.response_count for admission in self._admissions.values())
 
     async def reaches_endpoint(self) -> bool:
         """Whether an endpoint of a randomly chosen service accepts a connection."""
@@ -199,14 +199,14 @@
 
     def _accepts(self, max_duration_s: float) -> bool:
         """Whether a request that may take this long can still be accepted."""
-        return self._drain is None or self._drain.takes(self.now(), max_duration_s)
+        return self._drain is None or self._drain.accepts(self.now(), max_duration_s)
 
     def serve(self, exchange: ClientExchange) -> None:
         self.last_request_at = self.now()
         if self._can_route():
             self._route_request(exchange)
         elif self.draining:
-            exchange.refuse(ErrorKind.NOT_READY, STOPPING_US)
+            exchange.refuse(ErrorKind.NOT_READY, STOPPING_RETRY_AFTER_US)
         else:
             self._hold_early_request(exchange)
 
@@ -217,23 +217,23 @@
     def _hold_early_request(self, exchange: ClientExchange) -> None:
         """Hold a request that arrived before the first configuration, for a bounded time."""
         allowed_s = _parse_number(exchange.headers.get(b"timeout-ms"), DEFAULT_TIMEOUT_MS) / 1000
-        if not self._early.hold(self.now(), exchange, len(exchange.body), allowed_s):
-            exchange.refuse(ErrorKind.NOT_READY, STARTING_US)
+        if not self._early_requests.hold(self.now(), exchange, len(exchange.body), allowed_s):
+            exchange.refuse(ErrorKind.NOT_READY, STARTING_RETRY_AFTER_US)
             return
 
         def on_client_gone(_: Exchange) -> None:
-            self._early.remove(exchange)
+            self._early_requests.remove(exchange)
 
         exchange.on_gone = on_client_gone
-        if len(self._early) == 1:
+        if len(self._early_requests) == 1:
             self._refuse_expired_early()
 
     def _refuse_expired_early(self) -> None:
         """Refuse expired early requests, and check again while any are held."""
-        for exchange in self._early.overdue(self.now()):
+        for exchange in self._early_requests.take_expired(self.now()):
             exchange.on_gone = None
-            exchange.refuse(ErrorKind.NOT_READY, STARTING_US)
-        if self._early and self._early_timer is None:
+            exchange.refuse(ErrorKind.NOT_READY, STARTING_RETRY_AFTER_US)
+        if self._early_requests and self._early_timer is None:
             self._early_timer = asyncio.get_running_loop().call_later(
                 EARLY_CHECK_INTERVAL_S, self._on_early_timer
             )
@@ -245,9 +245,9 @@
     def _route_early_requests(self) -> None:
         """Route the requests that were held until the first configuration."""
         now = self.now()
-        for held in self._early.release():
+        for held in self._early_requests.take_all():
             held.request.on_gone = None
-            held.request.held_s = now - held.since
+            held.request.held_s = now - held.held_since
             self._route_request(held.request)
 
     def _route_request(self, exchange: ClientExchange) -> None:
@@ -258,17 +258,17 @@
         route = self._routes.find(host.partition(":")[0], path)
         accesses_batch = path.startswith((LOTS_PATH, ITEMS_PATH)) and exchange.method in (b"GET", b"DELETE")
         if accesses_batch and not self._accepts(MAX_BATCH_CALL_S):
-            exchange.refuse(ErrorKind.NOT_READY, STOPPING_US)
+            exchange.refuse(ErrorKind.NOT_READY, STOPPING_RETRY_AFTER_US)
         elif accesses_batch and (route is None or route.kind == "batch"):
-            self._tasks.start(self._read_or_end_batch(exchange, target), exchange.break_off)
+            self._tasks.start(self._read_or_end_batch(exchange, target), exchange.abort)
         elif route is None:
-            exchange.answer(STATUS[ErrorKind.UNKNOWN])
+            exchange.answer(HTTP_STATUS[ErrorKind.UNKNOWN])
         elif not self._accepts(MAX_BATCH_CALL_S if route.kind == "batch" else time_left_s(exchange, route)):
-            exchange.refuse(ErrorKind.NOT_READY, STOPPING_US)
+            exchange.refuse(ErrorKind.NOT_READY, STOPPING_RETRY_AFTER_US)
         elif route.kind == "batch":
-            self._tasks.start(self._submit_job(exchange, route), exchange.break_off)
+            self._tasks.start(self._submit_job(exchange, route), exchange.abort)
         elif (tenant := self._spending.tenant_of(route.name)) is not None:
-            self._tasks.start(self._charge_and_forward(exchange, route, tenant), exchange.break_off)
+            self._tasks.start(self._charge_and_forward(exchange, route, tenant), exchange.abort)
         else:
             self._forward(exchange, route, ClientSink(exchange))
 
@@ -279,19 +279,21 @@
         charge = await self._spending.charge(tenant, tokens)
         exchange.held_s += self.now() - started_at
         if exchange.gone:  # the client disconnected meanwhile
-            if charge is Charge.PAID:
+            if charge is ChargeResult.PAID:
                 self._spending.refund(tenant, tokens)
-        elif charge is Charge.PAID:
-            self._forward(exchange, route, PaidSink(exchange, partial(self._spending.refund, tenant, tokens)))
-        elif charge is Charge.EXHAUSTED:
+        elif charge is ChargeResult.PAID:
+            self._forward(
+                exchange, route, RefundingSink(exchange, partial(self._spending.refund, tenant, tokens))
+            )
+        elif charge is ChargeResult.EXHAUSTED:
             exchange.refuse(ErrorKind.NO_ROOM, EXHAUSTED_RETRY_AFTER_US)
         else:
-            exchange.refuse(ErrorKind.NOT_READY, STARTING_US)
+            exchange.refuse(ErrorKind.NOT_READY, STARTING_RETRY_AFTER_US)
 
     def _forward(self, exchange: ClientExchange, route: Route, sink: ClientSink) -> None:
         found = self.route_for(route.name)
         if found is None:
-            sink.refuse(ErrorKind.NOT_READY, STARTING_US)
+            sink.refuse(ErrorKind.NOT_READY, STARTING_RETRY_AFTER_US)
             return
         # Of the newest configuration, which may have changed while the tokens were charged.
         route, admission = found
@@ -302,24 +304,24 @@
         usage = token_usage(headers.get(b"token-usage", b"").decode("latin-1"))
         call = Call(
             f"{next(self._call_numbers)}", route, request_id, (head, exchange.body), due_us,
-            exchange.client, usage, sink,
+            exchange.client_address, usage, sink,
         )  # fmt: skip
         last_event_id = headers.get(b"last-event-id", b"")
         if last_event_id.isdigit():
-            call.last_event = int(last_event_id)
+            call.last_event_id = int(last_event_id)
 
         def on_client_gone(_: Exchange) -> None:
             admission.abandon(call)
 
         exchange.on_gone = on_client_gone
-        admission.order(call)
+        admission.submit(call)
 
     # --- batch ---
 
     async def _submit_job(self, exchange: ClientExchange, route: Route) -> None:
         job = exchange.headers.get(b"request-id", b"").decode("latin-1")
         if exchange.method != b"POST" or not job:
-            exchange.answer(STATUS[ErrorKind.INVALID])
+            exchange.answer(HTTP_STATUS[ErrorKind.INVALID])
             return
         self._send_answer(exchange, await self._item_runner.submit(job, route.name, exchange.body))
 
@@ -337,8 +339,8 @@
             wait_ms = min(MAX_RESULT_WAIT_MS, _parse_number(exchange.headers.get(b"wait-ms"), 0.0))
             start = query.get("start_after", ["0"])[0]
             answer = await self._item_runner.read(job, int(start) if start.isdecimal() else 0, int(wait_ms))
-        if answer.status == STATUS[ErrorKind.UNCERTAIN]:  # a read can simply be retried
-            answer = Answer(answer.call, STATUS[ErrorKind.NOT_READY])
+        if answer.status == HTTP_STATUS[ErrorKind.UNCERTAIN]:  # a read can simply be retried
+            answer = Answer(answer.call, HTTP_STATUS[ErrorKind.NOT_READY])
         self._send_answer(exchange, answer)
 
     @staticmethod
@@ -349,14 +351,14 @@
         """Metrics of this sidecar, one per line."""
         lines = [f"ready {self.ready():d}", f"draining {self.draining:d}"]
         lines += [
-            f"early_held {len(self._early)}",
-            f"early_held_total {self._early.total}",
-            f"early_refused_total {self._early.refused}",
+            f"early_held {len(self._early_requests)}",
+            f"early_held_total {self._early_requests.held_total}",
+            f"early_refused_total {self._early_requests.expired_total}",
         ]
         lines += [f"generation {self.tables.configuration.generation}"]
         for name, admission in self._admissions.items():
-            lines += [f'{figure}{{service="{name}"}} {value}' for figure, value in admission.figures()]
-        return lines + self._item_runner.metrics() + TRAFFIC.lines() + WIRE_COUNTS.lines()
+            lines += [f'{figure}{{service="{name}"}} {value}' for figure, value in admission.metrics()]
+        return lines + self._item_runner.metrics() + TRAFFIC.metric_lines() + WIRE_COUNTS.metric_lines()
 
     # --- shutdown ---
 
@@ -366,23 +368,23 @@
         return (
             len(self._tasks) == 0
             and self._item_runner.unstored == 0
-            and not self._early
+            and not self._early_requests
             and not any(a.busy for a in self._admissions.values())
         )
 
     def time_out_pending(self) -> None:
         """Answer all pending calls with a time-out; the process exits next."""
         for admission in self._admissions.values():
-            admission.end_all()
+            admission.time_out_all()
 
     def drain(self, grace_s: float) -> Drain:
         """Begin to drain: accept only requests that can finish in time, and return all items."""
         self._drain = Drain(self.now(), grace_s)
-        for held in self._early.release():
+        for held in self._early_requests.take_all():
             held.request.on_gone = None
-            held.request.refuse(ErrorKind.NOT_READY, STOPPING_US)
-        self._spending.give_back()
-        self._item_runner.return_all()
+            held.request.refuse(ErrorKind.NOT_READY, STOPPING_RETRY_AFTER_US)
+        self._spending.return_unspent()
+        self._item_runner.return_all_items()
         return self._drain
 
 
--- a/eiderhub/programs/operator_service.py
+++ b/eiderhub/programs/operator_service.py
@@ -11,15 +11,15 @@
 
 from eiderhub import address
 from eiderhub.control import retirement
+from eiderhub.control.change_processor import ChangeOutcome, ChangeProcessor, ChangeResult
 from eiderhub.control.configuration import Change
-from eiderhub.control.desk import Answer, Desk, Outcome
 from eiderhub.control.distribution import Tables
 from eiderhub.control.errors import ErrorKind, Refusal
 from eiderhub.control.messages import NodeRecord
 from eiderhub.control.retirement import RetireOrder
 from eiderhub.coordination.roster import address_of
 from eiderhub.storage.store import LmdbStore
-from eiderhub.transport.group import CommitUnknown, GroupDriver, NotPrimary
+from eiderhub.transport.group import CommitOutcomeUnknown, GroupDriver, NotPrimary
 from eiderhub.transport.operator_calls import Call, Reply
 
 STORAGE_IDENTITY_PREFIX = "storage/known/"  # identities of storage nodes seen so far, by node name
@@ -27,7 +27,7 @@
 
 log = logging.getLogger("operator")
 
-PendingChangeResult = Answer[asyncio.Future["PendingChangeResult"]]
+PendingChangeResult = ChangeResult[asyncio.Future["PendingChangeResult"]]
 
 
 class NodeStatus(msgspec.Struct):
@@ -76,7 +76,9 @@
         self._control_port = control_port
         self._min_storage_nodes = min_storage_nodes
         self._storage_nodes = storage_nodes
-        self.change_processor: Desk[asyncio.Future[PendingChangeResult]] = Desk(group.replica, store)
+        self.change_processor: ChangeProcessor[asyncio.Future[PendingChangeResult]] = ChangeProcessor(
+            group.replica, store
+        )
 
     async def handle(self, call: Call) -> Reply:
         if call.path == STATUS_PATH and call.method == "GET":
@@ -105,7 +107,9 @@
 
     @staticmethod
     def _refusal_reply(refusal: Refusal) -> Reply:
-        return Reply(refusal.status, msgspec.json.encode({"error": refusal.kind.value, "why": refusal.why}))
+        return Reply(
+            refusal.status, msgspec.json.encode({"error": refusal.kind.value, "why": refusal.reason})
+        )
 
     def _status(self) -> Reply:
         """Return the status as known to this node, primary or not."""
@@ -114,13 +118,13 @@
             node=self._node.name,
             leads=self._group.leads(),
             epoch=replica.epoch,
-            version=replica.told_version,
+            version=replica.version_or_zero,
             generation=self._tables.configuration.generation,
             primary=replica.primary or "",
             members=sorted(replica.members),
             sidecars=self._tables.nodes.sidecars,
             wire_versions=self._tables.nodes.wire_versions,
-            form=replica.form,
+            form=replica.record_format,
             nodes=[NodeStatus(n.name, n.role, n.zone, n.wire_version) for n in self._tables.nodes.nodes],
         )
         return Reply(HTTPStatus.OK, msgspec.json.encode(status))
@@ -134,18 +138,18 @@
         return Reply(HTTPStatus.OK, newest.body)
 
     async def _change_configuration(self, call: Call) -> Reply:
-        base = call.base.strip().strip('"')
+        base = call.if_match.strip().strip('"')
         if not base.isdigit():
             return self._refusal_reply(Refusal(ErrorKind.INVALID, "If-Match: must be a generation"))
         future: asyncio.Future[PendingChangeResult] = asyncio.get_running_loop().create_future()
         self.change_processor.submit(Change(int(base), call.method == "PATCH", call.body), future)
         self._group.flush()
         answer = await future
-        if answer.outcome is Outcome.REFUSED and answer.refusal is not None:
+        if answer.outcome is ChangeOutcome.REFUSED and answer.refusal is not None:
             return self._refusal_reply(answer.refusal)
-        if answer.outcome is Outcome.NOT_PRIMARY:
+        if answer.outcome is ChangeOutcome.NOT_PRIMARY:
             return self._redirect(call)
-        if answer.outcome is Outcome.UNKNOWN:
+        if answer.outcome is ChangeOutcome.UNKNOWN:
             return Reply(HTTPStatus.GATEWAY_TIMEOUT)
         return Reply(HTTPStatus.OK)
 
@@ -158,15 +162,15 @@
     # --- retirement ---
 
     def retire_orders(self) -> dict[str, RetireOrder]:
-        return retirement.read_orders(self._store.scan(retirement.RETIRE_PREFIX))
+        return retirement.decode_orders(self._store.scan(retirement.RETIRE_PREFIX))
 
     async def _retire_state(self, name: str) -> Reply:
         order = self.retire_orders().get(name)
         if order is None:
             return Reply(HTTPStatus.NOT_FOUND)
         try:
-            await self._group.settle()
-        except (NotPrimary, CommitUnknown):
+            await self._group.wait_all_committed()
+        except (NotPrimary, CommitOutcomeUnknown):
             return Reply(HTTPStatus.SERVICE_UNAVAILABLE)
         state = "succeeded" if order.done else "in_progress"
         return Reply(HTTPStatus.OK, msgspec.json.encode({"state": state}))
@@ -178,17 +182,17 @@
         identity = stored_identity.decode()
         orders = self.retire_orders()
         try:
-            if not retirement.is_repeat(orders.get(name), identity):
+            if not retirement.is_duplicate(orders.get(name), identity):
                 refusal = self._refuse_if_too_few_remain(identity, orders)
                 if refusal is not None:
                     return self._refusal_reply(refusal)
-                await self._group.write([retirement.write_order(name, RetireOrder([identity]))])
+                await self._group.write([retirement.encode_order(name, RetireOrder([identity]))])
                 log.info("retirement of storage node %s requested", name)
             else:
-                await self._group.settle()
+                await self._group.wait_all_committed()
         except NotPrimary:
             return Reply(HTTPStatus.SERVICE_UNAVAILABLE)
-        except CommitUnknown:
+        except CommitOutcomeUnknown:
             return Reply(HTTPStatus.GATEWAY_TIMEOUT)
         return Reply(HTTPStatus.OK)
 
--- a/eiderhub/programs/replica_host.py
+++ b/eiderhub/programs/replica_host.py
@@ -17,8 +17,8 @@
 from eiderhub.coordination.timing import GroupSize
 from eiderhub.programs.settings import TierSettings
 from eiderhub.storage.store import LmdbStore, StoreUnusable
+from eiderhub.transport.frame_connection import Connection
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection
 from eiderhub.transport.group import GroupDriver
 
 TRANSFER_WAIT_S = 0.4  # a planned leadership transfer has finished by then
@@ -35,7 +35,9 @@
         sys.exit(1)
     log.info("starting as %s at %s, created %s", store.identity, store.position, store.created)
     timing = repair.timing_for(settings.catch_up_s)
-    within_bound, message = repair.judge(settings.catch_up_s, timing, settings.link_mbps, store.used_bytes)
+    within_bound, message = repair.check_catch_up_bound(
+        settings.catch_up_s, timing, settings.link_mbps, store.used_bytes
+    )
     log.log(logging.INFO if within_bound else logging.WARNING, message)
     return store
 
@@ -61,10 +63,10 @@
         """Handle a message between replicas; return false for any other message."""
         if isinstance(message, Hello):
             self._connections[connection] = message.node
-            self.group.greeted(connection, message.node, message.support)
+            self.group.add_replica(connection, message.node, message.support)
         elif isinstance(message, REPLICA_MESSAGES):
             if connection in self._connections:
-                self.group.received(self._connections[connection].identity, message)
+                self.group.on_replica_message(self._connections[connection].identity, message)
         else:
             return False
         return True
@@ -72,10 +74,10 @@
     def on_closed(self, connection: Connection) -> None:
         node = self._connections.pop(connection, None)
         if node is not None:
-            self.group.lost(node.identity, connection)
+            self.group.remove_replica(node.identity, connection)
 
     async def stop(self) -> None:
         """Transfer leadership if another replica can take it."""
-        if self.group.replica.transfer(self.group.now()):
+        if self.group.replica.transfer_leadership(self.group.now()):
             self.group.flush()
             await asyncio.sleep(TRANSFER_WAIT_S)
--- a/eiderhub/programs/settings.py
+++ b/eiderhub/programs/settings.py
@@ -40,14 +40,14 @@
     data_dir: str
     disk_mb: float
     memory_mb: float
-    platform: str
+    platform_address: str
     link_mbps: float  # 0: unknown
     catch_up_s: float  # after which a restarted or replaced machine counts as available again
     drain_ms: float
     grace_s: float
     status_ttl_s: float
     fault_tolerance: int
-    zones_lost: int  # zones that may fail at the same time
+    zone_fault_tolerance: int  # zones that may fail at the same time
 
 
 class _Reader:
@@ -135,12 +135,12 @@
         data_dir=reader.get_value("data_dir", str, ""),
         disk_mb=reader.get_value("limits.disk_mb", float, 64.0),
         memory_mb=reader.get_value("limits.memory_mb", float, 300.0),
-        platform=reader.get_value("cloud_api.address", str, ""),
+        platform_address=reader.get_value("cloud_api.address", str, ""),
         link_mbps=reader.get_value("limits.link_mbps", float, 0.0),
         catch_up_s=reader.get_value("bounds.catch_up_s", float, 4.7),
         drain_ms=reader.get_value("bounds.drain_ms", float, 3000.0),
         grace_s=reader.get_value("bounds.grace_s", float, 8.0),
         status_ttl_s=reader.get_value("bounds.status_ttl_s", float, 120.0),
         fault_tolerance=reader.get_value("fault_tolerance.machines", int, 1),
-        zones_lost=reader.get_value("fault_tolerance.zones", int, 0),
+        zone_fault_tolerance=reader.get_value("fault_tolerance.zones", int, 0),
     )
--- a/eiderhub/programs/storage_tending.py
+++ b/eiderhub/programs/storage_group.py
@@ -78,7 +78,7 @@
         for name, order in orders.items():
             next_order = retirement.next_state(name, order, nodes, report)
             if next_order != order:
-                await self._group.write([retirement.write_order(name, next_order)])
+                await self._group.write([retirement.encode_order(name, next_order)])
                 log.info("retirement of %s: %s", name, "done" if next_order.done else "new disk identity")
 
     async def _record_identities(self, nodes: list[NodeRecord]) -> None:
