--- a/eiderhub/programs/storage_service.py
+++ b/eiderhub/programs/storage_service.py
@@ -11,8 +11,8 @@
 import picologging as logging
 
 from eiderhub import address
-from eiderhub.batch.dispatch import Dispatcher, Session
-from eiderhub.batch.jobs import BatchTerms, JobTable
+from eiderhub.batch.dispatch import Dispatcher, WorkerSession
+from eiderhub.batch.jobs import BatchLimits, JobTable
 from eiderhub.batch.messages import (
     ItemFinished,
     ItemKey,
@@ -22,9 +22,9 @@
     WorkerOpen,
     WorkerReport,
 )
-from eiderhub.batch.progress import ProgressWatch
+from eiderhub.batch.progress import ProgressMonitor
 from eiderhub.control.distribution import Tables
-from eiderhub.control.freshness import FRESH_S
+from eiderhub.control.freshness import MAX_TABLE_AGE_S
 from eiderhub.control.messages import LeaseRequest, NodeRecord, SessionPing, StorageReport
 from eiderhub.coordination.roster import address_of
 from eiderhub.coordination.timing import GroupSize, copies_needed
@@ -35,17 +35,17 @@
 from eiderhub.programs.settings import TierSettings
 from eiderhub.storage.store import LmdbStore
 from eiderhub.transport.control_session import ControlSession, control_candidates
+from eiderhub.transport.frame_connection import Connection
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection
-from eiderhub.transport.group import CommitUnknown, NotPrimary
-from eiderhub.transport.spending import Spending
+from eiderhub.transport.group import CommitOutcomeUnknown, NotPrimary
+from eiderhub.transport.spending import SpendingClient
 from eiderhub.transport.tasks import TaskSet
 from eiderhub.transport.traffic import TRAFFIC
 from eiderhub.transport.wire_counts import WIRE_COUNTS
 
 DISPATCH_INTERVAL_S = 0.02
 ERROR_PAUSE_S = 1.0  # after an unexpected exception in the dispatch loop
-SPACE_SHARE = 0.85  # of the store, for jobs and the expected results of all accepted items
+MAX_STORE_FRACTION = 0.85  # of the store, for jobs and the expected results of all accepted items
 PROGRESS_CHECK_INTERVAL_S = 1.0  # between checks for items without progress
 STUCK_LOG_INTERVAL_S = 5.0  # between log lines about items without progress
 
@@ -70,28 +70,28 @@
             settings.catch_up_s,
         )
         self.group = self._host.group
-        self.group.roster.gathers = not settings.zones_lost
+        self.group.roster.prefers_same_zones = not settings.zone_fault_tolerance
         self._jobs = JobTable(store)
-        self._dispatch = Dispatcher(self._jobs)
-        self._progress_watch = ProgressWatch()
+        self._dispatcher = Dispatcher(self._jobs)
+        self._progress_watch = ProgressMonitor()
         self._next_progress_check = 0.0
         self._batch_endpoints: frozenset[str] = frozenset()  # of services of batch routes
         self._next_stuck_log = 0.0
-        self._sessions: dict[Connection, Session] = {}
-        self._connections: dict[Session, Connection] = {}
+        self._sessions: dict[Connection, WorkerSession] = {}
+        self._connections: dict[WorkerSession, Connection] = {}
         self._epoch = 0
-        self._led_since = 0.0
-        self._spending = Spending(self._send_lease_request)
+        self._leading_since = 0.0
+        self._spending = SpendingClient(self._send_lease_request)
         self._session = ControlSession(
             node,
             self.tables,
             self._control_nodes,
             self._on_tables,
             self._complete_ping,
-            self._spending.answered,
+            self._spending.on_lease_answer,
             self._on_load,
         )
-        self._calls = BatchCalls(
+        self._batch_calls = BatchCalls(
             self._jobs,
             self.group,
             self._spending,
@@ -123,7 +123,7 @@
 
     def _complete_ping(self, ping: SessionPing) -> SessionPing:
         replica = self.group.replica
-        if not replica.members_settled(self._now()):
+        if not replica.membership_committed(self._now()):
             return ping
         members = sorted(replica.members)
         synced = all(replica.synced(member) for member in members)
@@ -137,16 +137,16 @@
             self._routes = RouteTable(configuration.generation, configuration.document)
         self._update_endpoints()
         if self._routes is not None:
-            self._spending.follow(self._routes.tenants, self.tables.spending.exhausted)
+            self._spending.set_tenants(self._routes.tenants, self.tables.spending.exhausted)
         for node in nodes.nodes:
             if node.role == "storage" and node.identity:
-                self.group.know(address_of(node.identity))
+                self.group.ensure_link(address_of(node.identity))
         founding_members = nodes.storage_group
         if self._node.identity in founding_members and self._store.is_empty:
             self.group.replica.bootstrap(founding_members)
         orders = nodes.retirements
         self.group.roster.retired = frozenset(i for order in orders for i in order.identities)
-        self.group.roster.retired_names = frozenset(order.node for order in orders if not order.done)
+        self.group.roster.retired_nodes = frozenset(order.node for order in orders if not order.done)
 
     def _update_endpoints(self) -> None:
         """Update the endpoints that run items: those of the services of batch routes."""
@@ -156,12 +156,12 @@
         services = {name for route in batch_routes for name, _ in route.services}
         ready = [e for e in self.tables.endpoints.endpoints if e.ready and e.service in services]
         self._batch_endpoints = frozenset(e.id for e in ready)
-        self._dispatch.scheduler.follow(len(ready), sum(e.capacity for e in ready))
+        self._dispatcher.scheduler.set_endpoints(len(ready), sum(e.capacity for e in ready))
 
     def _on_load(self, calls: Mapping[str, int]) -> None:
         """Apply the number of calls that all sidecars have in flight, by endpoint."""
         batch_calls = sum(count for endpoint, count in calls.items() if endpoint in self._batch_endpoints)
-        self._dispatch.scheduler.follow_load(self._now(), batch_calls)
+        self._dispatcher.scheduler.update_load(self._now(), batch_calls)
 
     # --- connections ---
 
@@ -178,10 +178,10 @@
             self._on_worker_message(connection, message)
 
     def _open_session(self, connection: Connection, message: WorkerOpen) -> None:
-        session = self._dispatch.open(self._now(), message)
+        session = self._dispatcher.open_session(self._now(), message)
         self._sessions[connection] = session
         connection.peer_zone = message.zone
-        connection.support = message.support
+        connection.peer_support = message.support
         self._connections[session] = connection
         self._send_outbox()
 
@@ -191,15 +191,15 @@
         if session is None:
             return
         if isinstance(message, WorkerReport):
-            self._dispatch.report(self._now(), session, message)
+            self._dispatcher.report(self._now(), session, message)
             self._send_outbox()
         elif isinstance(message, ItemStarted):
-            self._dispatch.started(self._now(), session, message.key)
+            self._dispatcher.item_started(self._now(), session, message.key)
             self._assign_items()
         elif isinstance(message, ItemFinished):
             self._tasks.start(self._finish_item(session, message), connection.close)
         elif isinstance(message, ItemReturned):
-            self._dispatch.returned(self._now(), session, message)
+            self._dispatcher.item_returned(self._now(), session, message)
             if message.errors:
                 self._tasks.start(self._commit_error_counts(message.key.job), connection.close)
             self._assign_items()
@@ -209,16 +209,16 @@
         session = self._sessions.pop(connection, None)
         if session is not None:
             self._connections.pop(session, None)
-            self._dispatch.closed(self._now(), session)
+            self._dispatcher.session_closed(self._now(), session)
 
     def _send_outbox(self) -> None:
         """Send the dispatcher's pending messages and log the inconsistencies that it has repaired."""
-        outbox, self._dispatch.outbox = self._dispatch.outbox, []
+        outbox, self._dispatcher.outbox = self._dispatcher.outbox, []
         for session, message in outbox:
             connection = self._connections.get(session)
             if connection is not None:
                 connection.send(message)
-        repairs, self._dispatch.repairs = self._dispatch.repairs, []
+        repairs, self._dispatcher.reclaimed = self._dispatcher.reclaimed, []
         for node, why, items in repairs:
             log.info("%s %s %d items; queued again: %s ...", node, why.value, len(items), items[0])
 
@@ -228,9 +228,9 @@
         replica = self.group.replica
         if replica.epoch != self._epoch and self.group.leads():
             self._epoch = replica.epoch
-            self._led_since = self._now()
-            self._dispatch.begin(self._now(), replica.epoch)
-            self._calls.begin_epoch(replica.epoch)
+            self._leading_since = self._now()
+            self._dispatcher.begin(self._now(), replica.epoch)
+            self._batch_calls.begin_epoch(replica.epoch)
             log.info("leads epoch %d with %d jobs", replica.epoch, len(self._jobs.jobs))
         if not self.group.leads() and self._connections and replica.primary != self._node.identity:
             for connection in list(self._connections.values()):
@@ -240,13 +240,13 @@
     # --- calls ---
 
     async def _answer_call(self, connection: Connection, message: BatchCall) -> None:
-        connection.send(await self._calls.answer(message))
+        connection.send(await self._batch_calls.handle(message))
 
-    def _terms_for(self, name: str) -> BatchTerms | None:
+    def _terms_for(self, name: str) -> BatchLimits | None:
         route = self._routes.by_name.get(name) if self._routes else None
         if route is None:
             return None
-        return BatchTerms(
+        return BatchLimits(
             name, route.window_ms / 1000, route.retention_s, route.max_attempts, route.max_queued_tokens
         )
 
@@ -256,29 +256,29 @@
         A primary whose writes fail steps down, and the next one would have just as little space.
         """
         needed = self._store.used_bytes + body_bytes + self._jobs.expected_bytes()
-        return needed < SPACE_SHARE * self._store.limit_bytes
+        return needed < MAX_STORE_FRACTION * self._store.limit_bytes
 
     def _on_job_ended(self, job: str) -> None:
-        self._dispatch.cancel_job(job)
+        self._dispatcher.cancel_job(job)
         self._send_outbox()
 
     # --- items ---
 
-    async def _finish_item(self, session: Session, message: ItemFinished) -> None:
+    async def _finish_item(self, session: WorkerSession, message: ItemFinished) -> None:
         try:
-            await self.group.commit(lambda: self._dispatch.finish(self._now(), session, message))
-        except (NotPrimary, CommitUnknown):
+            await self.group.commit(lambda: self._dispatcher.finish_item(self._now(), session, message))
+        except (NotPrimary, CommitOutcomeUnknown):
             return  # the sidecar reports it again, here or to the next primary
-        if self._dispatch.stored(session, message.key):
-            self._calls.notify_readers(message.key.job)
+        if self._dispatcher.result_committed(session, message.key):
+            self._batch_calls.notify_readers(message.key.job)
         self._send_outbox()
         self._assign_items()
 
     async def _commit_error_counts(self, job: str) -> None:
         """Replicate the failure counts of a job's items, so that the next primary knows them."""
         try:
-            await self.group.commit(lambda: self._jobs.errors(job))
-        except (NotPrimary, CommitUnknown):
+            await self.group.commit(lambda: self._jobs.error_writes(job))
+        except (NotPrimary, CommitOutcomeUnknown):
             return
 
     async def _dispatch_forever(self) -> None:
@@ -292,12 +292,12 @@
 
     def _run_due_work(self) -> None:
         """Update the roster, and run the periodic work of the primary."""
-        self.group.roster.informed = self._session.fresh()
+        self.group.roster.retirements_known = self._session.is_fresh()
         if not self.group.leads():
             return
         now = self._now()
-        self._dispatch.tick(now)
-        for session in self._dispatch.silent(now):
+        self._dispatcher.tick(now)
+        for session in self._dispatcher.timed_out_sessions(now):
             log.info("session of %s timed out: no message received", session.node)
             self._connections[session].close()
         self._send_outbox()
@@ -310,11 +310,11 @@
         if now < self._next_progress_check:
             return
         self._next_progress_check = now + PROGRESS_CHECK_INTERVAL_S
-        self._progress_watch.look(now, time.time(), self._jobs)
+        self._progress_watch.refresh(now, time.time(), self._jobs)
         summary = self._progress_watch.summary(now)
         if summary and now >= self._next_stuck_log:
             self._next_stuck_log = now + STUCK_LOG_INTERVAL_S
-            log.warning("%s; %s", summary, self._dispatch.scheduler.placement(now))
+            log.warning("%s; %s", summary, self._dispatcher.scheduler.status(now))
 
     def metrics(self) -> list[str]:
         """Metrics of this node, one per line."""
@@ -322,32 +322,32 @@
         lines = [
             f"leads {self.group.leads():d}",
             f"epoch {replica.epoch}",
-            f"version {replica.told_version}",
+            f"version {replica.version_or_zero}",
             f"store_broken {self._store.broken:d}",
             f"committed {replica.committed}",
-            f"form {replica.form}",
+            f"form {replica.record_format}",
             f"store_used_bytes {self._store.used_bytes}",
             f"store_limit_bytes {self._store.limit_bytes}",
-            *TRAFFIC.lines(),
-            *WIRE_COUNTS.lines(),
+            *TRAFFIC.metric_lines(),
+            *WIRE_COUNTS.metric_lines(),
         ]
         if not self.group.leads():
             return lines
         lines += [f"jobs {len(self._jobs.jobs)}", f"sessions {len(self._connections)}"]
-        placement = self._dispatch.scheduler.placement(self._now())
+        placement = self._dispatcher.scheduler.status(self._now())
         lines += [
             f"sidecars_paused {placement.paused}",
             f"sidecars_full {placement.full}",
             f"sidecars_stuck {placement.stuck}",
         ]
         lines += [f'items_returned{{reason="{r.value}"}} {n}' for r, n in placement.returns.items()]
-        for worker in self._dispatch.scheduler.workers.values():
+        for worker in self._dispatcher.scheduler.workers.values():
             lines.append(f'window{{node="{worker.node}"}} {worker.window:.1f}')
-        return lines + self._progress_watch.lines(self._now())
+        return lines + self._progress_watch.metric_lines(self._now())
 
     def _assign_items(self) -> None:
         if self.group.leads():
-            self._dispatch.give_out(self._now(), time.time())
+            self._dispatcher.assign_items(self._now(), time.time())
             self._send_outbox()
 
     # --- dead letters ---
@@ -359,16 +359,16 @@
         is fresh was current at some time within the freshness bound. Once this node has been primary for
         longer than that bound, the table therefore includes every route known to earlier primaries.
         """
-        leading_long_enough = self._now() - self._led_since > FRESH_S
-        if self._routes is None or not leading_long_enough or not self._session.fresh():
+        leading_long_enough = self._now() - self._leading_since > MAX_TABLE_AGE_S
+        if self._routes is None or not leading_long_enough or not self._session.is_fresh():
             return None
         return set(self._routes.by_name)
 
     def _on_dead_letter(self, key: ItemKey) -> None:
         """Handle an item whose dead letter is committed."""
-        self._dispatch.scheduler.forget(key)
-        if self._jobs.listed(key):
-            self._calls.notify_readers(key.job)
+        self._dispatcher.scheduler.forget(key)
+        if self._jobs.mark_result_committed(key):
+            self._batch_calls.notify_readers(key.job)
 
     async def stop(self) -> None:
         await self._host.stop()
--- a/eiderhub/scale/snapshots.py
+++ b/eiderhub/scale/snapshots.py
@@ -21,7 +21,7 @@
 
 from eiderhub.coordination.messages import Position, ReplicaMessage, Update, Write
 from eiderhub.coordination.replication import Replica
-from eiderhub.coordination.store import NOWHERE
+from eiderhub.coordination.store import INITIAL_POSITION
 from eiderhub.coordination.timing import GroupSize
 from eiderhub.storage.store import LmdbStore
 
@@ -74,7 +74,7 @@
     replica = Replica(LEARNER, store, time.monotonic(), random.Random(2))
     runner = Runner(replica, pipe)
     began = time.monotonic()
-    while store.position == NOWHERE or store.staged is not None:
+    while store.position == INITIAL_POSITION or store.staged is not None:
         runner.turn()
     results.send((time.monotonic() - began, *runner.used(), sum(1 for _ in store.scan(""))))
 
@@ -101,7 +101,7 @@
         replica.tick(time.monotonic())
         time.sleep(IDLE_S)
     replica.outbox.clear()
-    replica.candidates = [LEARNER]
+    replica.join_candidates = [LEARNER]
     runner = Runner(replica, pipe)
     while LEARNER not in replica.members:
         runner.turn()
--- a/eiderhub/scale/tier_sessions.py
+++ b/eiderhub/scale/tier_sessions.py
@@ -98,7 +98,7 @@
             say(
                 InForce(generation, [min(t for g, t in s.times.items() if g >= generation) for s in sidecars])
             )
-        lost = sum(not s.session.fresh() for s in sidecars)
+        lost = sum(not s.session.is_fresh() for s in sidecars)
         if (lost == 0) != standing:
             standing = lost == 0
             say(Standing(time.time(), lost))
--- a/eiderhub/sidecar/process.py
+++ b/eiderhub/sidecar/process.py
@@ -80,7 +80,7 @@
         others = presence.others()
         part = sockets / (1 + others)
         if directory and not others and not turn % REMEMBER_TURNS:
-            remember(directory, host.balancer.learned(now_us()))
+            remember(directory, host.balancer.learned_state(now_us()))
         server.most = max(1, int(CALLERS_SHARE * part))
         host.upstream.limit(max(1, int(UPSTREAM_SHARE * part)))
         await asyncio.sleep(SHARE_EVERY_S)
@@ -165,7 +165,7 @@
     if inherited:
         presence.enter()
         if directory and presence.others() and (memory_of_old := recollect(directory)) is not None:
-            host.balancer.recall(now_us(), memory_of_old)
+            host.balancer.restore(now_us(), memory_of_old)
             log.info("starts with what the process in service has learned")
         chores.append(share(presence, server, host, sockets, directory))
     background = [loop.create_task(chore) for chore in chores]
--- a/eiderhub/storage/store.py
+++ b/eiderhub/storage/store.py
@@ -15,10 +15,10 @@
 import lmdb
 import msgspec
 
-from eiderhub.coordination import tail
-from eiderhub.coordination.forms import FORM_KEY, OWN_FORMS, decode_form
+from eiderhub.coordination import recent_changes
+from eiderhub.coordination.forms import FORMAT_KEY, OWN_FORMATS, decode_format
 from eiderhub.coordination.messages import Position, Staged, Update, Write
-from eiderhub.coordination.store import NOWHERE, Chunk, StoreFailed
+from eiderhub.coordination.store import INITIAL_POSITION, Chunk, StoreFailed
 
 STORE_VERSION = 1
 FILE_NAME = "replica.lmdb"
@@ -26,7 +26,7 @@
 MIN_MAP_BYTES = 8 << 20
 UNLIMITED_BYTES = 1 << 40
 VERSION_KEY, IDENTITY_KEY, EPOCH_KEY, POSITION_KEY = b"version", b"identity", b"epoch", b"position"
-TRY_AGAIN_S = 1.0  # between attempts to reopen a store after a disk failure
+REOPEN_INTERVAL_S = 1.0  # between attempts to reopen a store after a disk failure
 ACTIVE_KEY, STAGED_KEY = b"active", b"staged"
 TABLES = (b"data", b"data-b")  # one holds the state, the other a staged snapshot
 
@@ -37,7 +37,7 @@
 
 def _change_key(position: Position) -> bytes:
     """The key of the changes that led to a position; slots are reused in a ring."""
-    return _change_slot_key(position.version % tail.KEPT_UPDATES)
+    return _change_slot_key(position.version % recent_changes.RETAINED_ENTRIES)
 
 
 class StoreUnusable(Exception):
@@ -53,7 +53,7 @@
         disk_mb: float,
         identity: str = "",
         read_only: bool = False,
-        reads_form: int = OWN_FORMS.reads,
+        readable_format: int = OWN_FORMATS.reads,
     ) -> None:
         """Open the store in `folder`, or create it with `identity`; an existing store keeps its identity.
 
@@ -64,7 +64,7 @@
             StoreUnusable: there is no store to read, or it cannot be opened or is not supported.
         """
         path = self._path = folder / FILE_NAME
-        self._readable_format = reads_form
+        self._readable_format = readable_format
         self._failure: str | None = None  # error of the disk failure that has not been recovered from
         self._next_reopen_at = 0.0
         self.created = not path.exists()
@@ -99,7 +99,7 @@
             except lmdb.NotFoundError:
                 return  # created, but never initialised
             with environment.begin() as transaction:
-                record_format = decode_form(transaction.get(FORM_KEY.encode(), db=data))
+                record_format = decode_format(transaction.get(FORMAT_KEY.encode(), db=data))
         if version != STORE_VERSION:
             raise StoreUnusable(
                 f"{self._path}: store version {version}; this program reads {STORE_VERSION}: start the "
@@ -157,7 +157,7 @@
             self.identity = (transaction.get(IDENTITY_KEY, db=self._meta) or b"").decode()
             self._epoch = int(transaction.get(EPOCH_KEY, db=self._meta) or 0)
             position = transaction.get(POSITION_KEY, db=self._meta)
-            self._position = msgspec.json.decode(position, type=Position) if position else NOWHERE
+            self._position = msgspec.json.decode(position, type=Position) if position else INITIAL_POSITION
             self._active_index = int(transaction.get(ACTIVE_KEY, db=self._meta) or 0)
             staged = transaction.get(STAGED_KEY, db=self._meta)
             self._staged = msgspec.json.decode(staged, type=Staged) if staged else None
@@ -175,7 +175,7 @@
     @property
     def is_empty(self) -> bool:
         """Whether the store certainly holds no state; False while it is broken."""
-        return not self.broken and self._position == NOWHERE
+        return not self.broken and self._position == INITIAL_POSITION
 
     @property
     def used_bytes(self) -> int:
@@ -229,7 +229,7 @@
 
     def apply(self, updates: list[Update]) -> None:
         position = updates[-1].position
-        change = tail.step(self.position, updates)
+        change = recent_changes.changed_keys(self.position, updates)
         with self._transaction() as transaction:
             for update in updates:
                 self._write_entries(transaction, self._state_table, update.writes)
@@ -241,16 +241,21 @@
     def changed_since(self, position: Position) -> list[Write] | None:
         with self._environment.begin() as transaction:
             slot_values = (
-                transaction.get(_change_slot_key(slot), db=self._meta) for slot in range(tail.KEPT_UPDATES)
+                transaction.get(_change_slot_key(slot), db=self._meta)
+                for slot in range(recent_changes.RETAINED_ENTRIES)
             )
-            changes = [msgspec.msgpack.decode(value, type=tail.ChangedKeys) for value in slot_values if value]
-            keys = tail.changed_since(changes, position, self.position)
+            changes = [
+                msgspec.msgpack.decode(value, type=recent_changes.ChangedKeys)
+                for value in slot_values
+                if value
+            ]
+            keys = recent_changes.changed_since(changes, position, self.position)
             if keys is None:
                 return None
             values = [(key, transaction.get(key.encode(), db=self._state_table)) for key in keys]
         writes = [Write(key, None if value is None else bytes(value)) for key, value in values]
         size = sum(len(write.key) + len(write.value or b"") for write in writes)
-        return writes if size <= tail.MOST_BYTES else None
+        return writes if size <= recent_changes.MAX_CHANGED_BYTES else None
 
     def stage(self, entries: Iterable[Write], staged: Staged, first: bool) -> None:
         with self._transaction() as transaction:
@@ -313,7 +318,7 @@
             self._reopen()
         except (lmdb.Error, OSError, msgspec.DecodeError) as error:
             self._failure = str(error)
-            self._next_reopen_at = time.monotonic() + TRY_AGAIN_S
+            self._next_reopen_at = time.monotonic() + REOPEN_INTERVAL_S
         else:
             self._failure = None
 
@@ -368,10 +373,10 @@
 
     def __init__(self) -> None:
         self.epoch = 0
-        self.position = NOWHERE
+        self.position = INITIAL_POSITION
         self.data: dict[str, bytes] = {}
         self._staged: tuple[Staged, dict[str, bytes]] | None = None
-        self._recent_changes: dict[int, tail.ChangedKeys] = {}
+        self._recent_changes: dict[int, recent_changes.ChangedKeys] = {}
         self.limit_bytes = UNLIMITED_BYTES
         self.broken = False
 
@@ -384,15 +389,15 @@
         self.epoch = max(self.epoch, epoch)
 
     def apply(self, updates: list[Update]) -> None:
-        change = tail.step(self.position, updates)
+        change = recent_changes.changed_keys(self.position, updates)
         if change is not None:
-            self._recent_changes[change.position.version % tail.KEPT_UPDATES] = change
+            self._recent_changes[change.position.version % recent_changes.RETAINED_ENTRIES] = change
         for update in updates:
             self._write_entries(self.data, update.writes)
             self.position = update.position
 
     def changed_since(self, position: Position) -> list[Write] | None:
-        keys = tail.changed_since(self._recent_changes.values(), position, self.position)
+        keys = recent_changes.changed_since(self._recent_changes.values(), position, self.position)
         return None if keys is None else [Write(key, self.data.get(key)) for key in keys]
 
     @property
--- a/eiderhub/transport/control_session.py
+++ b/eiderhub/transport/control_session.py
@@ -14,7 +14,7 @@
 
 from eiderhub import address
 from eiderhub.control.distribution import Tables
-from eiderhub.control.freshness import FRESH_S, Freshness
+from eiderhub.control.freshness import MAX_TABLE_AGE_S, Freshness
 from eiderhub.control.messages import (
     LeaseAnswer,
     LeaseRequest,
@@ -27,12 +27,12 @@
     TableUpdate,
 )
 from eiderhub.coordination.wire import OWN_SUPPORT
+from eiderhub.transport.frame_connection import Connection, connect
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection, connect
 
-PING_S = 0.25
+PING_INTERVAL_S = 0.25
 RECONNECT_DELAY_S = 0.1
-NEARER_S = 1.0  # between attempts to move a session to a node of the own zone
+SAME_ZONE_CHECK_INTERVAL_S = 1.0  # between attempts to move a session to a node of the own zone
 # A node whose session was closed as stale is tried last for this long, and is not preferred for its zone.
 STALE_NODE_BACKOFF_S = 10.0
 UPDATE_RETRY_DELAY_S = 0.2  # before tables whose application failed are applied again
@@ -79,7 +79,7 @@
         self.connection.send(message)
         return True
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         return self.freshness.is_fresh(time.monotonic())
 
     async def _run(self) -> None:
@@ -113,12 +113,12 @@
         while not connection.closed:
             connection.send(self._build_ping())
             try:
-                async with asyncio.timeout(PING_S):
+                async with asyncio.timeout(PING_INTERVAL_S):
                     await self._closed.wait()
             except TimeoutError:
                 pass
             now = time.monotonic()
-            is_stale = now - self.freshness.silent_since(opened_at) > FRESH_S
+            is_stale = now - self.freshness.last_current_at(opened_at) > MAX_TABLE_AGE_S
             if is_stale:
                 self._stale_at[target] = now
             if is_stale or target not in self._candidates():
@@ -159,9 +159,9 @@
         if connection is not self.connection:
             return
         if isinstance(message, SessionAccepted):
-            connection.support = message.support
+            connection.peer_support = message.support
         elif isinstance(message, SessionPong):
-            self.freshness.answered(message.sent_at, message.age_s)
+            self.freshness.record_answer(message.sent_at, message.age_s)
         elif isinstance(message, LeaseAnswer):
             self._on_lease_answer(message)
         elif isinstance(message, LoadUpdate):
@@ -177,9 +177,9 @@
             elif applied and not self._update_scheduled:
                 # Updates of one event loop turn are applied together: only the newest state counts.
                 self._update_scheduled = True
-                asyncio.get_running_loop().call_soon(self._tell_update)
+                asyncio.get_running_loop().call_soon(self._notify_update)
 
-    def _tell_update(self) -> None:
+    def _notify_update(self) -> None:
         """Apply the newest tables, and retry after a delay if that fails.
 
         Without the retry old routes could stay in use for long, since the next update may be far off.
@@ -190,7 +190,7 @@
         except Exception as error:
             log.error("applying the newest tables failed, will retry: %r", error)
             self._update_scheduled = True
-            asyncio.get_running_loop().call_later(UPDATE_RETRY_DELAY_S, self._tell_update)
+            asyncio.get_running_loop().call_later(UPDATE_RETRY_DELAY_S, self._notify_update)
 
     def on_closed(self, connection: Connection) -> None:
         if connection is self.connection:
@@ -202,7 +202,7 @@
 
     def __init__(self, session: ControlSession, now: float) -> None:
         self._session = session
-        self._next_attempt_at = now + NEARER_S
+        self._next_attempt_at = now + SAME_ZONE_CHECK_INTERVAL_S
         self._task: asyncio.Task[Connection | None] | None = None
         self.target = ""
         self.replacement: Connection | None = None
@@ -212,7 +212,7 @@
         if self._task is not None and self._task.done():
             self.replacement, self._task = self._task.result(), None
         elif self._task is None and target and now >= self._next_attempt_at:
-            self._next_attempt_at = now + NEARER_S
+            self._next_attempt_at = now + SAME_ZONE_CHECK_INTERVAL_S
             self.target = target
             host, port = address.parse(target)
             self._task = asyncio.get_running_loop().create_task(connect(self._session, host, port))
--- a/eiderhub/transport/framing.py
+++ b/eiderhub/transport/frame_connection.py
@@ -13,9 +13,9 @@
 
 import picologging as logging
 
-from eiderhub.coordination.wire import UNTOLD, Feature, WireSupport
+from eiderhub.coordination.wire import DEFAULT_SUPPORT, Feature, WireSupport
 from eiderhub.transport import frames
-from eiderhub.transport.frames import FrameBroken, Message, Unknown
+from eiderhub.transport.frames import FrameError, Message, UnknownMessage
 from eiderhub.transport.traffic import TRAFFIC
 from eiderhub.transport.wire_counts import WIRE_COUNTS
 
@@ -46,7 +46,7 @@
         self._buffer = bytearray()
         self.closed = False
         self.peer_zone = ""  # empty: unknown
-        self.support: WireSupport = UNTOLD  # declared by the peer
+        self.peer_support: WireSupport = DEFAULT_SUPPORT  # declared by the peer
         self._unknown_logged = False
         self.last_received_at = asyncio.get_running_loop().time()
 
@@ -65,13 +65,15 @@
     def send(self, message: Message) -> None:
         if self.closed:
             return
-        if not frames.takes(self.support, message):
+        if not frames.can_send(self.peer_support, message):
             WIRE_COUNTS.count_withheld(type(message).__name__)
             return
-        cross_zone = TRAFFIC.crosses(self.peer_zone)
-        frame = frames.encode_frame(message, deflate=cross_zone and self.support.takes(Feature.DEFLATE))
+        cross_zone = TRAFFIC.is_cross_zone(self.peer_zone)
+        frame = frames.encode_frame(
+            message, deflate=cross_zone and self.peer_support.includes(Feature.DEFLATE)
+        )
         if cross_zone:
-            TRAFFIC.sent(type(message).__name__, len(frame))
+            TRAFFIC.count_sent(type(message).__name__, len(frame))
         self._transport.write(frame)
         if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.close()
@@ -87,20 +89,20 @@
         start = 0
         try:
             while not self.closed and (end := frames.frame_end(buffer, start)) is not None:
-                message = frames.decoded(buffer, start, end)
+                message = frames.decode_frame(buffer, start, end)
                 start = end
-                if isinstance(message, Unknown):
+                if isinstance(message, UnknownMessage):
                     self._skip_unknown(message)
                 else:
                     self._handler.on_message(self, message)
-        except FrameBroken as error:
+        except FrameError as error:
             WIRE_COUNTS.count_fault(error.fault)
             log.warning("closing the connection to %s: invalid frame: %s", self._peer_name(), error)
             self.close()
             return
         del buffer[:start]
 
-    def _skip_unknown(self, message: Unknown) -> None:
+    def _skip_unknown(self, message: UnknownMessage) -> None:
         """Count a message from a newer program and continue with the messages after it; log the first one."""
         WIRE_COUNTS.count_skipped(message.kind)
         if not self._unknown_logged:
--- a/eiderhub/transport/frames.py
+++ b/eiderhub/transport/frames.py
@@ -20,9 +20,9 @@
 
 Message = ReplicaMessage | SessionMessage | BatchMessage
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 MAX_MESSAGE_BYTES = 64 << 20  # after inflation
-DEFLATED = 1 << 31  # flag in the length field
+DEFLATED_FLAG = 1 << 31  # flag in the length field
 DEFLATE_THRESHOLD_BYTES = 300
 DEFLATE_LEVEL = 1
 
@@ -51,13 +51,13 @@
 )
 
 
-class Unknown(NamedTuple):
+class UnknownMessage(NamedTuple):
     """A message whose type this program does not know."""
 
     kind: str
 
 
-class FrameBroken(Exception):
+class FrameError(Exception):
     """A frame that cannot be decoded into a message."""
 
     def __init__(self, fault: FrameFault, detail: str = "") -> None:
@@ -65,10 +65,10 @@
         self.fault = fault
 
 
-def takes(support: WireSupport, message: Message) -> bool:
+def can_send(support: WireSupport, message: Message) -> bool:
     """Whether a peer with this declared support may be sent the message."""
     required = REQUIRED_FEATURE.get(type(message))
-    return required is None or support.takes(required)
+    return required is None or support.includes(required)
 
 
 def encode_frame(message: Message, deflate: bool) -> bytes:
@@ -78,8 +78,8 @@
     if deflate and len(body) >= DEFLATE_THRESHOLD_BYTES:
         compressed = zlib.compress(body, DEFLATE_LEVEL)
         if len(compressed) < len(body):
-            flag, body = DEFLATED, compressed
-    return LENGTH.pack(flag | len(body)) + body
+            flag, body = DEFLATED_FLAG, compressed
+    return LENGTH_PREFIX.pack(flag | len(body)) + body
 
 
 def frame_end(buffer: bytearray, start: int) -> int | None:
@@ -88,30 +88,30 @@
     Raises:
         FrameError: the length exceeds `MAX_MESSAGE_BYTES`.
     """
-    if len(buffer) - start < LENGTH.size:
+    if len(buffer) - start < LENGTH_PREFIX.size:
         return None
-    size = LENGTH.unpack_from(buffer, start)[0] & ~DEFLATED
+    size = LENGTH_PREFIX.unpack_from(buffer, start)[0] & ~DEFLATED_FLAG
     if size > MAX_MESSAGE_BYTES:
-        raise FrameBroken(FrameFault.OVERSIZED, f"{size} bytes")
-    end: int = start + LENGTH.size + size
+        raise FrameError(FrameFault.OVERSIZED, f"{size} bytes")
+    end: int = start + LENGTH_PREFIX.size + size
     return end if end <= len(buffer) else None
 
 
-def decoded(buffer: bytearray, start: int, end: int) -> Message | Unknown:
+def decode_frame(buffer: bytearray, start: int, end: int) -> Message | UnknownMessage:
     """Decode a complete frame.
 
     Raises:
         FrameError: the body cannot be inflated, is not a message, or has invalid fields.
     """
-    body = memoryview(buffer)[start + LENGTH.size : end].tobytes()
-    if LENGTH.unpack_from(buffer, start)[0] & DEFLATED:
+    body = memoryview(buffer)[start + LENGTH_PREFIX.size : end].tobytes()
+    if LENGTH_PREFIX.unpack_from(buffer, start)[0] & DEFLATED_FLAG:
         body = _inflate(body)
     try:
         return _decode(body)
     except msgspec.ValidationError as error:
         return _unknown_message(body, error)
     except msgspec.DecodeError as error:
-        raise FrameBroken(FrameFault.MALFORMED, str(error)) from None
+        raise FrameError(FrameFault.MALFORMED, str(error)) from None
 
 
 def _inflate(data: bytes) -> bytes:
@@ -119,13 +119,13 @@
     try:
         inflated = decompressor.decompress(data, MAX_MESSAGE_BYTES)
     except zlib.error as error:
-        raise FrameBroken(FrameFault.DEFLATE, str(error)) from None
+        raise FrameError(FrameFault.DEFLATE, str(error)) from None
     if not decompressor.eof:
-        raise FrameBroken(FrameFault.DEFLATE, "truncated, or larger than the limit when inflated")
+        raise FrameError(FrameFault.DEFLATE, "truncated, or larger than the limit when inflated")
     return inflated
 
 
-def _unknown_message(body: bytes, error: msgspec.ValidationError) -> Unknown:
+def _unknown_message(body: bytes, error: msgspec.ValidationError) -> UnknownMessage:
     """Return the type name of a well-formed message whose type is unknown.
 
     Raises:
@@ -134,7 +134,7 @@
     try:
         kind = _decode_tag(body).type
     except msgspec.DecodeError:
-        raise FrameBroken(FrameFault.MALFORMED, str(error)) from None
+        raise FrameError(FrameFault.MALFORMED, str(error)) from None
     if kind in KNOWN_TYPES:
-        raise FrameBroken(FrameFault.INVALID, f"{kind}: {error}") from None
-    return Unknown(kind)
+        raise FrameError(FrameFault.INVALID, f"{kind}: {error}") from None
+    return UnknownMessage(kind)
--- a/eiderhub/transport/group.py
+++ b/eiderhub/transport/group.py
@@ -10,14 +10,14 @@
 
 from eiderhub import address
 from eiderhub.control.messages import Hello, NodeRecord
-from eiderhub.coordination.commits import CommitQueue, Fate
+from eiderhub.coordination.commits import CommitOutcome, CommitQueue
 from eiderhub.coordination.messages import ReplicaMessage, Write
 from eiderhub.coordination.replication import Replica
 from eiderhub.coordination.roster import Roster, address_of
 from eiderhub.coordination.store import StoreFailed
 from eiderhub.coordination.wire import OWN_SUPPORT, WireSupport
+from eiderhub.transport.frame_connection import Connection, connect
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection, connect
 
 TICK_INTERVAL_S = 0.05
 RECONNECT_DELAY_S = 0.2
@@ -26,7 +26,7 @@
 log = logging.getLogger("group")
 
 
-class CommitUnknown(Exception):
+class CommitOutcomeUnknown(Exception):
     """The write may or may not survive the change of primary."""
 
 
@@ -62,7 +62,7 @@
         """Handle the peer's `Hello`; replicas send everything else on their own outbound connections."""
         if isinstance(message, Hello):
             connection.peer_zone = message.node.zone
-            connection.support = message.support
+            connection.peer_support = message.support
 
     def on_closed(self, connection: Connection) -> None:
         self.connection = None
@@ -109,9 +109,9 @@
 
     def all_committed(self) -> bool:
         """Whether everything in this primary's state is committed."""
-        return self.replica.settled(self.now())
+        return self.replica.all_committed(self.now())
 
-    def know(self, target: str) -> None:
+    def ensure_link(self, target: str) -> None:
         """Connect to a possible replica at this address, unless it is our own or already has a link."""
         if target != address_of(self.replica.identity) and target not in self._links:
             self._links[target] = OutboundLink(self, target)
@@ -125,7 +125,7 @@
         """
         await self.commit(lambda: writes)
 
-    async def settle(self) -> None:
+    async def wait_all_committed(self) -> None:
         """Return once everything that this primary's tables hold now is committed in its epoch.
 
         Raises:
@@ -186,7 +186,7 @@
             self._fail_waiters(waiters, NotPrimary())
         except StoreFailed as error:
             log.error("write to the store failed, stepping down as primary: %s", error)
-            self._fail_waiters(waiters, CommitUnknown())
+            self._fail_waiters(waiters, CommitOutcomeUnknown())
         else:
             for future in waiters:
                 self._commits.add(position, future)
@@ -204,10 +204,10 @@
         known = self.replica.members | set(self._incoming)
         for identity in sorted(known):
             if address_of(identity) == link.target:
-                self.replica.connected(self.now(), identity)
+                self.replica.on_connected(self.now(), identity)
         self._process_changes()
 
-    def greeted(self, connection: Connection, node: NodeRecord, support: WireSupport) -> None:
+    def add_replica(self, connection: Connection, node: NodeRecord, support: WireSupport) -> None:
         """Register the incoming connection of a replica and answer its `Hello`.
 
         It replaces an older identity at the same address, whose connection may stay open after a power loss.
@@ -216,19 +216,19 @@
             del self._incoming[identity]
         self._incoming[node.identity] = connection
         connection.peer_zone = node.zone
-        connection.support = support
-        self.roster.greeted(node.identity, node.name, node.zone)
+        connection.peer_support = support
+        self.roster.add_replica(node.identity, node.name, node.zone)
         connection.send(Hello(self.node, OWN_SUPPORT))
-        self.know(address_of(node.identity))
+        self.ensure_link(address_of(node.identity))
 
-    def received(self, sender: str, message: ReplicaMessage) -> None:
+    def on_replica_message(self, sender: str, message: ReplicaMessage) -> None:
         self.replica.receive(self.now(), sender, message)
         self._process_changes()
 
-    def lost(self, identity: str, connection: Connection) -> None:
+    def remove_replica(self, identity: str, connection: Connection) -> None:
         if self._incoming.get(identity) is connection:
             del self._incoming[identity]
-            self.roster.lost(identity)
+            self.roster.remove_replica(identity)
 
     # --- ticks and output ---
 
@@ -241,8 +241,8 @@
 
     def update_members(self) -> None:
         for member in self.replica.members:
-            self.know(address_of(member))
-        self.roster.tend(self.replica)
+            self.ensure_link(address_of(member))
+        self.roster.update_replica(self.replica)
 
     def flush(self) -> None:
         """Send the messages in the replica's outbox."""
@@ -261,7 +261,7 @@
             self._process_changes()
 
     def _log_unreadable_format(self) -> None:
-        form = self.replica.unreadable_form
+        form = self.replica.unreadable_format
         if form is not None and not self._unreadable_logged:
             self._unreadable_logged = True
             log.error("the group writes records of form %d, which this program does not read: start a newer "
@@ -275,10 +275,10 @@
                 link.connection.send(outgoing.message)
 
     def _resolve_commits(self) -> None:
-        for future, outcome in self._commits.take():
+        for future, outcome in self._commits.take_resolved():
             if future.done():
                 continue
-            if outcome is Fate.COMMITTED:
+            if outcome is CommitOutcome.COMMITTED:
                 future.set_result(None)
             else:
-                future.set_exception(CommitUnknown())
+                future.set_exception(CommitOutcomeUnknown())
--- a/eiderhub/transport/operator_calls.py
+++ b/eiderhub/transport/operator_calls.py
@@ -8,7 +8,7 @@
 class Call(NamedTuple):
     method: str
     path: str
-    base: str  # value of the If-Match header; empty if absent
+    if_match: str  # value of the If-Match header; empty if absent
     body: bytes
 
 
--- a/eiderhub/transport/traffic.py
+++ b/eiderhub/transport/traffic.py
@@ -20,19 +20,19 @@
         self._sent: Counter[str] = Counter()
         self._received: Counter[str] = Counter()
 
-    def crosses(self, peer_zone: str) -> bool:
+    def is_cross_zone(self, peer_zone: str) -> bool:
         """Whether the peer is known to be in another zone."""
         return bool(self.zone and peer_zone) and peer_zone != self.zone
 
-    def sent(self, kind: str, size: int) -> None:
+    def count_sent(self, kind: str, size: int) -> None:
         """Add bytes sent to another zone."""
         self._sent[kind] += size
 
-    def received(self, kind: str, size: int) -> None:
+    def count_received(self, kind: str, size: int) -> None:
         """Add bytes received from a peer in another zone that does not count what it sends."""
         self._received[kind] += size
 
-    def lines(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         """The counters as lines of `GET /metrics`."""
         directions = (("sent", self._sent), ("received", self._received))
         return [
--- a/eiderhub/transport/wire_counts.py
+++ b/eiderhub/transport/wire_counts.py
@@ -53,7 +53,7 @@
         """Count a frame that closed its connection."""
         self._faults[fault] += 1
 
-    def lines(self) -> list[str]:
+    def metric_lines(self) -> list[str]:
         """The counters as lines of `GET /metrics`."""
         lines = [f'wire_messages_skipped{{kind="{k}"}} {n}' for k, n in sorted(self._skipped.items())]
         lines += [f'wire_messages_withheld{{kind="{k}"}} {n}' for k, n in sorted(self._withheld.items())]
--- a/tests/connection_support.py
+++ b/tests/connection_support.py
@@ -5,8 +5,8 @@
 import asyncio
 
 from eiderhub.coordination.wire import OWN_SUPPORT, WireSupport
+from eiderhub.transport.frame_connection import Connection
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection
 
 
 class RecordingHandler:
@@ -48,5 +48,5 @@
     transport = RecordingTransport()
     connection._transport = transport
     connection.peer_zone = zone
-    connection.support = support
+    connection.peer_support = support
     return connection, transport, handler
--- a/tests/engine_support.py
+++ b/tests/endpoint_support.py
@@ -9,7 +9,7 @@
 from eiderhub.control.errors import ErrorKind
 from eiderhub.control.messages import EndpointRecord
 from eiderhub.dataplane.admission import Admission, Call
-from eiderhub.dataplane.engine import Headers
+from eiderhub.dataplane.endpoint_connections import Headers
 from eiderhub.dataplane.events import Event
 from eiderhub.dataplane.frontend import request_head
 from eiderhub.dataplane.routes import Route
@@ -152,8 +152,8 @@
             await endpoint.start()
         self.route = route
         self.admission = Admission(SERVICE, 8, "z", random.Random(1), {})
-        self.admission.follow_endpoints([endpoint.record for endpoint in self.endpoints])
-        self.admission.follow_routes([route], 8)
+        self.admission.update_endpoints([endpoint.record for endpoint in self.endpoints])
+        self.admission.update_routes([route], 8)
 
     def send(self, request_id: str) -> RecordingSink:
         sink = RecordingSink()
@@ -161,7 +161,7 @@
         head = request_head(b"POST", b"/x", headers, b"body")
         due_us = self.admission.now_us() + int(self.route.timeout_ms * 1000)
         call = Call(request_id, self.route, request_id.encode(), (head, b"body"), due_us, "t", (1, 1), sink)
-        self.admission.order(call)
+        self.admission.submit(call)
         return sink
 
     async def request(self, request_id: str) -> RecordingSink:
@@ -176,6 +176,6 @@
         return sum(endpoint.requests.count(request_id) for endpoint in self.endpoints)
 
     def stop(self) -> None:
-        self.admission.follow_endpoints([])
+        self.admission.update_endpoints([])
         for endpoint in self.endpoints:
             endpoint.stop()
--- a/tests/golden/landings.py
+++ b/tests/golden/landings.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from eiderhub.coordination.wire import UNTOLD, WireSupport
+from eiderhub.coordination.wire import DEFAULT_SUPPORT, WireSupport
 
 FOLDER = Path(__file__).parent
 DEFINITIONS = (
@@ -38,7 +38,7 @@
     def support(self) -> WireSupport:
         """What its programs say that they speak, in today's terms."""
         wire = self.definitions.get("wire")
-        return WireSupport(wire.OWN_SUPPORT.version, wire.OWN_SUPPORT.features) if wire else UNTOLD
+        return WireSupport(wire.OWN_SUPPORT.version, wire.OWN_SUPPORT.features) if wire else DEFAULT_SUPPORT
 
     @property
     def messages(self) -> Any:
--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -15,7 +15,7 @@
 
 import defopt
 
-from tests.tier_support import FAILING, Tier, document, route, wait_until
+from tests.tier_support import FAILING_PREFIX, Tier, document, route, wait_until
 
 HERE = Path(__file__).parent
 MESSAGE_MODULES = {
@@ -76,29 +76,35 @@
 
 def _count(tier: Tier, job: str) -> int:
     """How many results a job has."""
-    page = tier.results(tier.of("edge")[0], job)
+    page = tier.results(tier.with_role("edge")[0], job)
     return len(page["results"]) if page is not None else 0
 
 
 def _play(tier: Tier) -> None:
     """Have every kind of record written: two generations, a job that is done, one that is ended, a lease."""
     first, second = _documents()
-    assert tier.put(first, 0) == 200
+    assert tier.put_configuration(first, 0) == 200
     tier.wait_ready()
-    assert tier.put(second, 1) == 200
-    edge = tier.of("edge")[0]
-    wait_until(lambda: tier.ask(edge, "/paid/x", "paid-1", tokens=50)[0] == 200, "a request paid for")
+    assert tier.put_configuration(second, 1) == 200
+    edge = tier.with_role("edge")[0]
+    wait_until(
+        lambda: tier.send_request(edge, "/paid/x", "paid-1", tokens=50)[0] == 200, "a request paid for"
+    )
     wait_until(lambda: tier.submit(edge, "job-done", ITEMS) == 202, "a job taken")
     wait_until(lambda: _count(tier, "job-done") == len(ITEMS), "it is done")
-    for engine in tier.engines:
-        engine.hold.clear()  # from here on nothing is finished
-    wait_until(lambda: tier.submit(edge, "job-open", [*ITEMS, f"{FAILING}-1"]) == 202, "another job taken")
+    for engine in tier.endpoints:
+        engine.may_continue.clear()  # from here on nothing is finished
+    wait_until(
+        lambda: tier.submit(edge, "job-open", [*ITEMS, f"{FAILING_PREFIX}-1"]) == 202, "another job taken"
+    )
     wait_until(lambda: _count(tier, "job-open") == 1, "one of its items is out of attempts")
     wait_until(lambda: tier.submit(edge, "job-ended", ITEMS) == 202, "a third job taken")
     ended = partial(tier.call, edge, "frontend", "DELETE", "/lots/job-ended", Host="tier.example")
     wait_until(lambda: ended()[0] == 200, "the third job ended")
-    spare = tier.of("storage")[-1].name
-    wait_until(lambda: tier.operate("POST", f"/retire/{spare}", b"{}")[0] == 200, "a retirement ordered")
+    spare = tier.with_role("storage")[-1].name
+    wait_until(
+        lambda: tier.operator_call("POST", f"/retire/{spare}", b"{}")[0] == 200, "a retirement ordered"
+    )
 
 
 def _stores(source: Path, target: Path) -> None:
@@ -106,13 +112,13 @@
     with tempfile.TemporaryDirectory() as folder:
         tier = Tier(Path(folder), storage=4)
         for program in tier.programs:
-            program.source = source
+            program.package_folder = source
         try:
             tier.start()
             _play(tier)
-            leaders = [tier.leader("control"), tier.leader("storage")]
+            leaders = [tier.primary("control"), tier.primary("storage")]
             for role in ("edge", "storage", "control"):
-                for program in tier.of(role):
+                for program in tier.with_role(role):
                     program.stop(signal.SIGTERM)
         finally:
             tier.close()
--- a/tests/items_support.py
+++ b/tests/items_support.py
@@ -22,7 +22,7 @@
 from eiderhub.programs.settings import TierSettings
 from eiderhub.programs.storage_service import StorageService
 from eiderhub.storage.store import MemoryStore
-from eiderhub.transport.framing import Connection
+from eiderhub.transport.frame_connection import Connection
 from tests.tier_support import document
 
 TIMEOUT_S = 20.0  # for any expected event, also on slow machines
@@ -30,7 +30,7 @@
 ROUTE = "lots"
 
 
-async def until(condition: Callable[[], Any], what: str, bound_s: float = TIMEOUT_S) -> Any:
+async def wait_until(condition: Callable[[], Any], what: str, bound_s: float = TIMEOUT_S) -> Any:
     """Poll `condition` and return its first true value."""
     async with asyncio.timeout(bound_s) as limit:
         while not (value := condition()):
@@ -112,11 +112,11 @@
     async def reaches_endpoint(self) -> bool:
         return self.endpoints_answer
 
-    def order(self, call: Call) -> None:
+    def submit(self, call: Call) -> None:
         item = call.request_id.decode()
         self.calls[item] = call
         if self.endpoints_answer:
-            call.current = mock.Mock(spec=Attempt, endpoint="e")  # the call is at an endpoint
+            call.current_attempt = mock.Mock(spec=Attempt, endpoint="e")  # the call is at an endpoint
         self.ordered.append(item)
 
     def abandon(self, call: Call) -> None:
@@ -153,10 +153,10 @@
     def route_for(self, name: str) -> tuple[Route, Admission] | None:
         return self._route, cast(Admission, self.admission)
 
-    def leads_to(self, name: str, admission: Admission) -> bool:
+    def routes_to(self, name: str, admission: Admission) -> bool:
         return cast(Any, admission) is self.admission
 
-    def answers(self) -> int:
+    def response_count(self) -> int:
         return self.admission.answers()
 
     async def reaches_endpoint(self) -> bool:
@@ -191,7 +191,7 @@
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: Connection(self.service), "127.0.0.1", 0)
         self.port = self._server.sockets[0].getsockname()[1]
-        await until(self.service.group.leads, "the storage node leads")
+        await wait_until(self.service.group.leads, "the storage node leads")
 
     def close(self) -> None:
         self._server.close()
@@ -203,8 +203,8 @@
     return TierSettings(
         node_name=f"{role}-0", role=role, ip="127.0.0.1", zone="z0", region="r", zones={}, frontend="",
         readiness="", control="", first_port=1, last_port=2, seeds=[], bootstrap=True, data_dir=str(folder),
-        disk_mb=8.0, memory_mb=100.0, platform="", drain_ms=1000.0, grace_s=8.0, status_ttl_s=120.0,
-        fault_tolerance=0, zones_lost=0, link_mbps=600.0, catch_up_s=4.7,
+        disk_mb=8.0, memory_mb=100.0, platform_address="", drain_ms=1000.0, grace_s=8.0, status_ttl_s=120.0,
+        fault_tolerance=0, zone_fault_tolerance=0, link_mbps=600.0, catch_up_s=4.7,
     )  # fmt: skip
 
 
@@ -221,7 +221,7 @@
         route = RouteTable(1, document(1)).by_name[ROUTE]
         result = Sidecar(name, proxy, route)
         self._sidecars.append(result)
-        await until(result.runner._up.is_set, f"{name} has a session")
+        await wait_until(result.runner._session_ready.is_set, f"{name} has a session")
         return result
 
     def close(self) -> None:
--- a/tests/model/actors.py
+++ b/tests/model/actors.py
@@ -7,11 +7,11 @@
 from functools import partial
 from typing import Any, NamedTuple
 
+from eiderhub.control.change_processor import ChangeOutcome, ChangeResult
 from eiderhub.control.configuration import Change
-from eiderhub.control.desk import Answer, Outcome
 from eiderhub.control.distribution import Tables
 from eiderhub.control.errors import ErrorKind
-from eiderhub.control.freshness import FRESH_S, Freshness
+from eiderhub.control.freshness import MAX_TABLE_AGE_S, Freshness
 from eiderhub.control.messages import NodeRecord, SessionOpen, SessionPong
 from eiderhub.coordination.roster import address_of
 from tests.model import members
@@ -118,27 +118,27 @@
         if machine is not None and machine is not caller.at.machine:
             self._send(machine)
 
-    def told(self, caller: Caller, answer: Answer[Caller]) -> None:
+    def told(self, caller: Caller, answer: ChangeResult[Caller]) -> None:
         """The answer leaves its machine; it may be lost."""
         order, change = caller.order, caller.order.change
         now = self.network.timeline.now
-        if answer.outcome is Outcome.ACKNOWLEDGED:
+        if answer.outcome is ChangeOutcome.ACKNOWLEDGED:
             self.history.acknowledged(change, order.generation, now)
-        elif answer.outcome is Outcome.REFUSED:
+        elif answer.outcome is ChangeOutcome.REFUSED:
             self.history.refused(change, now, answer.refusal)
         if caller.lost or self._order is not order:
             return
-        if answer.outcome is Outcome.ACKNOWLEDGED:
+        if answer.outcome is ChangeOutcome.ACKNOWLEDGED:
             if not self._again:
                 self.acknowledged.append(order)
             self.believed = max(self.believed, order.generation)
-        elif answer.outcome is Outcome.REFUSED:
+        elif answer.outcome is ChangeOutcome.REFUSED:
             assert answer.refusal is not None
             if answer.refusal.kind is ErrorKind.STALE_VERSION:
-                self.believed = int(answer.refusal.why.split()[1])
+                self.believed = int(answer.refusal.reason.split()[1])
             else:
                 self.believed = max(self.believed, order.generation)
-        elif answer.outcome is Outcome.NOT_PRIMARY:
+        elif answer.outcome is ChangeOutcome.NOT_PRIMARY:
             self._redirected(caller)
             return
         else:
@@ -217,7 +217,7 @@
         """Whether it is to try another machine: this one is down, or says nothing that is current."""
         if machine.process is None and self.now - self._since > CONNECT_S:
             return True
-        return self.now - self.freshness.silent_since(self._since) > FRESH_S
+        return self.now - self.freshness.last_current_at(self._since) > MAX_TABLE_AGE_S
 
     def look_for_a_session(self) -> None:
         """Ping the control machine of the session; any other one, where there is no session."""
--- a/tests/model/history.py
+++ b/tests/model/history.py
@@ -5,9 +5,9 @@
 from bisect import bisect_right
 from typing import TYPE_CHECKING
 
-from eiderhub.control.configuration import CURRENT_KEY, TAKEN_PREFIX, Change, generation_of
+from eiderhub.control.configuration import CHANGE_DIGEST_PREFIX, CURRENT_KEY, Change, generation_of
 from eiderhub.control.errors import Refusal
-from eiderhub.control.freshness import FRESH_S
+from eiderhub.control.freshness import MAX_TABLE_AGE_S
 
 if TYPE_CHECKING:
     from tests.model.disk import Disk
@@ -47,20 +47,22 @@
             return
         self._acknowledged_at[change.digest] = now
         for number, each in self.acknowledgements.items():
-            if number != generation and each.base == change.base:
-                raise Broken(f"generations {number} and {generation} were both taken on top of {change.base}")
+            if number != generation and each.base_generation == change.base_generation:
+                raise Broken(
+                    f"generations {number} and {generation} were both taken on top of {change.base_generation}"
+                )
         order = sorted(self.acknowledgements)
         place = order.index(generation)
-        if place and change.base < order[place - 1]:
-            raise Broken(f"generation {generation} on {change.base} skips {order[place - 1]}")
-        if place + 1 < len(order) and self.acknowledgements[order[place + 1]].base < generation:
+        if place and change.base_generation < order[place - 1]:
+            raise Broken(f"generation {generation} on {change.base_generation} skips {order[place - 1]}")
+        if place + 1 < len(order) and self.acknowledgements[order[place + 1]].base_generation < generation:
             raise Broken(f"generation {order[place + 1]} skips {generation}")
         self.newest = max(self.newest, generation)
         self._times.append(now)
         self._newest_at.append(self.newest)
 
     def refused(self, change: Change, now: float, refusal: Refusal | None) -> None:
-        why = refusal.why if refusal is not None else ""
+        why = refusal.reason if refusal is not None else ""
         acknowledged_at = self._acknowledged_at.get(change.digest)
         if acknowledged_at is not None and acknowledged_at < self._sent_at[change.digest]:
             raise Broken(f"a change that was acknowledged is refused when it is sent again: {why}")
@@ -87,14 +89,14 @@
 
     @staticmethod
     def _has(disk: Disk, generation: int, digest: bytes) -> bool:
-        return disk.get(f"{TAKEN_PREFIX}{generation}") == digest
+        return disk.get(f"{CHANGE_DIGEST_PREFIX}{generation}") == digest
 
     def shown(self, disk: Disk) -> None:
         """A replica that leads has loaded its whole state: what readers may be shown from then on."""
         body = disk.get(CURRENT_KEY)
         if body is not None:
             generation = generation_of(body)
-            self._shown.setdefault(generation, disk.get(f"{TAKEN_PREFIX}{generation}") or b"")
+            self._shown.setdefault(generation, disk.get(f"{CHANGE_DIGEST_PREFIX}{generation}") or b"")
 
     def read(self, address: str, generation: int, floor: int) -> None:
         self.reads += 1
@@ -108,9 +110,11 @@
 
     def handed_out(self, who: str, generation: int, now: float) -> None:
         """A control machine vouches for a generation as current."""
-        floor = self.acknowledged_by(now - FRESH_S * CLOCK_SLACK)
+        floor = self.acknowledged_by(now - MAX_TABLE_AGE_S * CLOCK_SLACK)
         if generation < floor:
-            raise Broken(f"{who} hands out {generation}, {floor} was acknowledged over {FRESH_S} s ago")
+            raise Broken(
+                f"{who} hands out {generation}, {floor} was acknowledged over {MAX_TABLE_AGE_S} s ago"
+            )
 
     def believed(self, who: str, generation: int, now: float) -> None:
         """A sidecar takes itself to be fresh."""
--- a/tests/model/items.py
+++ b/tests/model/items.py
@@ -16,9 +16,9 @@
 
 import msgspec
 
-from eiderhub.batch.dispatch import Dispatcher, Session, Why
-from eiderhub.batch.jobs import JOB_PREFIX, RESULT_PREFIX, BatchTerms, JobTable, ResultRecord
-from eiderhub.batch.ledger import ItemLedger, Order
+from eiderhub.batch.dispatch import Dispatcher, ReclaimReason, WorkerSession
+from eiderhub.batch.item_tracker import ItemTracker, OrderResult
+from eiderhub.batch.jobs import JOB_PREFIX, RESULT_PREFIX, BatchLimits, JobTable, ResultRecord
 from eiderhub.batch.messages import (
     BatchMessage,
     CancelItem,
@@ -42,7 +42,7 @@
 
 SIDECARS = 4
 ENDPOINTS, PLACES = 40, 80
-TERMS = BatchTerms("lots", 10.0, 1_000.0, 3, 0.0)
+TERMS = BatchLimits("lots", 10.0, 1_000.0, 3, 0.0)
 ACCEPT_S = 0.6
 RETRY_S = 0.1
 TEND_S = 0.25
@@ -71,7 +71,7 @@
         self._world = world
         self.sidecar = sidecar
         self.group = group
-        self.session: Session | None = None
+        self.session: WorkerSession | None = None
         self.down: list[BatchMessage] = []  # on their way to the sidecar
         self._last = {"up": 0.0, "down": 0.0}
         self.carries = True
@@ -152,10 +152,10 @@
         self.epoch = 1
         self.leading = True
         self.lapsed_until = 0.0
-        self._links: dict[Session, Link] = {}
+        self._links: dict[WorkerSession, Link] = {}
         self._pending: list[PendingCommit] = []
         self._last_commit = 0.0
-        self.dispatcher.scheduler.follow(ENDPOINTS, PLACES)
+        self.dispatcher.scheduler.set_endpoints(ENDPOINTS, PLACES)
         self.dispatcher.begin(0.0, self.epoch)
         self._tick()
         self.read()
@@ -225,32 +225,32 @@
             link.send_down(Redirect(""))
             return
         if isinstance(message, WorkerOpen):
-            link.session = self.dispatcher.open(now, message)
+            link.session = self.dispatcher.open_session(now, message)
             self._links[link.session] = link
         elif link.session is None:
             return
         elif isinstance(message, WorkerReport):
             self.dispatcher.report(now, link.session, message)
         elif isinstance(message, ItemStarted):
-            self.dispatcher.started(now, link.session, message.key)
+            self.dispatcher.item_started(now, link.session, message.key)
         elif isinstance(message, ItemFinished):
             self._finish(link.session, message)
         elif isinstance(message, ItemReturned):
-            self.dispatcher.returned(now, link.session, message)
+            self.dispatcher.item_returned(now, link.session, message)
         self.flush()
 
-    def _finish(self, session: Session, message: ItemFinished) -> None:
+    def _finish(self, session: WorkerSession, message: ItemFinished) -> None:
         def done() -> None:
-            self.dispatcher.stored(session, message.key)
+            self.dispatcher.result_committed(session, message.key)
             self._world.finished_at = self._world.timeline.now
             self.flush()
 
-        self.commit(lambda: self.dispatcher.finish(self._world.timeline.now, session, message), done)
+        self.commit(lambda: self.dispatcher.finish_item(self._world.timeline.now, session, message), done)
 
     def closed(self, link: Link) -> None:
         if link.session is not None:
             self._links.pop(link.session, None)
-            self.dispatcher.closed(self._world.timeline.now, link.session)
+            self.dispatcher.session_closed(self._world.timeline.now, link.session)
 
     def flush(self) -> None:
         outbox, self.dispatcher.outbox = self.dispatcher.outbox, []
@@ -258,9 +258,9 @@
             link = self._links.get(session)
             if link is not None:
                 link.send_down(message)
-        repairs, self.dispatcher.repairs = self.dispatcher.repairs, []
+        repairs, self.dispatcher.reclaimed = self.dispatcher.reclaimed, []
         for node, why, items in repairs:
-            if why is Why.NOT_HELD:
+            if why is ReclaimReason.NOT_HELD:
                 self._check_repair(node, items)
 
     def _check_repair(self, node: str, items: list[ItemKey]) -> None:
@@ -277,11 +277,11 @@
         now = self._world.timeline.now
         if self.leads():
             self.dispatcher.tick(now)
-            for session in self.dispatcher.silent(now):
+            for session in self.dispatcher.timed_out_sessions(now):
                 self._links[session].close_at_group()
-            self.dispatcher.give_out(now, now)
+            self.dispatcher.assign_items(now, now)
             self.flush()
-            for item in self.table.hopeless(now, {TERMS.route}):
+            for item in self.table.undeliverable_items(now, {TERMS.route}):
                 self._bury(item.key)
         self._world.timeline.after(0.05, self._tick)
 
@@ -289,7 +289,7 @@
         self.commit(partial(self.table.finish, key, False, ""), partial(self._listed, key))
 
     def _listed(self, key: ItemKey) -> None:
-        self.table.listed(key)
+        self.table.mark_result_committed(key)
 
     # --- clients ---
 
@@ -315,7 +315,7 @@
         assert not isinstance(made, Refusal)
 
         def done() -> None:
-            self.table.accepted(job)
+            self.table.mark_committed(job)
             self._world.accepted[job] = set(items)
 
         self.commit(lambda: made, done)
@@ -342,7 +342,7 @@
         self.alive = True
         self.frozen_until = 0.0
         self.link: Link | None = None
-        self.ledger = ItemLedger(name, "z")
+        self.ledger = ItemTracker(name, "z")
         self._attempts: dict[ItemKey, int] = {}  # serial of the attempt that runs
         self._moving: set[ItemKey] = set()  # those at an endpoint that works on them
         self._serial = 0
@@ -391,7 +391,7 @@
     def start(self) -> None:
         if not self.alive:
             self.alive = True
-            self.ledger = ItemLedger(self.name, "z")
+            self.ledger = ItemTracker(self.name, "z")
             self._tend()
 
     # --- the session ---
@@ -404,7 +404,7 @@
             self.link.close_at_sidecar()
         else:
             if self._world.standstills and not self.stuck:
-                self.ledger.endpoints_answered()  # its live calls
+                self.ledger.endpoint_answered()  # its live calls
             self._send(self.ledger.tick(now))
         self._later(RETRY_S if self.link is None else TEND_S, self._tend)
 
@@ -412,7 +412,7 @@
         if self._world.unreachable(self) or not self._group.leading:
             return
         link = self.link = Link(self._world, self, self._group)
-        link.send_up(self.ledger.open())
+        link.send_up(self.ledger.open_session())
 
         def give_up() -> None:
             if self.link is link and not self.ledger.accepted:
@@ -423,26 +423,28 @@
     def closed(self, link: Link) -> None:
         if link is self.link:
             self.link = None
-            self.ledger.end()
+            self.ledger.end_session()
 
     def receive(self, link: Link, message: BatchMessage) -> None:
         if link is not self.link or not self.alive:
             return
         now = self._world.timeline.now
-        self.ledger.heard(now)
+        self.ledger.message_received(now)
         if isinstance(message, WorkerAccepted):
-            self._send(self.ledger.accept(now))
+            self._send(self.ledger.accept_session(now))
         elif isinstance(message, Redirect):
             link.close_at_sidecar()
         elif isinstance(message, RunItem):
             self._run(message)
         elif isinstance(message, CancelItem):
-            self.ledger.forget(message.key)
+            self.ledger.remove_item(message.key)
             self._attempts.pop(message.key, None)
         elif isinstance(message, ItemStored):
-            self.ledger.forget(message.key)
+            self.ledger.remove_item(message.key)
         elif isinstance(message, ProbeEndpoints) and not self.stuck:
-            self._later(self._world.rng.uniform(0.001, 0.3), lambda: self._send(self.ledger.probed(now)))
+            self._later(
+                self._world.rng.uniform(0.001, 0.3), lambda: self._send(self.ledger.probe_answered(now))
+            )
 
     def _send(self, messages: list[BatchMessage]) -> None:
         for message in messages:
@@ -453,7 +455,7 @@
 
     def _run(self, order: RunItem) -> None:
         key = order.key
-        if self.ledger.order(key) is Order.HELD:
+        if self.ledger.receive_order(key) is OrderResult.ALREADY_HELD:
             return
         self._serial += 1
         serial = self._attempts[key] = self._serial
@@ -478,7 +480,7 @@
             if self._attempts.get(key) == serial:
                 del self._attempts[key]
                 self._moving.discard(key)
-                self._send(self.ledger.ended(self._world.timeline.now, outcome))
+                self._send(self.ledger.mark_ended(self._world.timeline.now, outcome))
 
         self._later(delay, ended)
 
@@ -491,7 +493,7 @@
     def _begin(self, key: ItemKey, serial: int) -> None:
         """The item's first event comes."""
         if self._attempts.get(key) == serial:
-            self._send(self.ledger.began(key))
+            self._send(self.ledger.mark_started(key))
 
 
 class Trouble(Enum):
@@ -597,7 +599,9 @@
         for job, items in self.accepted.items():
             open_job = self.group.table.jobs.get(job)
             if open_job is not None and job not in self.ended:
-                found += [ItemKey(job, i) for i in sorted(items) if not open_job.items[i].stored]
+                found += [
+                    ItemKey(job, i) for i in sorted(items) if not open_job.items[i].has_committed_result
+                ]
         return found
 
     # --- the end ---
@@ -624,7 +628,7 @@
                 raise Broken(f"{self.seed}: an item of {job} is listed twice")
             if job not in self.ended and set(names) != items:
                 raise Broken(f"{self.seed}: items of {job} are left lying: {sorted(items - set(names))}")
-            if job not in self.ended and self.group.table.jobs[job].visible != len(items):
+            if job not in self.ended and self.group.table.jobs[job].committed_positions != len(items):
                 raise Broken(f"{self.seed}: results of {job} are not shown")
 
     def _check_reads(self) -> None:
@@ -636,8 +640,8 @@
     def _check_sides(self) -> None:
         for sidecar in self.sidecars:
             held = len(sidecar.ledger) if sidecar.alive else 0
-            if held or self.group.table.load_of(sidecar.name):
-                taken = self.group.table.load_of(sidecar.name)
+            if held or self.group.table.running_count(sidecar.name):
+                taken = self.group.table.running_count(sidecar.name)
                 raise Broken(f"{self.seed}: {sidecar.name} holds {held} items, and is taken to hold {taken}")
             if sidecar.alive and not sidecar.ledger.accepted:
                 raise Broken(f"{self.seed}: {sidecar.name} has no session")
--- a/tests/model/members.py
+++ b/tests/model/members.py
@@ -10,10 +10,10 @@
 from functools import partial
 from typing import Any, Protocol
 
+from eiderhub.control.change_processor import ChangeProcessor, ChangeResult
 from eiderhub.control.configuration import Change
-from eiderhub.control.desk import Answer, Desk
 from eiderhub.control.distribution import Subscriber, Tables
-from eiderhub.control.freshness import FRESH_S, Freshness
+from eiderhub.control.freshness import MAX_TABLE_AGE_S, Freshness
 from eiderhub.control.messages import (
     Hello,
     NodeRecord,
@@ -22,7 +22,7 @@
     SessionPong,
 )
 from eiderhub.control.publication import Publication
-from eiderhub.coordination.forms import StateForms
+from eiderhub.coordination.forms import RecordFormats
 from eiderhub.coordination.messages import REPLICA_MESSAGES
 from eiderhub.coordination.replication import Replica, Role
 from eiderhub.coordination.roster import Roster, address_of
@@ -128,12 +128,12 @@
     rng: random.Random
     size: GroupSize
     timing: Timing
-    installed: StateForms
+    installed: RecordFormats
     machines: dict[str, Machine]
 
     def make_disk(self) -> Disk: ...
 
-    def answered(self, answer: Answer[Any]) -> None: ...
+    def answered(self, answer: ChangeResult[Any]) -> None: ...
 
     def stepped(self, process: Process) -> None:
         """A primary has done something."""
@@ -161,7 +161,7 @@
             machine.forms,
         )
         self.roster = Roster(machine.identity, machine.zone)
-        self.desk: Desk[Any] = Desk(self.replica, machine.disk)
+        self.desk: ChangeProcessor[Any] = ChangeProcessor(self.replica, machine.disk)
         self.tables = Tables()
         self.freshness = Freshness()
         self.publication = Publication(self.tables, self.freshness, self.replica, self.desk)
@@ -199,7 +199,7 @@
         for address, machine in self.world.machines.items():
             if machine is not self.machine and not machine.removed:
                 self._connect(address, machine)
-        self.roster.tend(self.replica)
+        self.roster.update_replica(self.replica)
         self.replica.tick(self.machine.now)
         self.after_step()
 
@@ -219,7 +219,7 @@
         made.send(Hello(self.node))
         for identity in sorted(self.replica.members | set(self._greeted.values())):
             if address_of(identity) == address:
-                self.replica.connected(self.machine.now, identity)
+                self.replica.on_connected(self.machine.now, identity)
 
     @staticmethod
     def _is_up(machine: Machine, process: Process | None) -> bool:
@@ -234,14 +234,14 @@
         """The connection of another replica has ended."""
         if self._greeted.get(address_of(identity)) == identity:
             del self._greeted[address_of(identity)]
-        self.roster.lost(identity)
+        self.roster.remove_replica(identity)
 
     # --- messages ---
 
     def receive(self, sender: Process, message: Any) -> None:
         if isinstance(message, Hello):
             self._greeted[address_of(message.node.identity)] = message.node.identity
-            self.roster.greeted(message.node.identity, message.node.name, message.node.zone)
+            self.roster.add_replica(message.node.identity, message.node.name, message.node.zone)
         elif isinstance(message, REPLICA_MESSAGES):
             self.replica.receive(self.machine.now, sender.identity, message)
         elif isinstance(message, SessionOpen):
@@ -277,8 +277,8 @@
             self._send(address_of(outgoing.recipient), outgoing.message)
         for answer in self.desk.step(self.machine.now):
             self.world.answered(answer)
-        self.publication.begin(self.machine.now)
-        self.publication.follow(self.machine.now)
+        self.publication.begin_epoch(self.machine.now)
+        self.publication.publish_newest(self.machine.now)
         if replica.role is Role.PRIMARY:
             self.world.stepped(self)
         if replica.outbox:
@@ -294,8 +294,8 @@
             primary = self.replica.primary
             link = self._links.get(address_of(primary)) if primary is not None else None
             if link is not None and link.open and primary != self.identity:
-                silent = self.machine.now - self.freshness.silent_since(self._session_since)
-                if link is not self._session or silent > FRESH_S:
+                silent = self.machine.now - self.freshness.last_current_at(self._session_since)
+                if link is not self._session or silent > MAX_TABLE_AGE_S:
                     self._session, self._session_with = link, primary
                     self._session_since = self.machine.now
                     link.send(SessionOpen(self.node))
@@ -346,4 +346,4 @@
 
 def note_answer(freshness: Freshness, answer: SessionPong, now: float) -> None:
     """A session's ping was answered; `now` says nothing of how old the answer is."""
-    freshness.answered(answer.sent_at, answer.age_s)
+    freshness.record_answer(answer.sent_at, answer.age_s)
--- a/tests/model/named.py
+++ b/tests/model/named.py
@@ -54,11 +54,11 @@
         others = [m for m in world.machines.values() if m is not leader and m.process is not None]
         for other in others:
             other.freeze()
-        leader.process.replica.transfer(leader.now)
+        leader.process.replica.transfer_leadership(leader.now)
         leader.process.after_step()
         for other in others[1:]:
             world.timeline.after(0.05, other.wake)
-        world.timeline.after(world.timing.transfer + world.rng.uniform(0.05, 0.5), others[0].wake)
+        world.timeline.after(world.timing.transfer_timeout + world.rng.uniform(0.05, 0.5), others[0].wake)
         world.run(0.5)
         world.network.cut({others[0].address}, {leader.address})
         world.run(3.5)
--- a/tests/model/placement.py
+++ b/tests/model/placement.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from eiderhub.batch.dispatch import Dispatcher
-from eiderhub.batch.jobs import BatchTerms, JobTable
+from eiderhub.batch.jobs import BatchLimits, JobTable
 from eiderhub.batch.messages import ItemFinished, ItemKey, RunItem
 from eiderhub.control.errors import Refusal
 from eiderhub.coordination.messages import Position, Update, Write
@@ -57,7 +57,7 @@
         self._store = MemoryStore()
         self.table = JobTable(self._store)
         self.dispatcher = Dispatcher(self.table)
-        self.dispatcher.scheduler.follow(plan.endpoints, plan.places)
+        self.dispatcher.scheduler.set_endpoints(plan.endpoints, plan.places)
         self._epoch = 0
         self._served: dict[str, float] = {}  # when a lot last had an item at an endpoint
         self._accepted: dict[str, float] = {}
@@ -86,12 +86,12 @@
             {"id": f"{lot.name}i{n}", "path": "/", "tokens": 1, "body": base64.b64encode(b"b").decode()}
             for n in range(lot.items)
         ]
-        terms = BatchTerms(lot.route, lot.window_s, FOR_GOOD, 3, 0.0)
+        terms = BatchLimits(lot.route, lot.window_s, FOR_GOOD, 3, 0.0)
         body = msgspec.json.encode({"requests": requests})
         made = self.table.submit(self.timeline.now, lot.name, terms, body)
         assert not isinstance(made, Refusal)
         self._write(made)
-        self.table.accepted(lot.name)
+        self.table.mark_committed(lot.name)
         self._accepted[lot.name] = self.timeline.now
 
     def _write(self, writes: list[Write]) -> None:
@@ -105,7 +105,7 @@
         def arrive() -> None:
             if self._epoch == epoch:
                 call(now=self.timeline.now)
-                self.dispatcher.give_out(self.timeline.now, self.timeline.now)
+                self.dispatcher.assign_items(self.timeline.now, self.timeline.now)
                 self._flush()
 
         self.timeline.after(WAY_S, arrive)
@@ -115,15 +115,15 @@
         assert session is not None
 
         def take(now: float) -> None:
-            self._write(self.dispatcher.finish(now, session, message))
-            self.listed += self.dispatcher.stored(session, message.key)
+            self._write(self.dispatcher.finish_item(now, session, message))
+            self.listed += self.dispatcher.result_committed(session, message.key)
 
         self.tell(take)
 
     def _tick(self) -> None:
         now = self.timeline.now
         self.dispatcher.tick(now)
-        self.dispatcher.give_out(now, now)
+        self.dispatcher.assign_items(now, now)
         self._flush()
         self.timeline.after(DISPATCH_S, self._tick)
 
@@ -195,7 +195,7 @@
         """
         well_from = self.well_from()
         self.timeline.run_until(well_from)
-        waiting = sum(len(job.items) - job.positions for job in self.table.open_jobs())
+        waiting = sum(len(job.items) - job.assigned_positions for job in self.table.open_jobs())
         listed_before = self.listed
         until = well_from + DONE_S
         while self.timeline.now < until:
--- a/tests/model/placement_sidecar.py
+++ b/tests/model/placement_sidecar.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import TYPE_CHECKING, NamedTuple
 
-from eiderhub.batch.dispatch import Session
+from eiderhub.batch.dispatch import WorkerSession
 from eiderhub.batch.messages import (
     BatchMessage,
     CancelItem,
@@ -48,7 +48,7 @@
         self._world = world
         self.name = name
         self.plan = plan
-        self.session: Session | None = None
+        self.session: WorkerSession | None = None
         self._received = 0
         self._held: dict[ItemKey, Running] = {}
         self._queue: list[ItemKey] = []
@@ -81,9 +81,9 @@
         self._received = 0
         now = self._world.timeline.now
         message = WorkerOpen(self.name, "z", list(self._held), self._reach)
-        self.session = self._world.dispatcher.open(now, message)
+        self.session = self._world.dispatcher.open_session(now, message)
         for key in self._begun:
-            self._world.dispatcher.started(now, self.session, key)
+            self._world.dispatcher.item_started(now, self.session, key)
 
     def _report_forever(self) -> None:
         now = self._world.timeline.now
@@ -180,7 +180,7 @@
         self._begun.add(key)
         self._note_answer()
         assert self.session is not None
-        self._world.tell(partial(self._world.dispatcher.started, session=self.session, key=key))
+        self._world.tell(partial(self._world.dispatcher.item_started, session=self.session, key=key))
 
     def _finished(self, key: ItemKey) -> None:
         self.at_endpoint.discard(key)
@@ -208,7 +208,7 @@
             self._reach = Reach.UNANSWERED
         assert self.session is not None
         message = ItemReturned(key, reason, 0)
-        self._world.tell(partial(self._world.dispatcher.returned, session=self.session, message=message))
+        self._world.tell(partial(self._world.dispatcher.item_returned, session=self.session, message=message))
 
     def _forget(self, key: ItemKey) -> None:
         self._held.pop(key, None)
--- a/tests/model/planted.py
+++ b/tests/model/planted.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from eiderhub.control import configuration, retirement
-from eiderhub.control.desk import Answer, Desk, Outcome
+from eiderhub.control.change_processor import ChangeOutcome, ChangeProcessor, ChangeResult
 from eiderhub.control.messages import SessionPong
 from eiderhub.control.publication import Publication
 from eiderhub.coordination import membership, witness
@@ -53,8 +53,8 @@
 
 
 _on_replicated = Replica._on_replicated
-_take_chunk = Replica._take_chunk
-_begin = Desk._begin
+_take_chunk = Replica._stage_chunk
+_begin = ChangeProcessor._begin
 _age = Publication.age
 _next_state = retirement.next_state
 _decide = configuration.decide
@@ -66,7 +66,7 @@
 
 
 def _lead_again(self: Replica, now: float) -> None:
-    self._transfer_until = None
+    self._transfer_deadline = None
 
 
 def _install_each_chunk(self: Replica, chunk: Any) -> bool:
@@ -77,7 +77,7 @@
     if self.leads(now):
         decided = self._decide(order.change)
         if decided.is_ok() and not decided.ok_value.writes:
-            return Answer(order.caller, Outcome.ACKNOWLEDGED)
+            return ChangeResult(order.caller, ChangeOutcome.ACKNOWLEDGED)
     return _begin(self, now, order)
 
 
@@ -138,11 +138,11 @@
 
 
 def _some_are_unled(self: Replica, now: float) -> bool:
-    return self._young(now) or bool(self._unled)
+    return self._recently_started(now) or bool(self._members_without_leader)
 
 
 def _any_candidate(self: Roster, replica: Replica, retiring: Any) -> list[str]:
-    return sorted(i for i in self._present.values() if i not in replica.members)
+    return sorted(i for i in self._identity_at.values() if i not in replica.members)
 
 
 def _keep_identity(self: Machine) -> None:
@@ -255,13 +255,16 @@
         "two changes are decided at once, on what is written",
         2,
         "races_with_lost_answers",
-        ((Desk, "_is_busy", _always(False)), (Desk, "_begin", _decide_on_what_is_written)),
+        (
+            (ChangeProcessor, "_is_busy", _always(False)),
+            (ChangeProcessor, "_begin", _decide_on_what_is_written),
+        ),
     ),
     PlantedFault(
         "what is written is read before it is committed",
         2,
         "cut_off_for_twenty_seconds",
-        ((Desk, "newest", _read_what_is_written),),
+        ((ChangeProcessor, "newest", _read_what_is_written),),
     ),
     PlantedFault(
         "a change that was taken is not remembered", 2, "within", ((configuration, "decide", _forget_taken),)
--- a/tests/model/schedules.py
+++ b/tests/model/schedules.py
@@ -94,7 +94,7 @@
 
 def hand_over(world: World, machine: Machine) -> float:
     """The primary hands over as at a planned stop; whoever is to follow may be frozen meanwhile."""
-    if machine.process is not None and machine.process.replica.transfer(machine.now):
+    if machine.process is not None and machine.process.replica.transfer_leadership(machine.now):
         machine.process.after_step()
     freezes = world.rng.random() < 0.6
     others = [m for m in world.machines.values() if m is not machine and m.process is not None]
@@ -140,7 +140,7 @@
 def retire_one(world: World, machine: Machine) -> float:
     """A machine is to be emptied; its disk, or another's, may be lost meanwhile."""
     left = [m for m in world.machines.values() if not m.removed]
-    if len(left) <= world.size.least:
+    if len(left) <= world.size.min_live:
         return 0.0
     world.retire(machine)
     if world.rng.random() < 0.4:
--- a/tests/model/traces.py
+++ b/tests/model/traces.py
@@ -9,7 +9,7 @@
 from eiderhub.control.messages import NodeRecord, StorageReport
 from eiderhub.control.retirement import RetireOrder
 from eiderhub.coordination import membership
-from eiderhub.coordination.commits import CommitQueue, Fate
+from eiderhub.coordination.commits import CommitOutcome, CommitQueue
 from eiderhub.coordination.membership import GroupView
 from eiderhub.coordination.messages import (
     EpochAnswer,
@@ -21,7 +21,7 @@
     Write,
 )
 from eiderhub.coordination.replication import Replica
-from eiderhub.coordination.store import NOWHERE
+from eiderhub.coordination.store import INITIAL_POSITION
 from eiderhub.coordination.timing import GroupSize
 from eiderhub.storage.store import MemoryStore
 from tests.model.disk import Disk
@@ -71,7 +71,7 @@
     replica = Replica("d@4", MemoryStore(), 0.0, random.Random(1))
     chunk = SnapshotChunk(2, Position(2, 5), "k", "l", [Write("l", b"1")], True, 5, 1.0)
     replica.receive(1.0, "a@1", chunk)
-    assert replica.position == NOWHERE
+    assert replica.position == INITIAL_POSITION
 
 
 def older_snapshot_changes_nothing() -> None:
@@ -106,7 +106,7 @@
     replica.receive(2.0, "b@2", Replicated(2, Position(2, 2), 2.0))
     queue: CommitQueue[str] = CommitQueue(replica)
     queue.add(GENESIS, "waiter")
-    assert queue.take() == [("waiter", Fate.UNKNOWN)]
+    assert queue.take_resolved() == [("waiter", CommitOutcome.UNKNOWN)]
 
 
 def _view(**changed: Any) -> GroupView:
--- a/tests/model/upgrades.py
+++ b/tests/model/upgrades.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from eiderhub.coordination.forms import FIRST_FORM, StateForms
+from eiderhub.coordination.forms import FIRST_FORMAT, RecordFormats
 from tests.model.history import Broken
 from tests.model.members import Machine
 from tests.model.schedules import (
@@ -20,20 +20,20 @@
 )
 from tests.model.world import World
 
-NEXT_FORM = FIRST_FORM + 1
+NEXT_FORM = FIRST_FORMAT + 1
 # Three landings: one that knows the first form alone, one that reads the next form, one that writes it.
-FIRST = StateForms(FIRST_FORM, FIRST_FORM)
-READS = StateForms(NEXT_FORM, FIRST_FORM)
-WRITES = StateForms(NEXT_FORM, NEXT_FORM)
+FIRST = RecordFormats(FIRST_FORMAT, FIRST_FORMAT)
+READS = RecordFormats(NEXT_FORM, FIRST_FORMAT)
+WRITES = RecordFormats(NEXT_FORM, NEXT_FORM)
 RAISED_WITHIN_S = 3.0  # the form, once all members read it and are there
 BACK_SHARE = 0.3  # of machines that are put back at first
 
 Between = Callable[[World, Machine], float]
 
 
-def _start_again(world: World, machine: Machine, forms: StateForms) -> None:
+def _start_again(world: World, machine: Machine, forms: RecordFormats) -> None:
     """Stop a program as planned, and start another landing's on the same disk."""
-    if machine.process is not None and machine.process.replica.transfer(machine.now):
+    if machine.process is not None and machine.process.replica.transfer_leadership(machine.now):
         machine.process.after_step()
         world.run(0.4)
     machine.kill()
@@ -42,7 +42,7 @@
     machine.start()
 
 
-def _upgrade_all(world: World, before: StateForms, after: StateForms, troubles: list[Between]) -> None:
+def _upgrade_all(world: World, before: RecordFormats, after: RecordFormats, troubles: list[Between]) -> None:
     """One machine after the other; some are put back first, and something may befall one meanwhile."""
     world.installed = after
     machines = [m for m in world.machines.values() if not m.removed]
@@ -71,7 +71,7 @@
     """That the group writes, as its running members have it; a spare has no state, or an old one."""
     replicas = [m.process.replica for m in world.machines.values() if m.process is not None]
     members = {member for leader in world.leaders() for member in leader.replica.members}
-    return {replica.form for replica in replicas if replica.identity in members}
+    return {replica.record_format for replica in replicas if replica.identity in members}
 
 
 def upgraded_over_two_landings(world: World) -> None:
@@ -80,7 +80,9 @@
     troubles = [cut, cut_pair, freeze, hand_over]
     _upgrade_all(world, FIRST, READS, list(troubles))
     recover(world)
-    world.run_until(lambda: _forms(world) == {FIRST_FORM}, LEADS_WITHIN_S, "the first form is still written")
+    world.run_until(
+        lambda: _forms(world) == {FIRST_FORMAT}, LEADS_WITHIN_S, "the first form is still written"
+    )
     _upgrade_all(world, READS, WRITES, list(troubles))
     recover(world)
     world.run_until(lambda: _forms(world) == {NEXT_FORM}, RAISED_WITHIN_S, "the next form is written")
@@ -96,7 +98,9 @@
     machines = list(world.machines.values())
     world.rng.shuffle(machines)
     for machine in machines:
-        raised = any(m.process is not None and m.process.replica.form != FIRST_FORM for m in machines)
+        raised = any(
+            m.process is not None and m.process.replica.record_format != FIRST_FORMAT for m in machines
+        )
         if raised and world.size.target is None:  # else the last may be a spare, which is no member
             raise Broken("the next form is written before each machine reads it")
         _start_again(world, machine, WRITES)
@@ -119,7 +123,7 @@
     made.start()
     world.run(4.0)
     if world.size.target is None:  # a group that wants no more members teaches it nothing
-        assert made.process is not None and made.process.replica.unreadable_form == NEXT_FORM
+        assert made.process is not None and made.process.replica.unreadable_format == NEXT_FORM
     assert all(made.identity not in m.process.replica.members
                for m in world.machines.values() if m.process is not None)  # fmt: skip
     made.remove()
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -8,10 +8,10 @@
 from typing import Any, NamedTuple
 
 from eiderhub.control import retirement
-from eiderhub.control.desk import Answer
+from eiderhub.control.change_processor import ChangeResult
 from eiderhub.control.messages import NodeRecord, StorageReport
 from eiderhub.control.retirement import RetireOrder
-from eiderhub.coordination.forms import FORM_KEY, OWN_FORMS, decode_form
+from eiderhub.coordination.forms import FORMAT_KEY, OWN_FORMATS, decode_format
 from eiderhub.coordination.messages import Position
 from eiderhub.coordination.replication import Role
 from eiderhub.coordination.timing import GroupSize, Timing
@@ -58,7 +58,7 @@
         self.network = Network(self.timeline, self.rng)
         self.size = shape.size
         self.timing = timing or Timing()
-        self.installed = OWN_FORMS  # of the program that new machines come with
+        self.installed = OWN_FORMATS  # of the program that new machines come with
         self.make_disk = disk
         self.history = History()
         self.trace: list[str] = []
@@ -106,7 +106,7 @@
     def note(self, what: str) -> None:
         self.trace.append(f"{self.timeline.now:.2f} {what}")
 
-    def answered(self, answer: Answer[Any]) -> None:
+    def answered(self, answer: ChangeResult[Any]) -> None:
         answer.caller.order.operator.told(answer.caller, answer)
 
     # --- what must hold ---
@@ -159,7 +159,7 @@
     @staticmethod
     def _check_form(process: Process) -> None:
         """Nobody's disk holds a state in a form that the program there does not read."""
-        form = decode_form(process.machine.disk.data.get(FORM_KEY))
+        form = decode_format(process.machine.disk.data.get(FORMAT_KEY))
         if form > process.machine.forms.reads:
             raise Broken(f"{process.identity} has records of form {form}, which its program does not read")
 
@@ -185,10 +185,10 @@
     def _report(self) -> None:
         for process in self.leaders():
             names = frozenset(name for name, order in self.retiring.items() if not order.done)
-            process.roster.retired_names = names
+            process.roster.retired_nodes = names
             process.roster.retired = frozenset(i for o in self.retiring.values() for i in o.identities)
             replica = process.replica
-            if not process.machine.frozen and replica.members_settled(process.machine.now):
+            if not process.machine.frozen and replica.membership_committed(process.machine.now):
                 members = sorted(replica.members)
                 synced = all(replica.synced(member) for member in members)
                 report = StorageReport(members, sorted(replica.barred), synced)
--- a/tests/replication_support.py
+++ b/tests/replication_support.py
@@ -13,7 +13,7 @@
 
 from eiderhub.coordination.messages import ReplicaMessage, Write
 from eiderhub.coordination.replication import Replica, Role
-from eiderhub.coordination.store import NOWHERE, StoreFailed
+from eiderhub.coordination.store import INITIAL_POSITION, StoreFailed
 from eiderhub.coordination.timing import GroupSize
 from tests.model.disk import Disk
 
@@ -163,7 +163,7 @@
                 if present.get(member.partition("@")[2], member) != member:
                     replica.mark_replaced(member)
             joinable = set(present.values()) - replica.members
-            replica.candidates = sorted(joinable)
+            replica.join_candidates = sorted(joinable)
 
     def step(self) -> None:
         self.now += STEP_S
@@ -223,4 +223,4 @@
         if len(leaders) != 1:
             return False
         position = leaders[0].store.position
-        return position != NOWHERE and all(m.store.position == position for m in self.running())
+        return position != INITIAL_POSITION and all(m.store.position == position for m in self.running())
--- a/tests/soak/older.py
+++ b/tests/soak/older.py
@@ -12,31 +12,31 @@
 from eiderhub.coordination import wire
 
 # Before any other module takes them from there.
-wire.OWN_SUPPORT = wire.UNTOLD
-wire.WIRE_VERSION = wire.UNTOLD_VERSION
+wire.OWN_SUPPORT = wire.DEFAULT_SUPPORT
+wire.WIRE_VERSION = wire.DEFAULT_WIRE_VERSION
 
 from eiderhub.transport import frames  # noqa: E402
-from eiderhub.transport.frames import DEFLATED, LENGTH, FrameBroken, Message, Unknown  # noqa: E402
+from eiderhub.transport.frames import DEFLATED_FLAG, LENGTH_PREFIX, FrameError, Message, UnknownMessage  # noqa: E402
 from eiderhub.transport.wire_counts import FrameFault  # noqa: E402
 
-_decoded = frames.decoded
+_decoded = frames.decode_frame
 
 
-def decoded(buffer: bytearray, start: int, end: int) -> Message | Unknown:
+def decoded(buffer: bytearray, start: int, end: int) -> Message | UnknownMessage:
     """What a program of wire version 1 would make of a frame.
 
     Raises:
         FrameBroken: it knows no such frame.
     """
-    if LENGTH.unpack_from(buffer, start)[0] & DEFLATED:
-        raise FrameBroken(FrameFault.OVERSIZED)
+    if LENGTH_PREFIX.unpack_from(buffer, start)[0] & DEFLATED_FLAG:
+        raise FrameError(FrameFault.OVERSIZED)
     message = _decoded(buffer, start, end)
-    if isinstance(message, Unknown) or type(message) in frames.REQUIRED_FEATURE:
-        raise FrameBroken(FrameFault.INVALID, str(message))
+    if isinstance(message, UnknownMessage) or type(message) in frames.REQUIRED_FEATURE:
+        raise FrameError(FrameFault.INVALID, str(message))
     return message
 
 
 if __name__ == "__main__":
-    frames.decoded = decoded
+    frames.decode_frame = decoded
     role = sys.argv.pop(1)
     runpy.run_module(f"eiderhub.programs.{role}", run_name="__main__")
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -90,7 +90,7 @@
     # --- calls ---
 
     def _edge(self) -> Program:
-        return self.rng.choice(self.tier.of("edge"))
+        return self.rng.choice(self.tier.with_role("edge"))
 
     def _connection(self, program: Program, port: str = "frontend") -> Connection:
         return Connection(program.ip, self.tier.ports[port])
@@ -98,7 +98,7 @@
     async def _operate(self, method: str, path: str, body: bytes = b"", **headers: str) -> Reply:
         """An operator's call, to one control node after the other."""
         reply = Reply(End.REFUSED)
-        for program in self.rng.sample(self.tier.of("control"), 3):
+        for program in self.rng.sample(self.tier.with_role("control"), 3):
             reply = await self._connection(program, "control").call(method, path, body, **headers)
             if reply.status == 307:
                 host = reply.headers["location"].split("//")[1].split(":")[0]
@@ -151,7 +151,7 @@
         async def ready() -> bool:
             asked = [
                 self._connection(p, "readiness").call("GET", "/readyz", Host="h")
-                for p in self.tier.of("edge")
+                for p in self.tier.with_role("edge")
             ]
             return all([(await each).status == 200 for each in asked])
 
@@ -261,7 +261,7 @@
     def _victim(self) -> Program | None:
         """A program in which nothing is under way; a sidecar, a storage or a control node alike."""
         role = self.rng.choice(["edge", "storage", "control"])
-        idle = [p for p in self.tier.of(role) if p.name not in self._busy]
+        idle = [p for p in self.tier.with_role(role) if p.name not in self._busy]
         return self.rng.choice(idle) if idle else None
 
     async def _restart(self, program: Program, how: signal.Signals) -> None:
@@ -306,9 +306,9 @@
         if older and self.shape.older == WIRE_1:
             program.module = f"tests.soak.older {program.role}"
         elif older:
-            program.source = Path(self.shape.older)
+            program.package_folder = Path(self.shape.older)
         else:
-            program.module, program.source = f"eiderhub.programs.{program.role}", None
+            program.module, program.package_folder = f"eiderhub.programs.{program.role}", None
 
     async def _upgrade(self) -> None:
         """One process after the other is stopped and started as the other version, all the way and back."""
--- a/tests/support.py
+++ b/tests/support.py
@@ -60,7 +60,7 @@
         now: int = 1_000_000_000,
     ) -> None:
         self.now = now
-        self.did: list[tuple[Any, ...]] = []
+        self.actions: list[tuple[Any, ...]] = []
         self.timers: list[tuple[int, str]] = []
         self.sent: dict[str, list[str]] = {}
         self.serial = 0
@@ -70,29 +70,29 @@
 
     # actions
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        self.did.append(("hand_off", call, endpoint, max_wait_us))
+        self.actions.append(("hand_off", call, endpoint, max_wait_us))
         self.sent.setdefault(call, []).append(endpoint)
 
     def cancel(self, call: str, attempt: int) -> None:
-        self.did.append(("cancel", call, attempt))
+        self.actions.append(("cancel", call, attempt))
 
     def shed(self, call: str, wait_us: int) -> None:
-        self.did.append(("shed", call, wait_us))
+        self.actions.append(("shed", call, wait_us))
 
     def surrender(self, call: str) -> None:
-        self.did.append(("surrender", call))
+        self.actions.append(("surrender", call))
 
     def timer(self, delay_us: int, mark: str) -> None:
         self.timers.append((self.now + delay_us, mark))
 
     def watch(self, on: bool) -> None:
-        self.did.append(("watch", on))
+        self.actions.append(("watch", on))
 
     def close_idle(self, endpoint: str) -> None:
-        self.did.append(("close_idle", endpoint))
+        self.actions.append(("close_idle", endpoint))
 
     def write_log(self, text: str, **fields: str | int | float) -> None:
-        self.did.append(("write_log", text, fields))
+        self.actions.append(("write_log", text, fields))
 
     # events
     def order(self, grade: str = "look", tenant: str = "small", expires_in: int = 3 * S) -> str:
@@ -127,8 +127,8 @@
             self.balancer.wake(self.now, due[1])
         self.now = end
 
-    def answers(self, call: str) -> list[str]:
-        return [d[0] for d in self.did if d[0] in ("shed", "surrender") and d[1] == call]
+    def final_answers(self, call: str) -> list[str]:
+        return [d[0] for d in self.actions if d[0] in ("shed", "surrender") and d[1] == call]
 
     def sends(self, call: str | None = None) -> list[tuple[Any, ...]]:
-        return [d for d in self.did if d[0] == "hand_off" and (call is None or d[1] == call)]
+        return [d for d in self.actions if d[0] == "hand_off" and (call is None or d[1] == call)]
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -15,7 +15,7 @@
 from eiderhub.dataplane.admission import Admission, Call
 from eiderhub.dataplane.frontend import request_head
 from eiderhub.dataplane.routes import Route, RouteTable
-from tests.engine_support import (
+from tests.endpoint_support import (
     SERVICE,
     TIMEOUT_S,
     AdmissionHarness,
@@ -57,11 +57,11 @@
     async def test() -> None:
         admission, sink = make_admission(), RecordingSink()
         route = batch_route(1_000)
-        admission.follow_routes([route], 4)
-        admission.order(make_item_call(admission, route, "a", sink))
+        admission.update_routes([route], 4)
+        admission.submit(make_item_call(admission, route, "a", sink))
         assert sink.end_count == 0
         for number in range(changes):
-            admission.follow_routes([batch_route(2_000 + number)], 4)
+            admission.update_routes([batch_route(2_000 + number)], 4)
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         assert sink.end_count == 1
@@ -75,11 +75,11 @@
         endpoint, admission, sink = ScriptedEndpoint("i-1"), make_admission(), RecordingSink()
         await endpoint.start()
         route = batch_route(1_000)
-        admission.follow_routes([route], 4)
-        admission.order(make_item_call(admission, route, "a", sink))
+        admission.update_routes([route], 4)
+        admission.submit(make_item_call(admission, route, "a", sink))
         for number in range(ROUTE_CHANGES):
-            admission.follow_routes([batch_route(2_000 + number)], 4)
-        admission.follow_endpoints([endpoint.record])
+            admission.update_routes([batch_route(2_000 + number)], 4)
+        admission.update_endpoints([endpoint.record])
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         assert endpoint.requests == ["a"]
@@ -92,8 +92,8 @@
     async def test() -> None:
         admission = make_admission()
         for number in range(200):
-            admission.follow_routes([batch_route(1_000 + number)], 4)
-        metrics = dict(admission.figures())
+            admission.update_routes([batch_route(1_000 + number)], 4)
+        metrics = dict(admission.metrics())
         assert metrics["instances"] == 1
         assert admission._balancer is not None
         assert len(admission._balancer.classes) == 1
@@ -119,8 +119,8 @@
     async def test() -> None:
         admission, sink = make_admission(), RecordingSink()
         route = batch_route(1_000)
-        admission.follow_routes([route], 4)
-        admission.order(make_item_call(admission, route, "a", sink))
+        admission.update_routes([route], 4)
+        admission.submit(make_item_call(admission, route, "a", sink))
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         assert sink.refusal is ErrorKind.NOT_READY
@@ -137,7 +137,7 @@
         async def fail_first(request: EndpointRequest) -> None:
             endpoints_tried.append(request.endpoint.identity)
             if len(endpoints_tried) == 1:
-                call.final = final
+                call.no_further_attempts = final
                 request.reset()
             else:
                 request.send(request.answer())
@@ -146,7 +146,7 @@
         await harness.start(make_route("idempotent"))
         sink = RecordingSink()
         call = make_item_call(harness.admission, harness.route, "a", sink)
-        harness.admission.order(call)
+        harness.admission.submit(call)
         async with asyncio.timeout(TIMEOUT_S):
             await sink.ended.wait()
         assert len(endpoints_tried) == (1 if final else 2)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -12,7 +12,7 @@
 
 from eiderhub.control.errors import ErrorKind
 from eiderhub.http1 import Pool, Reply
-from tests.engine_support import (
+from tests.endpoint_support import (
     AdmissionHarness,
     EndpointRequest,
     Script,
@@ -107,7 +107,7 @@
         await harness.start(NON_IDEMPOTENT)
         assert (await harness.request("q0")).body == b"first"
         used = next(e for e in harness.endpoints if e.requests)
-        harness.admission.follow_endpoints([used.record])  # so that the next request reuses its connection
+        harness.admission.update_endpoints([used.record])  # so that the next request reuses its connection
         sink = await harness.request("q1")
         assert sink.body != b"stray"
         assert sink.refusal is ErrorKind.FAILED
@@ -378,7 +378,7 @@
         await harness.start(NON_IDEMPOTENT)
         sink = harness.send("q1")
         await harness.endpoints[0].request_received.wait()
-        harness.admission.end_all()
+        harness.admission.time_out_all()
         assert (sink.refusal, sink.end_count) == (ErrorKind.UNCERTAIN, 1)
         assert not harness.admission.busy
         harness.stop()
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -23,7 +23,7 @@
     held: list[str] = []
     for _ in range(500):
         call = host.order()
-        if not host.sends(call) and not host.answers(call):
+        if not host.sends(call) and not host.final_answers(call):
             held.append(call)
         if len(held) == count:
             return held
@@ -36,7 +36,7 @@
     fill_until_held(host, 2)
     host.advance(120 * MS + SOJOURN_INTERVAL_US + 25 * MS)
     refused = host.order()
-    assert host.answers(refused) == ["shed"]
+    assert host.final_answers(refused) == ["shed"]
     for call in list(host.sent):
         host.reply(call, Outcome.OK)
     host.advance(S)
@@ -57,7 +57,7 @@
     dear = Host(settings(prices=Prices(cross_zone=0.6)), both)
     call = fill_until_held(dear, 1)[0]
     dear.advance(S)
-    assert dear.answers(call) == ["shed"]
+    assert dear.final_answers(call) == ["shed"]
     assert not west & {d[2] for d in dear.sends()}
 
 
@@ -148,7 +148,7 @@
     for _ in range(calls):
         call = host.order()
         host.advance(step_us)
-        while host.sends(call) and not host.answers(call):
+        while host.sends(call) and not host.final_answers(call):
             if host.sent[call][-1] not in down:
                 host.reply(call, Outcome.OK)
                 break
@@ -210,10 +210,10 @@
     host.advance(150 * MS)
     assert len(set(host.sent[call])) == 2
     host.reply(call, Outcome.OK, attempt=1)
-    assert ("cancel", call, 0) in host.did
+    assert ("cancel", call, 0) in host.actions
     host.reply(call, Outcome.CANCELLED, attempt=0, closed=True)
     assert call not in host.balancer.calls
-    assert host.answers(call) == []
+    assert host.final_answers(call) == []
 
 
 def test_no_hedge_of_unrepeatable_calls_nor_on_inner_layers_nor_under_stress() -> None:
@@ -266,7 +266,7 @@
     while host.balancer.queue.count:
         host.answer_all()
     assert host.balancer.ratio.stress() == 0.0
-    assert host.answers(host.order(tenant="big")) == ["shed"]
+    assert host.final_answers(host.order(tenant="big")) == ["shed"]
     assert host.sends(host.order(tenant="small"))
 
 
@@ -276,7 +276,7 @@
         host = Host(settings(limits=Limits(may_cancel=may)), endpoints(4))
         call = host.order()
         host.balancer.expired(host.now, call)
-        assert (("cancel", call, 0) in host.did) is may
+        assert (("cancel", call, 0) in host.actions) is may
         host.reply(call, Outcome.CANCELLED, closed=True)
         assert host.balancer.calls == {}
 
@@ -290,7 +290,7 @@
         assert host.sends(host.order(expires_in=2500 * MS))  # a retry 0.5 s after the first try
         late = host.order(expires_in=1800 * MS)  # and one after 1.2 s, the aim being 1 s
         assert bool(host.sends(late)) is sent
-        assert bool(host.answers(late)) is not sent
+        assert bool(host.final_answers(late)) is not sent
 
 
 def run_with_idle_times(host: Host, calls: int, stale_after_us: int) -> int:
@@ -299,12 +299,12 @@
     silent = 0
     for i in range(calls):
         host.advance(100 * MS if i % 3 else 900 * MS)
-        actions_before = len(host.did)
+        actions_before = len(host.actions)
         call = host.order("pay", expires_in=5 * S)
         if not host.sends(call):
             continue
         endpoint = host.sent[call][0]
-        fresh = ("close_idle", endpoint) in host.did[actions_before:] or endpoint not in used
+        fresh = ("close_idle", endpoint) in host.actions[actions_before:] or endpoint not in used
         if not fresh and host.now - used[endpoint] > stale_after_us:
             silent += 1
             host.advance(S)
@@ -327,7 +327,7 @@
 def test_answering_connections_stay_open() -> None:
     host = Host(settings(balancers=1), endpoints(4))
     assert run_with_idle_times(host, 300, 99 * S) == 0
-    assert not any(d[0] == "close_idle" for d in host.did)
+    assert not any(d[0] == "close_idle" for d in host.actions)
 
 
 def test_other_classes_spare_the_endpoints_of_a_constrained_class() -> None:
@@ -356,8 +356,8 @@
         host.reply(call, Outcome.OK, spent=400 * MS)
     late = Host(settings(classes=(replace(SAFE, late_share=0.5),)), endpoints(4))
     for left in (-5, 0):
-        assert host.answers(host.order(expires_in=left)) == ["shed"]
-        assert late.answers(late.order(expires_in=left)) == ["shed"]
+        assert host.final_answers(host.order(expires_in=left)) == ["shed"]
+        assert late.final_answers(late.order(expires_in=left)) == ["shed"]
     for left in (100 * MS, 500 * MS):
         for _ in range(120):  # until this is the usual timeout, and no sign of a retry
             call = host.order(expires_in=left)
@@ -450,7 +450,7 @@
             if call in host.sent:
                 hung = host.sent[call] == [hung_endpoint]
                 host.reply(call, Outcome.TIMEOUT if hung else Outcome.OK, spent=600 * MS)
-    assert any(d[:2] == ("write_log", "ejected") and d[2]["endpoint"] == hung_endpoint for d in host.did)
+    assert any(d[:2] == ("write_log", "ejected") and d[2]["endpoint"] == hung_endpoint for d in host.actions)
 
 
 def test_hung_endpoint_is_avoided_and_ejected_at_its_first_timeout() -> None:
@@ -518,7 +518,7 @@
     assert [d[3] for d in host.sends(call)] == [UNSAFE.aim_us]
     host.advance(UNSAFE.aim_us)
     host.reply(call, Outcome.TIMEOUT, spent=UNSAFE.aim_us)
-    assert host.answers(call) == ["surrender"]
+    assert host.final_answers(call) == ["surrender"]
     assert [d[3] for d in host.sends(host.order("late", expires_in=5 * S))] == [5 * S]
 
 
@@ -609,7 +609,7 @@
     host.order()
     host.advance(6 * S)
     host.order()
-    lines = [d[2] for d in host.did if d[:2] == ("write_log", "state")]
+    lines = [d[2] for d in host.actions if d[:2] == ("write_log", "state")]
     assert len(lines) == 1
     assert lines[0]["given_up"] == "held too long 2, sojourn 1"
     assert (lines[0]["held"], lines[0]["ratio"]) == (0, 1.0)
@@ -630,11 +630,11 @@
         if hung in first.balancer.hosts_down(first.now):
             break
     assert first.balancer.hosts_down(first.now) == [hung]
-    memory = first.balancer.learned(first.now)
-    assert first.balancer.learned(first.now) == memory  # reading changes nothing
+    memory = first.balancer.learned_state(first.now)
+    assert first.balancer.learned_state(first.now) == memory  # reading changes nothing
 
     second = Host(settings(balancers=1), endpoints(2))  # two of the endpoints are gone meanwhile
-    second.balancer.recall(second.now, memory)
+    second.balancer.restore(second.now, memory)
     own = second.balancer.placements[0].pools[0].limit
     assert own.cap == pytest.approx(20.0)
     assert (own.baseline, own.fast_growth) == (limit.baseline, False)
@@ -644,7 +644,7 @@
 
     restarted = [entry._replace(launched_us=5_000_000) for entry in endpoints(2)]
     third = Host(settings(balancers=1), restarted)
-    third.balancer.recall(third.now, memory)
+    third.balancer.restore(third.now, memory)
     assert third.balancer.hosts_down(third.now) == []
 
 
@@ -658,5 +658,5 @@
             calls.append(host.order("hold", tenant="small" if tenants else ""))
             host.advance(5 * MS)
             host.answer_all(spent=20 * MS)
-        refused = any(host.answers(call) == ["shed"] for call in calls)
+        refused = any(host.final_answers(call) == ["shed"] for call in calls)
         assert refused is bool(tenants)
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -6,12 +6,12 @@
 
 import pytest
 
-from eiderhub.coordination import tail
+from eiderhub.coordination import recent_changes
 from eiderhub.coordination.catch_up import Peer
 from eiderhub.coordination.messages import Position, Staged, Update, Write
+from eiderhub.coordination.recent_changes import MAX_KEYS_PER_ENTRY, ChangedKeys, changed_since
 from eiderhub.coordination.replication import Replica
 from eiderhub.coordination.store import ReplicaStore
-from eiderhub.coordination.tail import MAX_KEYS_PER_ENTRY, ChangedKeys, changed_since
 from eiderhub.storage.store import LmdbStore, MemoryStore
 from tests.model.schedules import recover, serve
 from tests.model.world import CONTROL_OF_THREE, World
@@ -37,8 +37,8 @@
 
 def test_update_of_too_many_keys_gets_no_entry() -> None:
     writes = [Write(f"k{number}", b"") for number in range(MAX_KEYS_PER_ENTRY + 1)]
-    assert tail.step(pos(1), [Update(pos(2), writes)]) is None
-    assert tail.step(pos(1), [Update(pos(2), writes[1:])]) is not None
+    assert recent_changes.changed_keys(pos(1), [Update(pos(2), writes)]) is None
+    assert recent_changes.changed_keys(pos(1), [Update(pos(2), writes[1:])]) is not None
 
 
 @pytest.fixture(params=["memory", "lmdb"])
@@ -62,7 +62,7 @@
 
 
 def test_only_the_newest_entries_are_retained(store: ReplicaStore) -> None:
-    retained = tail.KEPT_UPDATES
+    retained = recent_changes.RETAINED_ENTRIES
     for version in range(1, 3 * retained):
         store.apply([Update(pos(version), [Write(f"k{version}", b"v")])])
     newest = 3 * retained - 1
@@ -80,7 +80,7 @@
 
 
 def test_large_changes_require_a_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(tail, "MOST_BYTES", 100)
+    monkeypatch.setattr(recent_changes, "MOST_BYTES", 100)
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
     store.apply([Update(pos(1), [Write("a", b"1")])])
     store.apply([Update(pos(2), [Write("a", b"x" * 200)])])
@@ -90,7 +90,7 @@
 @pytest.fixture(autouse=True)
 def default_retention(monkeypatch: pytest.MonkeyPatch) -> None:
     """Restore the production value, which other tests change."""
-    monkeypatch.setattr(tail, "KEPT_UPDATES", DEFAULT_RETAINED_ENTRIES)
+    monkeypatch.setattr(recent_changes, "KEPT_UPDATES", DEFAULT_RETAINED_ENTRIES)
 
 
 def snapshots_after_power_failure(seed: int) -> int:
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -59,7 +59,7 @@
     "body", [b'{"generation":1,"rou', b"", b"[]", b'{"generation":1,"generation":2}', b"\xff"]
 )
 def test_malformed_body_is_refused(body: bytes) -> None:
-    assert isinstance(configuration.read(body), Err)
+    assert isinstance(configuration.parse(body), Err)
 
 
 def test_first_configuration_has_base_0() -> None:
@@ -142,11 +142,11 @@
 
 @pytest.mark.parametrize("why", UNREADABLE)
 def test_body_that_violates_rfc_8259_is_refused(why: str) -> None:
-    assert isinstance(configuration.read(UNREADABLE[why]), Err)
+    assert isinstance(configuration.parse(UNREADABLE[why]), Err)
 
 
 def test_byte_order_mark_is_ignored() -> None:
-    assert configuration.read(b"\xef\xbb\xbf" + json.dumps(document(2)).encode()) == Ok(document(2))
+    assert configuration.parse(b"\xef\xbb\xbf" + json.dumps(document(2)).encode()) == Ok(document(2))
 
 
 KNOWN, UNKNOWN = {"backend": "s", "weight": 1}, {"backend": "other", "weight": 0}
@@ -182,7 +182,7 @@
     assert isinstance(decide(document(1), 1, body), Accepted)
     table = RouteTable(2, body)
     found = table.by_name["r"]
-    assert found.draw_service(random.Random(1)) == "s"
+    assert found.choose_service(random.Random(1)) == "s"
     request_class(found)
     batch_tenant(found)
     msgspec.msgpack.encode([tenant.cap_tokens for tenant in table.tenants.values()])
@@ -215,4 +215,4 @@
     body = document(2, *routes[:7], route("r7", timeout_ms=-1), *routes[8:])
     refused = configuration.decide(document(1, *routes), None, 0, change, body)
     assert isinstance(refused, Err)
-    assert refused.err_value.why.startswith("$.routes[7].timeout_ms")
+    assert refused.err_value.reason.startswith("$.routes[7].timeout_ms")
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -25,7 +25,7 @@
 def test_request_is_accepted_if_it_can_finish_in_time(
     at_s: float, max_duration_s: float, accepted: bool
 ) -> None:
-    assert Drain(100.0, GRACE_S).takes(100.0 + at_s, max_duration_s) is accepted
+    assert Drain(100.0, GRACE_S).accepts(100.0 + at_s, max_duration_s) is accepted
 
 
 def test_drain_does_not_end_before_an_accepted_request_finishes() -> None:
@@ -33,7 +33,7 @@
     for tenth in range(int(10 * MIN_DRAIN_S) + 1, int(10 * GRACE_S)):
         now = tenth / 10
         for max_duration_s in (0.5, 2.0, 5.0, 8.0):
-            if drain.takes(now, max_duration_s):
+            if drain.accepts(now, max_duration_s):
                 assert not drain.is_over(
                     now + max_duration_s - 0.01, nothing_pending=False, last_request_at=now
                 )
--- a/tests/test_early_requests.py
+++ b/tests/test_early_requests.py
@@ -18,13 +18,19 @@
     LeaseAnswer,
     TableVersion,
 )
-from eiderhub.dataplane import early
-from eiderhub.dataplane.early import HOLD_TIMEOUT_SHARE, MAX_BYTES, MAX_HOLD_S, MAX_REQUESTS, EarlyRequests
+from eiderhub.dataplane import early_requests
+from eiderhub.dataplane.early_requests import (
+    HOLD_TIMEOUT_SHARE,
+    MAX_BYTES,
+    MAX_HOLD_S,
+    MAX_REQUESTS,
+    EarlyRequests,
+)
 from eiderhub.dataplane.frontend import ClientExchange
 from eiderhub.programs import edge_service
 from eiderhub.programs.edge_service import EdgeService
-from tests.items_support import tier_settings, until
-from tests.test_edge_service import update
+from tests.items_support import tier_settings, wait_until
+from tests.test_edge_service import configuration_update
 from tests.tier_support import HOST, document
 
 ENDPOINTS = EndpointsUpdate(TableVersion(1, 1), [EndpointRecord("i-1", "svc", "127.0.0.1:1", "z0", True, 8)])
@@ -37,7 +43,7 @@
         self.method, self.url, self.body = b"POST", path.encode(), b"prompt"
         self.headers = {b"host": HOST.encode(), b"timeout-ms": b"%d" % timeout_ms, b"request-id": b"r"}
         self.headers[b"token-usage"] = b"40,60"
-        self.client = "c"
+        self.client_address = "c"
         self.held_s = 0.0
         self.gone = False
         self.on_gone: Callable[[Any], None] | None = None
@@ -50,7 +56,7 @@
     def answer(self, status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> None:
         self.answered.append(status)
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         raise AssertionError("the sidecar aborted the exchange")
 
     def disconnect(self) -> None:
@@ -66,7 +72,7 @@
 
 def apply_first_tables(service: EdgeService) -> None:
     """Apply the first configuration and endpoint list."""
-    service.tables.apply(update(1))
+    service.tables.apply(configuration_update(1))
     service.tables.apply(ENDPOINTS)
     service._on_tables()
 
@@ -77,11 +83,11 @@
 def test_request_is_held_for_a_share_of_its_timeout_up_to_the_limit() -> None:
     held: EarlyRequests[str] = EarlyRequests()
     assert held.hold(10.0, "short", 5, 0.6) and held.hold(10.0, "long", 5, 60.0)
-    assert held.overdue(10.0 + 0.6 * HOLD_TIMEOUT_SHARE - 0.01) == []
-    assert held.overdue(10.0 + 0.6 * HOLD_TIMEOUT_SHARE) == ["short"]
-    assert held.overdue(10.0 + MAX_HOLD_S - 0.01) == []
-    assert held.overdue(10.0 + MAX_HOLD_S) == ["long"]
-    assert (len(held), held.total, held.refused) == (0, 2, 2)
+    assert held.take_expired(10.0 + 0.6 * HOLD_TIMEOUT_SHARE - 0.01) == []
+    assert held.take_expired(10.0 + 0.6 * HOLD_TIMEOUT_SHARE) == ["short"]
+    assert held.take_expired(10.0 + MAX_HOLD_S - 0.01) == []
+    assert held.take_expired(10.0 + MAX_HOLD_S) == ["long"]
+    assert (len(held), held.held_total, held.expired_total) == (0, 2, 2)
 
 
 def test_count_and_bytes_are_limited() -> None:
@@ -92,7 +98,7 @@
     kept = [object() for _ in range(MAX_REQUESTS)]
     assert all(held.hold(0.0, each, 1, 1.0) for each in kept)
     assert not held.hold(0.0, object(), 1, 1.0)
-    assert [each.request for each in held.release()] == kept
+    assert [each.request for each in held.take_all()] == kept
     assert held.hold(0.0, object(), MAX_BYTES, 1.0)
 
 
@@ -105,11 +111,11 @@
         live, nowhere, gone = FakeExchange(), FakeExchange("/no/route"), FakeExchange()
         serve_all(service, live, nowhere, gone)
         gone.disconnect()
-        service.tables.apply(update(1))
+        service.tables.apply(configuration_update(1))
         service._on_tables()
-        assert len(service._early) == 2  # the endpoint list has not arrived
+        assert len(service._early_requests) == 2  # the endpoint list has not arrived
         apply_first_tables(service)
-        assert len(service._early) == 0
+        assert len(service._early_requests) == 0
         assert nowhere.answered == [404] and not live.refused and live.held_s > 0.0
         # The request whose client disconnected was not submitted.
         assert sum(len(a._calls) for a in service._admissions.values()) == 1
@@ -128,12 +134,12 @@
     async def test() -> None:
         service = EdgeService(tier_settings(tmp_path, "edge"))
         serve_all(service, first := FakeExchange(timeout_ms=3), second := FakeExchange(timeout_ms=60_000))
-        await until(lambda: first.refused, "the first is refused")
-        assert first.refused == [(ErrorKind.NOT_READY, edge_service.STARTING_US)]
-        assert second.refused == [] and len(service._early) == 1
-        monkeypatch.setattr(early, "MAX_REQUESTS", 1)
+        await wait_until(lambda: first.refused, "the first is refused")
+        assert first.refused == [(ErrorKind.NOT_READY, edge_service.STARTING_RETRY_AFTER_US)]
+        assert second.refused == [] and len(service._early_requests) == 1
+        monkeypatch.setattr(early_requests, "MAX_REQUESTS", 1)
         serve_all(service, third := FakeExchange())
-        assert third.refused == [(ErrorKind.NOT_READY, edge_service.STARTING_US)]
+        assert third.refused == [(ErrorKind.NOT_READY, edge_service.STARTING_RETRY_AFTER_US)]
 
     asyncio.run(test())
 
@@ -163,12 +169,12 @@
         service._on_tables()
         service._spending._send = lambda request: True
         serve_all(service, request := FakeExchange())
-        await until(lambda: service._spending._asking, "tokens are asked for")
+        await wait_until(lambda: service._spending._pending_leases, "tokens are asked for")
         request.disconnect()
-        service._spending.answered(LeaseAnswer("", "t", 500, False))
-        await until(lambda: not service._tasks, "the request is decided on")
+        service._spending.on_lease_answer(LeaseAnswer("", "t", 500, False))
+        await wait_until(lambda: not service._tasks, "the request is decided on")
         assert sum(len(a._calls) for a in service._admissions.values()) == 0
-        assert request.refused == [] and service._spending._purse.unspent() == {"t": 500}
+        assert request.refused == [] and service._spending._balances.unspent() == {"t": 500}
 
     asyncio.run(test())
 
@@ -179,7 +185,7 @@
         serve_all(service, held := FakeExchange())
         service.drain(8.0)
         serve_all(service, later := FakeExchange())
-        stopping = [(ErrorKind.NOT_READY, edge_service.STOPPING_US)]
-        assert held.refused == stopping and later.refused == stopping and len(service._early) == 0
+        stopping = [(ErrorKind.NOT_READY, edge_service.STOPPING_RETRY_AFTER_US)]
+        assert held.refused == stopping and later.refused == stopping and len(service._early_requests) == 0
 
     asyncio.run(test())
--- a/tests/test_edge_service.py
+++ b/tests/test_edge_service.py
@@ -15,11 +15,11 @@
 from eiderhub.control.messages import ConfigurationDelta, ConfigurationUpdate, EndpointsUpdate, TableVersion
 from eiderhub.dataplane.admission import Admission
 from eiderhub.programs.edge_service import EdgeService
-from tests.items_support import tier_settings, until
+from tests.items_support import tier_settings, wait_until
 from tests.tier_support import document
 
 
-def update(generation: int) -> ConfigurationUpdate:
+def configuration_update(generation: int) -> ConfigurationUpdate:
     return ConfigurationUpdate(generation, json.dumps(document(generation)).encode())
 
 
@@ -60,15 +60,15 @@
     """
 
     async def test() -> None:
-        service = make_service(tmp_path, update(1))
-        fail_once = FailOnce(Admission.follow_routes)
+        service = make_service(tmp_path, configuration_update(1))
+        fail_once = FailOnce(Admission.update_routes)
         monkeypatch.setattr(Admission, "follow_routes", fail_once)
-        service.tables.apply(update(2))
+        service.tables.apply(configuration_update(2))
         service.tables.apply(EndpointsUpdate(TableVersion(1, 1), []))
-        service._session._tell_update()
+        service._session._notify_update()
         assert fail_once.failed
         assert generation_of(service) == 1
-        await until(lambda: generation_of(service) == 2, "the newest configuration is applied")
+        await wait_until(lambda: generation_of(service) == 2, "the newest configuration is applied")
         assert service._endpoints_version == TableVersion(1, 1)
 
     asyncio.run(test())
@@ -78,7 +78,7 @@
     """Updates that arrive faster than they can be applied are all decoded, but only the last is applied."""
 
     async def test() -> None:
-        service = make_service(tmp_path, update(1))
+        service = make_service(tmp_path, configuration_update(1))
         applied_generations: list[int] = []
         session = service._session
         on_update, session._on_update = session._on_update, lambda: None
@@ -93,7 +93,7 @@
         for generation in range(2, 202):
             patch = json.dumps({"generation": generation, "upsert": {}, "remove": {}}).encode()
             session.on_message(connection, ConfigurationDelta(generation - 1, generation, patch))
-        await until(lambda: applied_generations, "the update is notified")
+        await wait_until(lambda: applied_generations, "the update is notified")
         assert applied_generations == [201]
 
     asyncio.run(test())
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -14,8 +14,8 @@
 from eiderhub.coordination.timing import GroupSize
 from eiderhub.coordination.wire import OWN_SUPPORT
 from eiderhub.storage.store import MemoryStore
+from eiderhub.transport.frame_connection import Connection
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection
 from eiderhub.transport.group import GroupDriver, NotPrimary
 
 
@@ -76,15 +76,19 @@
         replica.bootstrap([own, "b@127.0.0.1:2", "c@127.0.0.1:3"])
         driver = GroupDriver(replica, node_record(own, "z0"), lambda: None)
         old_connection, new_connection = UnresponsiveConnection(), UnresponsiveConnection()
-        driver.greeted(cast(Connection, old_connection), node_record("0old@127.0.0.1:9", "z9"), OWN_SUPPORT)
-        driver.greeted(cast(Connection, new_connection), node_record("new@127.0.0.1:9", "z9"), OWN_SUPPORT)
+        driver.add_replica(
+            cast(Connection, old_connection), node_record("0old@127.0.0.1:9", "z9"), OWN_SUPPORT
+        )
+        driver.add_replica(
+            cast(Connection, new_connection), node_record("new@127.0.0.1:9", "z9"), OWN_SUPPORT
+        )
         replica.role = Role.PRIMARY
         driver.update_members()
-        assert replica.candidates == ["new@127.0.0.1:9"]
+        assert replica.join_candidates == ["new@127.0.0.1:9"]
         assert [type(m) for m in new_connection.sent] == [Hello]
-        driver.lost("0old@127.0.0.1:9", cast(Connection, old_connection))
+        driver.remove_replica("0old@127.0.0.1:9", cast(Connection, old_connection))
         driver.update_members()
-        assert replica.candidates == ["new@127.0.0.1:9"]
+        assert replica.join_candidates == ["new@127.0.0.1:9"]
         driver.stop()
 
     asyncio.run(test())
--- a/tests/test_items.py
+++ b/tests/test_items.py
@@ -17,13 +17,13 @@
 from eiderhub.batch.messages import ItemKey, RunItem
 from eiderhub.batch.workers import MIN_WINDOW, WorkerHealth
 from eiderhub.control.errors import ErrorKind, Refusal
-from eiderhub.control.freshness import FRESH_S
+from eiderhub.control.freshness import MAX_TABLE_AGE_S
 from eiderhub.coordination.messages import Write
 from eiderhub.dataplane.admission import Attempt, Call
 from eiderhub.dataplane.events import Event
 from eiderhub.dataplane.items import ItemRunner, RunningItem
 from eiderhub.dataplane.routes import RouteTable
-from eiderhub.programs.storage_service import SPACE_SHARE
+from eiderhub.programs.storage_service import MAX_STORE_FRACTION
 from tests.items_support import (
     ROUTE,
     TIMEOUT_S,
@@ -31,8 +31,8 @@
     ManualAdmission,
     Sidecar,
     running_harness,
-    until,
     wait_for_results,
+    wait_until,
 )
 from tests.tier_support import document
 
@@ -59,7 +59,7 @@
 
 
 async def wait_for_item(sidecar: Sidecar, item: str) -> None:
-    await until(lambda: item in sidecar.admission.calls, f"{item} at a sidecar")
+    await wait_until(lambda: item in sidecar.admission.calls, f"{item} at a sidecar")
 
 
 def test_item_returned_while_a_session_opens_is_run_again(tmp_path: Path) -> None:
@@ -69,15 +69,15 @@
         async with running_harness(tmp_path) as harness:
             sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
-            await until(lambda: "a" in sidecar.admission.calls, "the item is at the sidecar")
+            await wait_until(lambda: "a" in sidecar.admission.calls, "the item is at the sidecar")
             sidecar.proxy.forwarding.clear()
             before = sidecar.proxy.session_count
             sidecar.proxy.disconnect()
-            await until(lambda: sidecar.proxy.session_count > before, "another session opens")
-            await until(lambda: harness.storage.service._connections, "the primary has accepted it")
+            await wait_until(lambda: sidecar.proxy.session_count > before, "another session opens")
+            await wait_until(lambda: harness.storage.service._connections, "the primary has accepted it")
             sidecar.admission.fail_item("a")
             sidecar.proxy.forwarding.set()
-            await until(lambda: "a" in sidecar.admission.calls, "the item is assigned again")
+            await wait_until(lambda: "a" in sidecar.admission.calls, "the item is assigned again")
             sidecar.admission.finish_item("a")
             await wait_for_results(sidecar, "job", "a")
 
@@ -94,7 +94,7 @@
             sidecar, other = await harness.add_sidecar("edge-0"), await harness.add_sidecar("edge-1")
             lease = LapsingLease(harness, monkeypatch)
             assert await sidecar.submit("job", "a", "b") == 202
-            await until(lambda: len(sidecar.admission.calls | other.admission.calls) == 2, "both run")
+            await wait_until(lambda: len(sidecar.admission.calls | other.admission.calls) == 2, "both run")
             sidecar.runner.stop()
             sidecar.proxy.close()
             loop = asyncio.get_running_loop()
@@ -155,7 +155,7 @@
         async with running_harness(tmp_path) as harness:
             sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
-            await until(lambda: len(sidecar.admission.ordered) > 1, "the item is assigned again")
+            await wait_until(lambda: len(sidecar.admission.ordered) > 1, "the item is assigned again")
             sidecar.admission.finish_item("a")
             await wait_for_results(sidecar, "job", "a")
 
@@ -180,25 +180,25 @@
                 await gates[number].wait()
                 return Refusal(ErrorKind.NO_ROOM, "the cap has run out") if number == 0 else None
 
-            monkeypatch.setattr(service._calls, "_pay", pay)
+            monkeypatch.setattr(service._batch_calls, "_pay", pay)
             first = asyncio.create_task(sidecar.submit("job", "a"))
-            await until(lambda: len(paying) == 1, "the first call is being paid for")
+            await wait_until(lambda: len(paying) == 1, "the first call is being paid for")
             epoch = service.group.replica.epoch
             service.group._resign()
-            await until(lambda: service.group.leads() and service._epoch > epoch, "another epoch")
-            await until(other.runner._up.is_set, "a session")
+            await wait_until(lambda: service.group.leads() and service._epoch > epoch, "another epoch")
+            await wait_until(other.runner._session_ready.is_set, "a session")
             second = asyncio.create_task(other.submit("job", "a"))
-            await until(lambda: len(paying) == 2, "the second call is being paid for")
+            await wait_until(lambda: len(paying) == 2, "the second call is being paid for")
             gates[0].set()
             assert await first in (503, 504)
             third = asyncio.create_task(other.submit("job", "a"))
             await asyncio.sleep(0)
-            await until(lambda: service._jobs.jobs.get("job"), "the job stays in the table")
+            await wait_until(lambda: service._jobs.jobs.get("job"), "the job stays in the table")
             assert not third.done()
             gates[1].set()
             assert await second == 202
             assert await third == 202
-            await until(lambda: "a" in sidecar.admission.calls | other.admission.calls, "its item runs")
+            await wait_until(lambda: "a" in sidecar.admission.calls | other.admission.calls, "its item runs")
 
     asyncio.run(test())
 
@@ -211,12 +211,12 @@
             stuck, other = await harness.add_sidecar("edge-0"), await harness.add_sidecar("edge-1")
             stuck.admission.endpoints_answer = False
             assert await stuck.submit("job", "a", "b") == 202
-            await until(lambda: len(stuck.admission.calls | other.admission.calls) == 2, "both run")
+            await wait_until(lambda: len(stuck.admission.calls | other.admission.calls) == 2, "both run")
             held = list(stuck.admission.calls)
             assert held, "the stuck sidecar has an item"
             other.admission.start_item(*other.admission.calls)
             await wait_for_item(other, held[0])
-            worker = harness.storage.service._dispatch.scheduler.workers["edge-0"]
+            worker = harness.storage.service._dispatcher.scheduler.workers["edge-0"]
             assert worker.free_slots(0.0, 0, ignore_stuck_pause=True) <= MIN_WINDOW
             assert worker.health is WorkerHealth.STUCK
             for item in "ab":
@@ -234,7 +234,7 @@
             sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
             await wait_for_item(sidecar, "a")
-            sidecar.admission.calls["a"].errors = harness.storage.service._jobs.jobs[
+            sidecar.admission.calls["a"].server_errors = harness.storage.service._jobs.jobs[
                 "job"
             ].record.max_attempts
             sidecar.admission.fail_item("a")
@@ -262,7 +262,7 @@
                 held_up.set()
                 await asyncio.Event().wait()
 
-            sidecar.admission.calls["a"].errors = harness.storage.service._jobs.jobs[
+            sidecar.admission.calls["a"].server_errors = harness.storage.service._jobs.jobs[
                 "job"
             ].record.max_attempts
             monkeypatch.setattr(service.group, "commit", commit)
@@ -285,7 +285,7 @@
         async with running_harness(tmp_path) as harness:
             sidecar = await harness.add_sidecar("edge-0")
             store = harness.storage.store
-            store.limit_bytes = int((store.used_bytes + 4.5 * INITIAL_RESULT_BYTES) / SPACE_SHARE)
+            store.limit_bytes = int((store.used_bytes + 4.5 * INITIAL_RESULT_BYTES) / MAX_STORE_FRACTION)
             assert await sidecar.submit("job", "a", "b", "c", "d") == 202
             assert await sidecar.submit("next", "e") == 429
             assert await sidecar.submit("job", "a", "b", "c", "d") == 202
@@ -308,9 +308,9 @@
         async with running_harness(tmp_path) as harness:
             service = harness.storage.service
             monkeypatch.setattr(service._session, "fresh", lambda: True)
-            service._led_since = service._now()
+            service._leading_since = service._now()
             assert service._known_routes() is None
-            service._led_since -= FRESH_S + 0.001
+            service._leading_since -= MAX_TABLE_AGE_S + 0.001
             assert service._known_routes() == {"live", "lots"}
 
     asyncio.run(test())
@@ -337,10 +337,10 @@
 ) -> None:
     item = running_item(slo_ms, tries)
     assert item.call is not None
-    item.call.current = mock.Mock(spec=Attempt)
-    assert [item.looked_at(still=True) for _ in range(checks + 1)] == [False] * checks + [True]
-    assert not item.looked_at(still=False)
-    assert not item.looked_at(still=True)
+    item.call.current_attempt = mock.Mock(spec=Attempt)
+    assert [item.check_stalled(no_data=True) for _ in range(checks + 1)] == [False] * checks + [True]
+    assert not item.check_stalled(no_data=False)
+    assert not item.check_stalled(no_data=True)
 
 
 @pytest.mark.parametrize(
@@ -352,13 +352,13 @@
 ) -> None:
     """Regardless of other calls at the sidecar and of earlier returns of the item."""
     item = running_item(slo_ms, tries)
-    assert [item.looked_at(still) for _ in range(checks + 1)] == [False] * checks + [True]
+    assert [item.check_stalled(still) for _ in range(checks + 1)] == [False] * checks + [True]
 
 
 def test_started_item_is_not_returned_because_of_other_calls() -> None:
     item = running_item(100)
     item.event(Event(b"", 0, "text"))
-    assert not any(item.looked_at(still=True) for _ in range(20))
+    assert not any(item.check_stalled(no_data=True) for _ in range(20))
 
 
 @pytest.mark.parametrize("sent", [False, True])
@@ -374,8 +374,8 @@
             await wait_for_item(sidecar, "a")
             call = previous.calls["a"]
             sidecar.admission = ManualAdmission()
-            sidecar.runner.routes_changed(2)
-            assert call.final == sent
+            sidecar.runner.on_routes_changed(2)
+            assert call.no_further_attempts == sent
             if sent:
                 assert list(previous.calls) == ["a"]
                 previous.fail_item("a")  # its attempt has failed: no other follows there
@@ -396,14 +396,14 @@
             sidecar = await harness.add_sidecar("edge-0")
             assert await sidecar.submit("job", "a") == 202
             await wait_for_item(sidecar, "a")
-            assert sidecar.admission.calls["a"].ran == 0
+            assert sidecar.admission.calls["a"].possible_runs == 0
             failed_attempts = harness.storage.service._jobs.jobs["job"].record.max_attempts - 1
             assert failed_attempts > 0
-            sidecar.admission.calls["a"].errors = failed_attempts
+            sidecar.admission.calls["a"].server_errors = failed_attempts
             sidecar.admission.fail_item("a")
             await wait_for_item(sidecar, "a")
-            assert sidecar.admission.calls["a"].ran == failed_attempts
-            await until(lambda: harness.storage.store.get("errors/job"), "the count is stored")
+            assert sidecar.admission.calls["a"].possible_runs == failed_attempts
+            await wait_until(lambda: harness.storage.store.get("errors/job"), "the count is stored")
             sidecar.admission.finish_item("a")
             await wait_for_results(sidecar, "job", "a")
             assert harness.storage.store.get("errors/job") is None
--- a/tests/test_items_model.py
+++ b/tests/test_items_model.py
@@ -13,7 +13,7 @@
 import pytest
 
 from eiderhub.batch.dispatch import Dispatcher
-from eiderhub.batch.ledger import ItemLedger
+from eiderhub.batch.item_tracker import ItemTracker
 from eiderhub.batch.messages import ItemFinished, ItemReturned, WorkerReport
 from eiderhub.batch.scheduler import AssignmentRound, Scheduler
 from eiderhub.batch.workers import Worker
@@ -67,7 +67,7 @@
 
 
 def _ended_dropping_unsent_outcomes(
-    self: ItemLedger, now: float, outcome: ItemFinished | ItemReturned
+    self: ItemTracker, now: float, outcome: ItemFinished | ItemReturned
 ) -> list[Any]:
     held = self._held.get(outcome.key)
     if held is None:
@@ -98,7 +98,7 @@
                 self._requeue(item)
 
 
-def _tick_without_resending(self: ItemLedger, now: float) -> list[Any]:
+def _tick_without_resending(self: ItemTracker, now: float) -> list[Any]:
     return [self._report(now)] if self.accepted and now >= self._next_report_at else []
 
 
@@ -135,7 +135,7 @@
     Fault(
         "an outcome is dropped while a session opens, and reports are not reconciled",
         (
-            (ItemLedger, "ended", _ended_dropping_unsent_outcomes),
+            (ItemTracker, "ended", _ended_dropping_unsent_outcomes),
             (Dispatcher, "report", _report_without_reconciling),
         ),
     ),
@@ -145,8 +145,8 @@
         "items of disconnected sidecars are not reclaimed", ((Dispatcher, "tick", _tick_without_reclaiming),)
     ),
     Fault("a primary keeps timed-out sessions", ((Dispatcher, "silent", lambda self, now: []),)),
-    Fault("a sidecar keeps a timed-out session", ((ItemLedger, "is_silent", lambda self, now: False),)),
-    Fault("a result is sent only once per session", ((ItemLedger, "tick", _tick_without_resending),)),
+    Fault("a sidecar keeps a timed-out session", ((ItemTracker, "is_silent", lambda self, now: False),)),
+    Fault("a result is sent only once per session", ((ItemTracker, "tick", _tick_without_resending),)),
     Fault("the table of an earlier epoch is kept", ((Dispatcher, "begin", _begin_without_loading),)),
     Fault(
         "items of an ended job continue, and reports are not reconciled",
--- a/tests/test_jobs.py
+++ b/tests/test_jobs.py
@@ -7,13 +7,13 @@
 import msgspec
 import pytest
 
-from eiderhub.batch.jobs import BatchTerms, ItemState, JobTable, ResultPage
+from eiderhub.batch.jobs import BatchLimits, ItemState, JobTable, ResultPage
 from eiderhub.batch.messages import ItemKey, Progress
 from eiderhub.control.errors import ErrorKind, Refusal
 from eiderhub.coordination.messages import Position, Update, Write
 from eiderhub.storage.store import MemoryStore
 
-LIMITS = BatchTerms("r", 10.0, 40.0, 3, 100.0)
+LIMITS = BatchLimits("r", 10.0, 40.0, 3, 100.0)
 SUBMITTED_AT = 1_000.0
 
 
@@ -39,11 +39,11 @@
 
     def submit(self, job: str, *items: str, tokens: float = 10.0) -> None:
         self.commit(self.table.submit(SUBMITTED_AT, job, LIMITS, body_of(*items, tokens=tokens)))
-        self.table.accepted(job)
+        self.table.mark_committed(job)
 
     def finish(self, job: str, item: str, text: str = "t", succeeded: bool = True) -> None:
         self.commit(self.table.finish(ItemKey(job, item), succeeded, text))
-        self.table.listed(ItemKey(job, item))
+        self.table.mark_result_committed(ItemKey(job, item))
 
     def page(self, job: str, start: int = 0) -> ResultPage:
         page = self.table.page(job, start)
@@ -82,7 +82,7 @@
     writes = primary.table.finish(ItemKey("j", "a"), True, "t")
     assert primary.page("j").results == []
     primary.commit(writes)
-    assert primary.table.listed(ItemKey("j", "a"))
+    assert primary.table.mark_result_committed(ItemKey("j", "a"))
     assert len(primary.page("j").results) == 1
 
 
@@ -112,7 +112,7 @@
     primary.table.submit(SUBMITTED_AT, "j", LIMITS, body_of("a"))
     refused = primary.table.page("j", 0)
     assert isinstance(refused, Refusal)
-    primary.table.forget("j")
+    primary.table.discard("j")
     assert primary.table.queued_tokens("r") == 0.0
     assert primary.table.open_jobs() == []
 
@@ -183,7 +183,7 @@
     primary.submit("j", "a")
     item = next(primary.table.open_jobs()[0].waiting())
     item.errors = errors
-    assert (primary.table.hopeless(wall_time, routes) == [item]) is expected
+    assert (primary.table.undeliverable_items(wall_time, routes) == [item]) is expected
     assert item.state is ItemState.WAITING
 
 
@@ -216,13 +216,13 @@
     item = primary.table.jobs["j"].items["a"]
     primary.table.start(SUBMITTED_AT, item, "n1")
     primary.table.item_returned("n1", item.key, 2, None)
-    primary.commit(primary.table.errors("j"))
+    primary.commit(primary.table.error_writes("j"))
     successor = primary.next_primary_table()
     same_item = successor.jobs["j"].items["a"]
     assert (same_item.errors, successor.jobs["j"].items["b"].errors) == (2, 0)
     assert successor.start(SUBMITTED_AT, same_item, "n2").errors == 2
     successor.item_returned("n2", same_item.key, 1, None)
-    assert same_item in successor.hopeless(SUBMITTED_AT, None)
+    assert same_item in successor.undeliverable_items(SUBMITTED_AT, None)
 
 
 @pytest.mark.parametrize("end", ["last result", "ended", "purged"])
@@ -231,16 +231,16 @@
     item = primary.table.jobs["j"].items["a"]
     primary.table.start(SUBMITTED_AT, item, "n1")
     primary.table.item_returned("n1", item.key, 1, None)
-    primary.commit(primary.table.errors("j"))
+    primary.commit(primary.table.error_writes("j"))
     assert primary.store.get("errors/j") is not None
     if end == "last result":
         primary.finish("j", "a")
     else:
         primary.commit(primary.table.end("j"))
     if end == "purged":
-        primary.commit(primary.table.purge(SUBMITTED_AT + 1e6, 0.0))
+        primary.commit(primary.table.purge_expired(SUBMITTED_AT + 1e6, 0.0))
     assert primary.store.get("errors/j") is None
-    assert primary.table.errors("j") == []
+    assert primary.table.error_writes("j") == []
 
 
 def test_returned_item_is_assigned_after_the_others_of_its_job(primary: Primary) -> None:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from eiderhub.control.load import KEPT_S, MOST_TOLD, SUMMED_S, LoadTable
+from eiderhub.control.load import MAX_ENDPOINTS_PER_UPDATE, REPORT_TTL_S, TOTALS_TTL_S, LoadTable
 from eiderhub.dataplane.activity import (
     CONGESTION_LOAD,
     CONGESTION_UTILIZATION,
@@ -14,69 +14,69 @@
     EndpointActivity,
 )
 from eiderhub.dataplane.admission import MIN_LOCAL_ENDPOINTS, PEER_CALLS_TTL_US
-from tests.engine_support import AdmissionHarness, EndpointRequest, ScriptedEndpoint, make_route
+from tests.endpoint_support import AdmissionHarness, EndpointRequest, ScriptedEndpoint, make_route
 
 
 def test_each_session_gets_the_calls_in_flight_of_all_others() -> None:
     table = LoadTable()
     table.report(0.0, "s1", {"a": 2, "b": 1})
     table.report(0.1, "s2", {"a": 1})
-    assert table.own(0.2) == {"a": 3, "b": 1}
-    assert table.others(0.2, "s1") == {"a": 1}
-    assert table.others(0.2, "s2") == {"a": 2, "b": 1}
-    assert table.others(0.2, "new") == {"a": 3, "b": 1}
+    assert table.local(0.2) == {"a": 3, "b": 1}
+    assert table.total_excluding(0.2, "s1") == {"a": 1}
+    assert table.total_excluding(0.2, "s2") == {"a": 2, "b": 1}
+    assert table.total_excluding(0.2, "new") == {"a": 3, "b": 1}
 
 
 def test_report_replaces_the_previous_one() -> None:
     table = LoadTable()
     table.report(0.0, "s1", {"a": 2})
     table.report(0.2, "s1", {"b": 1})
-    assert table.own(0.2) == {"b": 1}
-    table.forget("s1")
-    table.forget("s1")
-    assert table.own(0.2) == {}
+    assert table.local(0.2) == {"b": 1}
+    table.remove("s1")
+    table.remove("s1")
+    assert table.local(0.2) == {}
 
 
 def test_old_report_of_a_session_does_not_count() -> None:
     table = LoadTable()
     table.report(0.0, "s1", {"a": 2})
     table.report(0.5, "s2", {"a": 1})
-    assert table.others(KEPT_S + 0.1, "new") == {"a": 1}
+    assert table.total_excluding(REPORT_TTL_S + 0.1, "new") == {"a": 1}
 
 
 def test_calls_of_other_nodes_are_added_while_the_report_is_fresh() -> None:
     table = LoadTable()
     table.report(0.0, "s1", {"a": 1})
-    table.heard_elsewhere(0.0, {"a": 4, "c": 2})
-    assert table.others(0.1, "s1") == {"a": 4, "c": 2}
-    assert table.own(0.1) == {"a": 1}
-    assert table.others(KEPT_S + 0.1, "s1") == {}
+    table.report_remote(0.0, {"a": 4, "c": 2})
+    assert table.total_excluding(0.1, "s1") == {"a": 4, "c": 2}
+    assert table.local(0.1) == {"a": 1}
+    assert table.total_excluding(REPORT_TTL_S + 0.1, "s1") == {}
 
 
 def test_counts_that_are_not_positive_are_ignored() -> None:
     table = LoadTable()
     table.report(0.0, "s1", {"a": -5, "b": 0, "c": 1})
-    assert table.others(0.1, "s2") == {"c": 1}
+    assert table.total_excluding(0.1, "s2") == {"c": 1}
 
 
 def test_size_limited_update_lists_endpoints_of_the_own_zone_first() -> None:
-    calls = {f"e{number}": 1 for number in range(3 * MOST_TOLD)}
+    calls = {f"e{number}": 1 for number in range(3 * MAX_ENDPOINTS_PER_UPDATE)}
     zones = {endpoint: "near" if int(endpoint[1:]) % 3 == 0 else "far" for endpoint in calls}
     table = LoadTable()
     table.report(0.0, "s1", calls)
-    listed = table.nearest(0.0, "s2", "near", zones.__getitem__)
-    assert len(listed) == MOST_TOLD
+    listed = table.zone_total_excluding(0.0, "s2", "near", zones.__getitem__)
+    assert len(listed) == MAX_ENDPOINTS_PER_UPDATE
     assert all(zones[endpoint] == "near" for endpoint in listed)
-    assert table.nearest(0.0, "s1", "near", zones.__getitem__) == {}
+    assert table.zone_total_excluding(0.0, "s1", "near", zones.__getitem__) == {}
 
 
 def test_sum_over_all_sessions_is_cached_for_a_limited_time() -> None:
     table = LoadTable()
     table.report(0.0, "s1", {"a": 1})
-    assert table.nearest(0.0, "s2", "z", str) == {"a": 1}
+    assert table.zone_total_excluding(0.0, "s2", "z", str) == {"a": 1}
     table.report(0.01, "s1", {"a": 3})
-    assert table.nearest(0.02, "s2", "z", str) == {"a": 1}
-    assert table.nearest(SUMMED_S + 0.01, "s2", "z", str) == {"a": 3}
+    assert table.zone_total_excluding(0.02, "s2", "z", str) == {"a": 1}
+    assert table.zone_total_excluding(TOTALS_TTL_S + 0.01, "s2", "z", str) == {"a": 3}
 
 
 def test_calls_avoid_endpoints_busy_with_peers_calls_until_the_report_expires() -> None:
@@ -84,7 +84,7 @@
         busy, idle = ScriptedEndpoint("i-0"), ScriptedEndpoint("i-1")
         harness = AdmissionHarness(busy, idle)
         await harness.start(make_route("idempotent"))
-        harness.admission.follow_others({"i-0": 8})
+        harness.admission.update_peer_calls({"i-0": 8})
         for number in range(20):
             await harness.request(f"fresh{number}")
         assert len(busy.requests) <= 2  # where the balancer picks the same endpoint as both candidates
@@ -105,9 +105,9 @@
         harness = AdmissionHarness(ScriptedEndpoint("i-0"))
         await harness.start(make_route("idempotent"))
         sink = harness.send("a")
-        assert harness.admission.calls_out() == {"i-0": 1}
+        assert harness.admission.calls_in_flight() == {"i-0": 1}
         await sink.ended.wait()
-        assert harness.admission.calls_out() == {}
+        assert harness.admission.calls_in_flight() == {}
         harness.stop()
 
     asyncio.run(test())
@@ -128,7 +128,7 @@
     async def test() -> None:
         harness = _two_zone_harness()
         await harness.start(make_route("idempotent"))
-        harness.admission.follow_others(
+        harness.admission.update_peer_calls(
             dict.fromkeys([e.identity for e in harness.endpoints if e.zone == "z"], 2)
         )
         for number in range(20):
@@ -143,7 +143,7 @@
     async def test() -> None:
         harness = _two_zone_harness()
         await harness.start(make_route("idempotent"))
-        harness.admission.follow_others(
+        harness.admission.update_peer_calls(
             dict.fromkeys([e.identity for e in harness.endpoints if e.zone == "z"], 7)
         )
         for number in range(20):
@@ -158,7 +158,7 @@
     async def test() -> None:
         harness = _two_zone_harness()
         await harness.start(make_route("idempotent"))
-        harness.admission.follow_others(dict.fromkeys([e.identity for e in harness.endpoints], 7))
+        harness.admission.update_peer_calls(dict.fromkeys([e.identity for e in harness.endpoints], 7))
         for number in range(20):
             await harness.request(f"r{number}")
         assert _remote_request_count(harness) == 0
@@ -181,12 +181,12 @@
         forging, honest = ScriptedEndpoint("i-0", report_load), ScriptedEndpoint("i-1")
         harness = AdmissionHarness(forging, honest)
         await harness.start(make_route("idempotent"))
-        harness.admission.follow_others({"i-0": 8})
+        harness.admission.update_peer_calls({"i-0": 8})
         for number in range(20):
             sink = await harness.request(f"r{number}")
             assert sink.status == 200
         assert len(forging.requests) <= 2
-        harness.admission.follow_others({})
+        harness.admission.update_peer_calls({})
         await harness.request("last")
         balancer = harness.admission._balancer
         assert balancer is not None
--- a/tests/test_members_under_writes.py
+++ b/tests/test_members_under_writes.py
@@ -16,7 +16,7 @@
 
 
 def _requires_all_writes_committed(self: Replica, now: float) -> bool:
-    return self.settled(now)
+    return self.all_committed(now)
 
 
 def _requires_newest_committed_write(self: Replica, identity: str) -> bool:
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from eiderhub.coordination import catch_up, replication, tail
+from eiderhub.coordination import catch_up, recent_changes, replication
 from tests.model.history import Broken
 from tests.model.schedules import SCHEDULES, play
 
@@ -26,7 +26,7 @@
 def set_small_sizes() -> None:
     setattr(replication, "CHUNK_BYTES", SMALL_CHUNK_BYTES)  # noqa: B010
     catch_up.HISTORY_UPDATES = SHORT_HISTORY
-    tail.KEPT_UPDATES = SHORT_TAIL
+    recent_changes.RETAINED_ENTRIES = SHORT_TAIL
 
 
 def play_block(first: int) -> list[str]:
--- a/tests/test_nearer_session.py
+++ b/tests/test_nearer_session.py
@@ -19,8 +19,8 @@
 )
 from eiderhub.transport import control_session
 from eiderhub.transport.control_session import ControlSession, control_candidates
+from eiderhub.transport.frame_connection import Connection
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection
 
 TIMEOUT_S = 10.0
 
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -70,7 +70,7 @@
         for delay_us, mark in timers:
             balancer.wake(now + delay_us, mark)
     balancer.discovery(now, ListForm.FAILED, [])
-    balancer.recall(now, balancer.learned(now))
+    balancer.restore(now, balancer.learned_state(now))
 
 
 MISSING = object()
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -12,8 +12,8 @@
 
 from eiderhub.batch import workers
 from eiderhub.batch.dispatch import Dispatcher
+from eiderhub.batch.job_order import JobOrder
 from eiderhub.batch.scheduler import AssignmentRound, Scheduler
-from eiderhub.batch.turns import JobOrder
 from eiderhub.batch.workers import Worker, WorkerHealth
 from tests.model.placement import PlacementWorld
 from tests.model.placement_plan import FOR_GOOD, NEW_ROUTE, Failing, Lot, Plan, SidecarPlan, Span, draw
@@ -110,10 +110,12 @@
     late = Lot("late", 40, 3.0, window_s=0.1)
     world = PlacementWorld(fleet(12, lots=(late, *stream), places=10_000))
     world.timeline.run_until(6.0)
-    assert world.table.jobs["late"].positions > 0
+    assert world.table.jobs["late"].assigned_positions > 0
     world.timeline.run_until(12.0)
-    assert sum(len(job.items) - job.positions for job in world.table.open_jobs()) > 500  # others wait
-    assert world.table.jobs["late"].positions > 3
+    assert (
+        sum(len(job.items) - job.assigned_positions for job in world.table.open_jobs()) > 500
+    )  # others wait
+    assert world.table.jobs["late"].assigned_positions > 3
 
 
 def test_late_job_is_not_served_without_priority_for_idle_jobs(
@@ -133,7 +135,9 @@
     world.timeline.run_until(4.0)
 
     def result_count(prefix: str) -> int:
-        return sum(job.positions for name, job in world.table.jobs.items() if name.startswith(prefix))
+        return sum(
+            job.assigned_positions for name, job in world.table.jobs.items() if name.startswith(prefix)
+        )
 
     before = result_count("late")
     world.timeline.run_until(14.0)
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from eiderhub.batch.jobs import BatchTerms, JobTable
+from eiderhub.batch.jobs import BatchLimits, JobTable
 from eiderhub.batch.messages import ItemKey, Reach, ReturnReason
-from eiderhub.batch.progress import IDLE_JOB_S, ProgressWatch
+from eiderhub.batch.progress import IDLE_JOB_S, ProgressMonitor
 from eiderhub.batch.scheduler import Scheduler
 from eiderhub.storage.store import MemoryStore
 
 SUBMITTED_AT = 1_000.0
-LIMITS = BatchTerms("lots", 8.0, 40.0, 3, 0.0)
+LIMITS = BatchLimits("lots", 8.0, 40.0, 3, 0.0)
 
 
 def job_table(*jobs: str) -> JobTable:
@@ -21,15 +21,15 @@
     for job in jobs:
         item = {"id": f"{job}i", "path": "/", "tokens": 1, "body": base64.b64encode(b"b").decode()}
         result.submit(SUBMITTED_AT, job, LIMITS, msgspec.json.encode({"requests": [item]}))
-        result.accepted(job)
+        result.mark_committed(job)
     return result
 
 
 def test_job_is_reported_after_a_time_without_progress() -> None:
-    table, monitor = job_table("a", "b"), ProgressWatch()
-    monitor.look(0.0, SUBMITTED_AT, table)
+    table, monitor = job_table("a", "b"), ProgressMonitor()
+    monitor.refresh(0.0, SUBMITTED_AT, table)
     table.jobs["b"].starts += 1
-    monitor.look(1.0, SUBMITTED_AT + LIMITS.window_s + 1.0, table)
+    monitor.refresh(1.0, SUBMITTED_AT + LIMITS.window_s + 1.0, table)
     assert monitor.idle_jobs(IDLE_JOB_S - 0.1) == []
     idle = monitor.idle_jobs(IDLE_JOB_S)
     assert [(idle_job.job, idle_job.late) for idle_job in idle] == [("a", True)]
@@ -38,15 +38,15 @@
         "jobs without progress: 1, 1 of them late; longest a for 2.0 s; 2 items waiting"
         in monitor.summary(2.0)
     )
-    assert 'job_idle_s{job="a",late="1"} 2.0' in monitor.lines(2.0)
-    assert "jobs_idle 1" in monitor.lines(2.0)
+    assert 'job_idle_s{job="a",late="1"} 2.0' in monitor.metric_lines(2.0)
+    assert "jobs_idle 1" in monitor.metric_lines(2.0)
 
 
 def test_ended_job_is_not_reported() -> None:
-    table, monitor = job_table("a"), ProgressWatch()
-    monitor.look(0.0, SUBMITTED_AT, table)
+    table, monitor = job_table("a"), ProgressMonitor()
+    monitor.refresh(0.0, SUBMITTED_AT, table)
     table.end("a")
-    monitor.look(9.0, SUBMITTED_AT, table)
+    monitor.refresh(9.0, SUBMITTED_AT, table)
     assert monitor.summary(9.0) == ""
 
 
@@ -56,7 +56,7 @@
         scheduler.add_worker(0.0, node, "z", Reach.UNKNOWN)
     scheduler.item_returned(1.0, "a", ItemKey("j", "i"), "lots", ReturnReason.STUCK)
     scheduler.item_returned(1.0, "b", ItemKey("j", "k"), "lots", ReturnReason.REFUSED)
-    text = str(scheduler.placement(1.0))
+    text = str(scheduler.status(1.0))
     assert text == "3 sidecars, 2 paused, 1 full, 1 stuck; returned: stuck 1, refused 1"
     scheduler.reset()
-    assert str(scheduler.placement(9.0)).endswith("returned: none")
+    assert str(scheduler.status(9.0)).endswith("returned: none")
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -9,7 +9,7 @@
 import pytest
 
 from eiderhub.coordination.messages import Position, Staged, Update, Write
-from eiderhub.coordination.repair import copy_bytes_per_s, judge, repair_time, timing_for
+from eiderhub.coordination.repair import check_catch_up_bound, copy_bytes_per_s, repair_time, timing_for
 from eiderhub.coordination.timing import Timing
 from eiderhub.storage.store import LmdbStore
 from tests.model.schedules import LEADS_WITHIN_S, serve
@@ -30,11 +30,11 @@
 
 
 def test_log_line_gives_the_largest_state_that_is_repaired_in_time() -> None:
-    kept, line = judge(4.7, timing_for(4.7), LINK_MBPS, 10_000_000)
+    kept, line = check_catch_up_bound(4.7, timing_for(4.7), LINK_MBPS, 10_000_000)
     assert kept and line == "repairs keep bounds.catch_up_s 4.7 up to a state of 270 MB"
-    kept, line = judge(4.7, timing_for(4.7), LINK_MBPS, 300_000_000)
+    kept, line = check_catch_up_bound(4.7, timing_for(4.7), LINK_MBPS, 300_000_000)
     assert not kept and "not kept: a repair takes 5.1 s with a state of 300 MB" in line
-    kept, line = judge(1.0, timing_for(1.0), LINK_MBPS, 0)
+    kept, line = check_catch_up_bound(1.0, timing_for(1.0), LINK_MBPS, 0)
     assert not kept and line == "bounds.catch_up_s 1 is not kept: a repair takes 1.2 s at least"
     assert len(line.splitlines()) == 1
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,9 +39,9 @@
     host = Host(entries=endpoints(4))
     held = fill_until_held(host)[-1]
     host.advance(3 * S - 20 * MS)
-    assert host.answers(held) == ["shed"]
+    assert host.final_answers(held) == ["shed"]
     host.advance(5 * S)
-    assert host.answers(held) == ["shed"]
+    assert host.final_answers(held) == ["shed"]
 
 
 def test_held_call_with_little_time_is_refused_early() -> None:
@@ -49,7 +49,7 @@
     fill_until_held(host)
     short = host.order(expires_in=200 * MS)
     host.advance(180 * MS)
-    assert host.answers(short) == ["shed"]
+    assert host.final_answers(short) == ["shed"]
 
 
 def test_held_call_is_sent_when_there_is_room() -> None:
@@ -57,7 +57,7 @@
     calls = fill_until_held(host)
     host.reply(calls[0], Outcome.OK)
     assert host.sends(calls[-1])
-    assert host.answers(calls[-1]) == []
+    assert host.final_answers(calls[-1]) == []
 
 
 def test_timeout_at_the_deadline_is_answered_at_once() -> None:
@@ -65,7 +65,7 @@
     call = host.order("pay", expires_in=2 * S)
     host.advance(2 * S)
     host.reply(call, Outcome.TIMEOUT, spent=2 * S)
-    assert host.answers(call) == ["surrender"]
+    assert host.final_answers(call) == ["surrender"]
 
 
 @pytest.mark.parametrize("state", ["none", "draining"])
@@ -76,7 +76,7 @@
         host.balancer.discovery(host.now, ListForm.DELTA, drained)
     calls = [host.order(grade) for grade in ("look", "hold", "pay")]
     host.advance(3 * S)
-    assert [host.answers(c) for c in calls] == [["shed"]] * 3
+    assert [host.final_answers(c) for c in calls] == [["shed"]] * 3
     assert host.sends() == []
 
 
@@ -89,7 +89,7 @@
     host.advance(5 * S)
     host.reply(calls[0], Outcome.TIMEOUT, closed=True)
     host.reply(calls[0], Outcome.TIMEOUT, closed=True)
-    assert host.answers(calls[0]) == host.answers(calls[-1]) == []
+    assert host.final_answers(calls[0]) == host.final_answers(calls[-1]) == []
     assert host.balancer.placements[0].pools[0].limit.in_flight == len(calls) - 2
 
 
@@ -110,7 +110,7 @@
     for grade, outcome in steps:
         call = host.order(grade)
         calls.append(call)
-        while host.sends(call) and call not in served and not host.answers(call):
+        while host.sends(call) and call not in served and not host.final_answers(call):
             host.advance(10 * MS)
             host.reply(call, outcome)
             if outcome is Outcome.OK:
@@ -121,7 +121,7 @@
         host.answer_all()
         served.update(late)
     for call in calls:
-        assert len(host.answers(call)) + (call in served) == 1
+        assert len(host.final_answers(call)) + (call in served) == 1
     assert host.balancer.calls == {}
 
 
@@ -166,7 +166,7 @@
     host = Host(entries=endpoints(8))
     call = host.order(grade)
     for _ in range(4):
-        if host.answers(call):
+        if host.final_answers(call):
             break
         host.advance(10 * MS)
         host.reply(call, outcome)
@@ -174,13 +174,13 @@
     ran = outcome not in NEVER_RAN
     if grade == "pay" and ran:
         assert len(used) == 1
-        assert host.answers(call) == ["surrender"]
+        assert host.final_answers(call) == ["surrender"]
     elif grade == "hold" and ran:
         cells = {host.balancer.endpoints[e].cell for e in used}
         assert len(cells) == 1
-        assert host.answers(call) == ["surrender"]
+        assert host.final_answers(call) == ["surrender"]
     else:
-        assert host.answers(call) == ["shed"]
+        assert host.final_answers(call) == ["shed"]
         assert len(used) > 1
 
 
@@ -190,13 +190,13 @@
     host.advance(2 * S + 1)
     host.reply(call, Outcome.ERROR)
     assert len(host.sent[call]) == 1
-    assert host.answers(call) == ["surrender"]
+    assert host.final_answers(call) == ["surrender"]
 
 
 def test_attempts_stay_within_the_site_limit() -> None:
     host = Host(settings(limits=Limits(max_attempts=2)), endpoints(8))
     call = host.order()
-    while not host.answers(call):
+    while not host.final_answers(call):
         host.reply(call, Outcome.CONNECT_FAILED)
     assert len(host.sent[call]) == 2
 
@@ -320,8 +320,8 @@
     def answer(outcome: Outcome) -> None:
         for call in sorted(host.balancer.calls):
             for attempt in sorted(host.balancer.calls[call].outstanding):
-                closed = call in served or bool(host.answers(call)) or outcome is Outcome.OK
-                served.update([call] if outcome is Outcome.OK and not host.answers(call) else [])
+                closed = call in served or bool(host.final_answers(call)) or outcome is Outcome.OK
+                served.update([call] if outcome is Outcome.OK and not host.final_answers(call) else [])
                 if call in host.balancer.calls:
                     host.reply(call, outcome, attempt=attempt, closed=closed)
 
@@ -345,7 +345,7 @@
         assert grade.stays_in is None or zone in grade.stays_in
         assert grade.served_on is None or kind in grade.served_on
     for call in grades:
-        assert len(host.answers(call)) + (call in served) == 1
+        assert len(host.final_answers(call)) + (call in served) == 1
 
 
 def test_constrained_class_uses_all_its_endpoints_over_all_instances() -> None:
@@ -366,5 +366,5 @@
     host = Host(settings(classes=(SAFE, BOUND)), endpoints(4))
     call = host.order("bound")
     host.advance(3 * S)
-    assert host.answers(call) == ["shed"]
+    assert host.final_answers(call) == ["shed"]
     assert host.sends(host.order("look"))
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -53,7 +53,7 @@
 ) -> Scheduler:
     """A scheduler whose nodes all make progress."""
     result = Scheduler(running_counts or RunningCounts())
-    result.follow(endpoints, capacity)
+    result.set_endpoints(endpoints, capacity)
     for number, node in enumerate(nodes):
         result.add_worker(0.0, node, "z", Reach.UNKNOWN)
         result.item_started(0.0, node, key(1000 + number))
@@ -274,7 +274,7 @@
 
 def test_progressing_sidecars_get_the_share_of_unreachable_ones_when_most_are_unreachable() -> None:
     scheduler = new_scheduler("a", "b", "c", "d")
-    scheduler.follow(endpoints=100, capacity=80)
+    scheduler.set_endpoints(endpoints=100, capacity=80)
     for node in ("b", "c", "d"):
         returned(scheduler, 10.0, node, ReturnReason.STUCK)
     scheduler.item_started(10.0, "a", key(0))
@@ -301,14 +301,14 @@
 
 def test_idle_sidecars_leave_no_share() -> None:
     scheduler = new_scheduler("a", "b", "c", "d")
-    scheduler.follow(endpoints=100, capacity=80)
+    scheduler.set_endpoints(endpoints=100, capacity=80)
     scheduler.item_started(10.0, "a", key(0))  # the others have been idle for ten seconds
     assert assigned_per_sidecar(scheduler, 10.0)["a"] == INITIAL_WINDOW
 
 
 def test_sidecars_filled_by_live_traffic_leave_no_share() -> None:
     scheduler = new_scheduler("a", "b", "c", "d")
-    scheduler.follow(endpoints=100, capacity=80)
+    scheduler.set_endpoints(endpoints=100, capacity=80)
     scheduler.item_started(10.0, "a", key(0))
     for node in ("b", "c", "d"):
         scheduler.endpoint_answered(10.0, node)
@@ -493,46 +493,46 @@
 
 def test_items_use_the_capacity_that_live_calls_leave() -> None:
     scheduler = fleet(capacity=100)
-    scheduler.follow_load(0.0, calls=50)
+    scheduler.update_load(0.0, calls=50)
     assert assign_round(scheduler, 0.0) == MAX_CAPACITY_SHARE * 100 - 50
 
 
 def test_running_items_do_not_count_as_live_calls() -> None:
     scheduler = fleet(capacity=100)
-    scheduler.follow_load(0.0, calls=40)
+    scheduler.update_load(0.0, calls=40)
     first = assign_round(scheduler, 0.0)
-    scheduler.follow_load(0.1, calls=40 + first)
+    scheduler.update_load(0.1, calls=40 + first)
     assert assign_round(scheduler, 0.1) == 0
     for number in range(first):
         scheduler.item_finished(0.2, "n0", key(number))
-    scheduler.follow_load(0.2, calls=40)
+    scheduler.update_load(0.2, calls=40)
     assert assign_round(scheduler, 0.2) == first
 
 
 def test_items_keep_a_minimum_share_under_heavy_live_load() -> None:
     scheduler = fleet(capacity=100)
-    scheduler.follow_load(0.0, calls=500)
+    scheduler.update_load(0.0, calls=500)
     assert assign_round(scheduler, 0.0) == MIN_ITEM_SHARE * 100
 
 
 def test_increase_of_live_calls_applies_at_once_and_decrease_gradually() -> None:
     scheduler = fleet(capacity=100)
-    scheduler.follow_load(0.0, calls=60)
-    scheduler.follow_load(0.1, calls=20)
+    scheduler.update_load(0.0, calls=60)
+    scheduler.update_load(0.1, calls=20)
     assert assign_round(scheduler, 0.1) == MAX_CAPACITY_SHARE * 100 - 50
 
 
 def test_expired_count_of_live_calls_does_not_limit_items() -> None:
     scheduler = fleet(capacity=100)
-    scheduler.follow_load(0.0, calls=500)
+    scheduler.update_load(0.0, calls=500)
     assert assign_round(scheduler, LOAD_VALID_S + 0.1) > 50
 
 
 def test_sidecars_are_tried_without_capacity_while_none_makes_progress() -> None:
     scheduler = Scheduler(RunningCounts())
-    scheduler.follow(10, 100)
+    scheduler.set_endpoints(10, 100)
     scheduler.add_worker(0.0, "a", "z", Reach.UNKNOWN)
-    scheduler.follow_load(0.0, calls=500)
+    scheduler.update_load(0.0, calls=500)
     # The minimum share is used up.
     scheduler._starting_since.update({key(number): 0.0 for number in range(10)})
     assert choose(scheduler, 0.0) is not None
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,7 +18,7 @@
         host.advance(10 * MS)
         host.reply(call, Outcome.OK)
     host.advance(3 * S)
-    assert host.answers(call) == ([] if count else ["shed"])
+    assert host.final_answers(call) == ([] if count else ["shed"])
 
 
 def test_tenant_not_met_before_is_served() -> None:
@@ -58,13 +58,13 @@
     waits = set()
     for seed in range(5):
         host = Host(settings(discovery=Discovery.ASK), endpoints(2), seed=seed)
-        assert host.did == [("watch", True)]
+        assert host.actions == [("watch", True)]
         host.balancer.discovery(host.now, ListForm.FAILED, [])
         host.balancer.discovery(host.now, ListForm.FAILED, [])
         first = host.timers[0][0] - host.now
         assert len(host.timers) == 1
         host.advance(2 * S)
-        assert host.did.count(("watch", True)) == 2
+        assert host.actions.count(("watch", True)) == 2
         host.balancer.discovery(host.now, ListForm.FAILED, [])
         waits.add(first)
         assert 250 * MS <= first <= 750 * MS
@@ -88,5 +88,5 @@
     host.advance(9 * S)
     host.reply(call, Outcome.RESET, closed=True)
     assert len(host.sends(call)) == 1
-    assert host.answers(call) == []
+    assert host.final_answers(call) == []
     assert host.balancer.calls == {}
--- a/tests/test_spending.py
+++ b/tests/test_spending.py
@@ -8,18 +8,18 @@
 
 import pytest
 
-from eiderhub.batch.jobs import BatchTerms, JobTable
+from eiderhub.batch.jobs import BatchLimits, JobTable
 from eiderhub.batch.messages import Submit
 from eiderhub.control.errors import ErrorKind
 from eiderhub.control.messages import LeaseAnswer, LeaseRequest
-from eiderhub.control.spending import MIN_LEASE_TOKENS, LeasePurse, SpendingLedger, Tenant, tenants_of
+from eiderhub.control.spending import MIN_LEASE_TOKENS, LeaseBalances, SpendingLedger, Tenant, capped_tenants
 from eiderhub.coordination.messages import Write
-from eiderhub.dataplane.frontend import ClientExchange, PaidSink
+from eiderhub.dataplane.frontend import ClientExchange, RefundingSink
 from eiderhub.dataplane.items import token_usage
 from eiderhub.programs.batch_calls import BatchCalls
 from eiderhub.storage.store import MemoryStore
-from eiderhub.transport.group import CommitUnknown, GroupDriver, NotPrimary
-from eiderhub.transport.spending import Charge, Spending
+from eiderhub.transport.group import CommitOutcomeUnknown, GroupDriver, NotPrimary
+from eiderhub.transport.spending import ChargeResult, SpendingClient
 
 CAP = 100_000
 
@@ -27,7 +27,7 @@
 def ledger(cap: int = CAP, stored: dict[str, bytes] | None = None) -> SpendingLedger:
     created = SpendingLedger()
     created.load(stored or {})
-    created.follow({"t": Tenant("t", cap, frozenset({"r"}))})
+    created.set_tenants({"t": Tenant("t", cap, frozenset({"r"}))})
     return created
 
 
@@ -35,7 +35,7 @@
     rng = random.Random(3)
     stored: dict[str, bytes] = {}
     current_ledger = ledger(stored=stored)
-    processes = [LeasePurse() for _ in range(20)]
+    processes = [LeaseBalances() for _ in range(20)]
     spent = 0
     while not current_ledger.exhausted():
         if rng.random() < 0.05:  # the next primary loads what was written
@@ -44,7 +44,7 @@
         if not balances.charge("t", need):
             leased = current_ledger.lease("t", need)
             stored |= {w.key: w.value for w in leased.writes if w.value is not None}
-            balances.add("t", leased.tokens)
+            balances.credit("t", leased.tokens)
             if not balances.charge("t", need):
                 continue
         spent += need
@@ -71,7 +71,7 @@
     current_ledger = ledger(cap=1_000)
     current_ledger.lease("t", 1_000)
     assert current_ledger.exhausted() == ["t"]
-    current_ledger.follow({"t": Tenant("t", 5_000, frozenset())})
+    current_ledger.set_tenants({"t": Tenant("t", 5_000, frozenset())})
     assert current_ledger.exhausted() == []
     assert current_ledger.lease("t", 10).tokens == MIN_LEASE_TOKENS
 
@@ -79,22 +79,22 @@
 def test_returned_tokens_may_be_leased_again() -> None:
     current_ledger = ledger(cap=3_000)
     current_ledger.lease("t", 3_000)
-    current_ledger.give_back("t", 500)
+    current_ledger.return_tokens("t", 500)
     assert current_ledger.remaining("t") == 500
-    assert current_ledger.give_back("unknown", 5) == []
+    assert current_ledger.return_tokens("unknown", 5) == []
 
 
 def test_process_charges_nothing_more_once_the_cap_is_used_up() -> None:
-    balances = LeasePurse()
-    balances.add("t", 100)
+    balances = LeaseBalances()
+    balances.credit("t", 100)
     assert balances.charge("t", 40)
-    balances.stop(frozenset({"t"}))
+    balances.set_exhausted(frozenset({"t"}))
     assert not balances.charge("t", 10)
     assert balances.unspent() == {"t": 60}
 
 
 def test_charge_of_zero_tokens_needs_no_lease() -> None:
-    balances = LeasePurse()
+    balances = LeaseBalances()
     assert balances.charge("t", 0)
     assert not balances.charge("t", 1)
 
@@ -106,7 +106,7 @@
 
 def test_tenants_without_a_cap_are_not_limited() -> None:
     document = {"tenants": [{"name": "a", "routes": ["r"]}, {"name": "b", "spending_cap_tokens": 5}]}
-    assert list(tenants_of(document)) == ["b"]
+    assert list(capped_tenants(document)) == ["b"]
 
 
 class FakeControlNode:
@@ -115,8 +115,8 @@
     def __init__(self) -> None:
         self.requests: list[LeaseRequest] = []
         self.up = True
-        self.spending = Spending(self.take)
-        self.spending.follow({"t": Tenant("t", CAP, frozenset({"r"}))}, [])
+        self.spending = SpendingClient(self.take)
+        self.spending.set_tenants({"t": Tenant("t", CAP, frozenset({"r"}))}, [])
 
     def take(self, request: LeaseRequest) -> bool:
         if self.up:
@@ -130,12 +130,12 @@
         charges = [asyncio.ensure_future(control.spending.charge("t", 30)) for _ in range(3)]
         await asyncio.sleep(0)
         assert [r.tokens for r in control.requests] == [30]  # one request for all waiting charges
-        control.spending.answered(LeaseAnswer("", "t", 60, False))
+        control.spending.on_lease_answer(LeaseAnswer("", "t", 60, False))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert [c.result() for c in charges[:2]] == [Charge.PAID, Charge.PAID]
-        control.spending.answered(LeaseAnswer("", "t", 0, True))
-        assert await charges[2] is Charge.EXHAUSTED
+        assert [c.result() for c in charges[:2]] == [ChargeResult.PAID, ChargeResult.PAID]
+        control.spending.on_lease_answer(LeaseAnswer("", "t", 0, True))
+        assert await charges[2] is ChargeResult.EXHAUSTED
 
     asyncio.run(test())
 
@@ -144,7 +144,7 @@
     async def test() -> None:
         control = FakeControlNode()
         control.up = False
-        assert await control.spending.charge("t", 1) is Charge.UNKNOWN
+        assert await control.spending.charge("t", 1) is ChargeResult.UNKNOWN
         assert control.spending.tenant_of("r") == "t"
         assert control.spending.tenant_of("other") is None
 
@@ -154,15 +154,15 @@
 def test_refund_pays_for_other_work_or_is_returned_once_the_cap_is_used_up() -> None:
     async def test() -> None:
         control = FakeControlNode()
-        control.spending.answered(LeaseAnswer("", "t", 100, False))
-        assert await control.spending.charge("t", 100) is Charge.PAID
+        control.spending.on_lease_answer(LeaseAnswer("", "t", 100, False))
+        assert await control.spending.charge("t", 100) is ChargeResult.PAID
         control.spending.refund("t", 60)
-        assert await control.spending.charge("t", 60) is Charge.PAID  # without another lease
+        assert await control.spending.charge("t", 60) is ChargeResult.PAID  # without another lease
         assert control.requests == []
-        control.spending.follow({"t": Tenant("t", CAP, frozenset({"r"}))}, ["t"])
+        control.spending.set_tenants({"t": Tenant("t", CAP, frozenset({"r"}))}, ["t"])
         control.spending.refund("t", 60)
         assert control.requests == [LeaseRequest("", "t", -60)]
-        control.spending.give_back()  # on shutdown: nothing is returned twice
+        control.spending.return_unspent()  # on shutdown: nothing is returned twice
         assert control.requests == [LeaseRequest("", "t", -60)]
 
     asyncio.run(test())
@@ -182,7 +182,7 @@
 def test_only_a_call_that_never_runs_is_refunded(kind: ErrorKind) -> None:
     exchange = FakeExchange()
     refunds: list[int] = []
-    sink = PaidSink(cast(ClientExchange, exchange), lambda: refunds.append(1))
+    sink = RefundingSink(cast(ClientExchange, exchange), lambda: refunds.append(1))
     sink.refuse(kind, 0)
     assert exchange.refused == [kind]
     assert refunds == ([1] if kind is ErrorKind.NOT_READY else [])
@@ -207,7 +207,7 @@
 
 @pytest.mark.parametrize(
     ("failure", "refunded"),
-    [(None, 0), (NotPrimary(), 30), (CommitUnknown(), 0)],
+    [(None, 0), (NotPrimary(), 30), (CommitOutcomeUnknown(), 0)],
     ids=["committed", "not primary", "unknown"],
 )
 def test_job_that_was_paid_for_but_not_written_is_refunded_once(
@@ -215,13 +215,13 @@
 ) -> None:
     async def test() -> None:
         control = FakeControlNode()
-        control.spending.answered(LeaseAnswer("", "t", 30, False))
+        control.spending.on_lease_answer(LeaseAnswer("", "t", 30, False))
         jobs = JobTable(MemoryStore())
         calls = BatchCalls(
             jobs, cast(GroupDriver, FakeGroup(failure)), control.spending,
-            lambda name: BatchTerms(name, 1, 1, 1, 0), lambda size: True, lambda: None, lambda job: None,
+            lambda name: BatchLimits(name, 1, 1, 1, 0), lambda size: True, lambda: None, lambda job: None,
         )  # fmt: skip
-        await calls.answer(Submit(1, "job", "r", JOB))
+        await calls.handle(Submit(1, "job", "r", JOB))
         paid = asyncio.ensure_future(control.spending.charge("t", 30))
         await asyncio.sleep(0)
         assert paid.done() == (refunded == 30)
--- a/tests/test_staged_snapshot.py
+++ b/tests/test_staged_snapshot.py
@@ -13,7 +13,7 @@
 from eiderhub.coordination.catch_up import MAX_UNACKNOWLEDGED_CHUNKS, Peer
 from eiderhub.coordination.messages import Position, Replicated, SnapshotChunk, Staged, Update, Write
 from eiderhub.coordination.replication import Replica, Role
-from eiderhub.coordination.store import NOWHERE
+from eiderhub.coordination.store import INITIAL_POSITION
 from eiderhub.storage.store import LmdbStore
 from tests.test_replication import MEMBERS, elected_primary
 
@@ -44,7 +44,7 @@
     def restart_learner(self) -> None:
         self.store.close()
         self.start_learner()
-        self.primary.connected(self.now, LEARNER)
+        self.primary.on_connected(self.now, LEARNER)
 
     def commit_write(self, key: str, value: bytes | None) -> None:
         position = self.primary.propose(self.now, [Write(key, value)])
@@ -87,7 +87,7 @@
 
 def test_number_of_chunks_in_flight_is_limited(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     pair = PrimaryAndLearner(tmp_path, monkeypatch)
-    pair.primary.receive(pair.now, LEARNER, Replicated(2, NOWHERE, pair.now, gap=True))
+    pair.primary.receive(pair.now, LEARNER, Replicated(2, INITIAL_POSITION, pair.now, gap=True))
     chunks = [each for each in pair.primary.outbox if isinstance(each.message, SnapshotChunk)]
     assert len(chunks) == MAX_UNACKNOWLEDGED_CHUNKS
 
@@ -105,7 +105,7 @@
 
     pair.exchange_messages(stop)
     pair.restart_learner()
-    assert pair.store.position == NOWHERE
+    assert pair.store.position == INITIAL_POSITION
     assert not list(pair.store.scan(""))
     assert pair.store.staged == Staged(pair.primary.position, seen[-1])
     assert pair.exchange_messages() <= 15 - chunks  # the transfer is resumed
--- a/tests/test_storage_zones.py
+++ b/tests/test_storage_zones.py
@@ -9,7 +9,7 @@
 from eiderhub.control.messages import NodeRecord
 from eiderhub.coordination.replication import Replica
 from eiderhub.coordination.roster import Roster
-from eiderhub.programs.storage_tending import group_by_zone, interleave_zones
+from eiderhub.programs.storage_group import group_by_zone, interleave_zones
 from eiderhub.storage.store import MemoryStore
 
 ZONES = ("a", "b", "b", "b", "c", "c")
@@ -34,8 +34,8 @@
     replica = Replica(own.identity, MemoryStore(), 0.0, random.Random(1))
     replica.bootstrap([own.identity])
     roster = Roster(own.identity, own.zone)
-    roster.gathers = prefers_same_zones
+    roster.prefers_same_zones = prefers_same_zones
     for node in NODES:
         if node is not own:
-            roster.greeted(node.identity, node.name, node.zone)
-    assert roster.candidates(replica, set())[0] == expected
+            roster.add_replica(node.identity, node.name, node.zone)
+    assert roster.join_candidates(replica, set())[0] == expected
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -21,8 +21,8 @@
     Write,
 )
 from eiderhub.coordination.replication import Replica
-from eiderhub.coordination.store import NOWHERE, StoreFailed
-from eiderhub.storage.store import TRY_AGAIN_S, LmdbStore, StoreUnusable
+from eiderhub.coordination.store import INITIAL_POSITION, StoreFailed
+from eiderhub.storage.store import REOPEN_INTERVAL_S, LmdbStore, StoreUnusable
 
 DISK_MB = 16.0
 
@@ -65,7 +65,7 @@
 
 def test_empty_store_is_at_the_initial_position(tmp_path: Path) -> None:
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
-    assert (store.position, store.epoch, store.created) == (NOWHERE, 0, True)
+    assert (store.position, store.epoch, store.created) == (INITIAL_POSITION, 0, True)
 
 
 def test_read_only_open_requires_an_existing_store(tmp_path: Path) -> None:
@@ -109,7 +109,7 @@
     monkeypatch.setattr(store, "_open", failing_open)
     with pytest.raises(StoreFailed, match="the disk does not answer"):
         store.apply([update(2, Write("a", b"2"))])
-    assert store.broken and not store.is_empty and (store.used_bytes, replica.told_version) == (0, 0)
+    assert store.broken and not store.is_empty and (store.used_bytes, replica.version_or_zero) == (0, 0)
     replica.receive(1.0, "p@h:2", Replicate(1, Position(1, 2), [], 2, 1.0))
     replica.receive(1.0, "p@h:2", RequestEpoch(7, Position(1, 9), False))
     assert replica.outbox == []  # its state is unknown: it neither acknowledges nor votes
@@ -119,7 +119,7 @@
     monkeypatch.setattr(store, "_open", real_open)
     with pytest.raises(StoreFailed):
         store.grant(9)  # not retried immediately
-    clock[0] += TRY_AGAIN_S
+    clock[0] += REOPEN_INTERVAL_S
     assert store.position in (Position(1, 1), Position(1, 2)) and not store.broken
     replica.receive(2.0, "p@h:2", Replicate(1, store.position, [], 1, 2.0))
     assert [type(each.message) for each in replica.outbox] == [Replicated]
--- a/tests/test_kept_list.py
+++ b/tests/test_stored_endpoints.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from eiderhub.control.kept_list import LIST_KEY, provisional_list, writes_of
 from eiderhub.control.messages import EndpointRecord, EndpointsUpdate, TableVersion
+from eiderhub.control.stored_endpoints import ENDPOINTS_KEY, endpoint_list_writes, initial_endpoint_list
 
 ENDPOINTS = [
     EndpointRecord("i-1", "s", "10.0.0.1:80", "z", True, 8),
@@ -16,22 +16,22 @@
     """Control state in memory."""
 
     def store(self, endpoints: list[EndpointRecord]) -> int:
-        writes = writes_of(self, endpoints)
+        writes = endpoint_list_writes(self, endpoints)
         self.update({write.key: write.value or b"" for write in writes})
         return len(writes)
 
 
 def test_stored_list_is_returned_to_a_primary_without_endpoints() -> None:
     state = FakeState()
-    assert provisional_list(state, NO_ENDPOINTS) is None
+    assert initial_endpoint_list(state, NO_ENDPOINTS) is None
     state.store(ENDPOINTS)
-    assert provisional_list(state, NO_ENDPOINTS) == ENDPOINTS
+    assert initial_endpoint_list(state, NO_ENDPOINTS) == ENDPOINTS
 
 
 def test_stored_list_is_ignored_by_a_primary_with_endpoints() -> None:
     state = FakeState()
     state.store(ENDPOINTS)
-    assert provisional_list(state, EndpointsUpdate(TableVersion(1, 4), ENDPOINTS[:1])) is None
+    assert initial_endpoint_list(state, EndpointsUpdate(TableVersion(1, 4), ENDPOINTS[:1])) is None
 
 
 def test_list_is_written_only_when_it_changes() -> None:
@@ -40,4 +40,4 @@
 
 
 def test_stored_list_that_cannot_be_decoded_is_ignored() -> None:
-    assert provisional_list(FakeState({LIST_KEY: b"\xc1 not a list"}), NO_ENDPOINTS) is None
+    assert initial_endpoint_list(FakeState({ENDPOINTS_KEY: b"\xc1 not a list"}), NO_ENDPOINTS) is None
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -26,7 +26,7 @@
 import pytest
 
 from eiderhub.address import Address
-from eiderhub.balancer import SWEEP
+from eiderhub.balancer import SWEEP_TIMER
 from eiderhub.interface import ListForm, Outcome, Rules
 from eiderhub.settings import settings_from
 from eiderhub.sidecar import clock
@@ -464,12 +464,12 @@
                 elif what == "further attempt":
                     at.shutdown(socket.SHUT_RDWR)
                 else:
-                    assert balancer.copies[-1][1].id == call
+                    assert balancer.hedges[-1][1].id == call
                 if loop == "held up":
                     leaver.sock.close()
                     time.sleep(LATE_S)
                     if what == "second copy":  # timers go before what is to be read
-                        host._tell(balancer.wake, SWEEP)
+                        host._tell(balancer.wake, SWEEP_TIMER)
             await until(lambda: caller not in sidecar.server.callers)
             await until(lambda: all(each.caller is not caller for each in host.requests.values()))
             assert sent == []
