--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -55,7 +55,7 @@
 
 @when(parsers.parse("the operator puts configuration {generation:d} on top of {base:d}"))
 def _(tier: Tier, generation: int, base: int) -> None:
-    assert tier.put(document(generation), base) == 200
+    assert tier.put_configuration(document(generation), base) == 200
 
 
 @then("every edge becomes ready")
@@ -65,16 +65,16 @@
 
 @then("a stream comes whole from each edge")
 def _(tier: Tier) -> None:
-    for edge in tier.of("edge"):
-        status, body, headers = tier.ask(edge, "/live/x", f"r-{edge.name}")
+    for edge in tier.with_role("edge"):
+        status, body, headers = tier.send_request(edge, "/live/x", f"r-{edge.name}")
         assert (status, body) == (200, complete_stream(f"r-{edge.name}"))
         assert headers["Response-Signature"].endswith(f".r-{edge.name}")
-    assert sum(sum(e.request_counts.values()) for e in tier.engines) == 2
+    assert sum(sum(e.request_counts.values()) for e in tier.endpoints) == 2
 
 
 @then("a batch job handed in twice is run once")
 def _(tier: Tier, first_results: dict[str, Any]) -> None:
-    first, second = tier.of("edge")
+    first, second = tier.with_role("edge")
     wait_until(lambda: tier.submit(first, "job1", ITEMS) == 202, "the batch job accepted")
     assert tier.submit(second, "job1", ITEMS) == 202
     first_results.update(wait_for_results(tier, second, "job1", len(ITEMS)))
@@ -82,18 +82,19 @@
     texts = {result["id"]: result["text"] for result in first_results["results"]}
     assert texts == {item: "\n".join(f"{item} {n}" for n in range(EVENTS_PER_STREAM)) for item in ITEMS}
     runs = sum(
-        (endpoint.request_counts for endpoint in tier.engines), start=type(tier.engines[0].request_counts)()
+        (endpoint.request_counts for endpoint in tier.endpoints),
+        start=type(tier.endpoints[0].request_counts)(),
     )
     assert {item: runs[item] for item in ITEMS} == dict.fromkeys(ITEMS, 1)
 
 
 @when(parsers.parse("the {role} primary is killed"))
 def _(tier: Tier, role: str) -> None:
-    leader = tier.leader(role)
-    others = [p for p in tier.of(role) if p is not leader]
-    before = sum(p.said("leads epoch") for p in others)
+    leader = tier.primary(role)
+    others = [p for p in tier.with_role(role) if p is not leader]
+    before = sum(p.count_logged("leads epoch") for p in others)
     leader.stop()
-    wait_until(lambda: sum(p.said("leads epoch") for p in others) > before, f"another {role} primary")
+    wait_until(lambda: sum(p.count_logged("leads epoch") for p in others) > before, f"another {role} primary")
 
 
 @when("every program is killed and started again")
@@ -110,30 +111,30 @@
 
 @then(parsers.parse("configuration {generation:d} on top of {base:d} is taken"))
 def _(tier: Tier, generation: int, base: int) -> None:
-    assert tier.put(document(generation, route("more")), base) == 200
-    edge = tier.of("edge")[0]
-    wait_until(lambda: tier.ask(edge, "/more/x", "r-more")[0] == 200, "the new route is active")
+    assert tier.put_configuration(document(generation, route("more")), base) == 200
+    edge = tier.with_role("edge")[0]
+    wait_until(lambda: tier.send_request(edge, "/more/x", "r-more")[0] == 200, "the new route is active")
 
 
 @then("the same change sent again is acknowledged again")
 def _(tier: Tier) -> None:
-    assert tier.put(document(7, route("more")), 5) == 200
+    assert tier.put_configuration(document(7, route("more")), 5) == 200
 
 
 @then("a change on top of 5 is refused")
 def _(tier: Tier) -> None:
-    assert tier.put(document(8), 5) == 412
+    assert tier.put_configuration(document(8), 5) == 412
 
 
 @then("the results of the batch job are those read before")
 def _(tier: Tier, first_results: dict[str, Any]) -> None:
-    for edge in tier.of("edge"):
+    for edge in tier.with_role("edge"):
         assert wait_for_results(tier, edge, "job1", len(ITEMS)) == first_results
 
 
 @then("another batch job is run")
 def _(tier: Tier) -> None:
-    edge = tier.of("edge")[0]
+    edge = tier.with_role("edge")[0]
     wait_until(lambda: tier.submit(edge, "job2", ["b1"]) == 202, "the second batch job accepted")
     wait_for_results(tier, edge, "job2", 1)
 
@@ -141,28 +142,28 @@
 @then("a stream that its endpoint breaks off in an event comes whole")
 def _(tier: Tier) -> None:
     tier.break_at_events.append(1)
-    status, body, _ = tier.ask(tier.of("edge")[0], "/live/x", "r-cut")
+    status, body, _ = tier.send_request(tier.with_role("edge")[0], "/live/x", "r-cut")
     assert (status, body) == (200, complete_stream("r-cut"))
-    assert sum(endpoint.request_counts["r-cut"] for endpoint in tier.engines) == 2
+    assert sum(endpoint.request_counts["r-cut"] for endpoint in tier.endpoints) == 2
 
 
 @then("a sidecar that is told to stop ends the stream that it carries")
 def _(tier: Tier) -> None:
-    edge = tier.of("edge")[0]
+    edge = tier.with_role("edge")[0]
     answers: list[tuple[int, bytes, dict[str, str]]] = []
-    for endpoint in tier.engines:
-        endpoint.hold.clear()
-    asking = threading.Thread(target=lambda: answers.append(tier.ask(edge, "/live/x", "r-stop")))
+    for endpoint in tier.endpoints:
+        endpoint.may_continue.clear()
+    asking = threading.Thread(target=lambda: answers.append(tier.send_request(edge, "/live/x", "r-stop")))
     asking.start()
     wait_until(
-        lambda: any(endpoint.request_counts["r-stop"] for endpoint in tier.engines),
+        lambda: any(endpoint.request_counts["r-stop"] for endpoint in tier.endpoints),
         "the stream has reached its endpoint",
     )
     assert edge.process is not None
     edge.process.send_signal(signal.SIGTERM)
     wait_until(lambda: tier.call(edge, "readiness", "GET", "/readyz")[0] == 503, "the sidecar is draining")
-    for endpoint in tier.engines:
-        endpoint.hold.set()
+    for endpoint in tier.endpoints:
+        endpoint.may_continue.set()
     asking.join()
     assert [(status, body) for status, body, _ in answers] == [(200, complete_stream("r-stop"))]
     assert edge.process.wait(30.0) == 0
@@ -184,7 +185,7 @@
 
 
 def is_answered_with(tier: Tier, edge: Program, request_id: str, status: int) -> bool:
-    return tier.ask(edge, "/live/x", request_id, tokens=1)[0] == status
+    return tier.send_request(edge, "/live/x", request_id, tokens=1)[0] == status
 
 
 @pytest.fixture
@@ -195,16 +196,18 @@
 
 @when("the operator puts a configuration in which one tenant has a cap")
 def _(tier: Tier) -> None:
-    assert tier.put(capped_configuration(5, CAP_TOKENS), 0) == 200
+    assert tier.put_configuration(capped_configuration(5, CAP_TOKENS), 0) == 200
 
 
 @then("the tenant is served until its cap has run out, and no further")
 def _(tier: Tier, capped_answers: dict[str, Any]) -> None:
-    edges = tier.of("edge")
+    edges = tier.with_role("edge")
     wait_until(lambda: tier.submit(edges[0], "job1", ITEMS) == 202, "the batch job accepted")
     spent = 20 * len(ITEMS)
     for number in range(2 * CAP_TOKENS // REQUEST_TOKENS):
-        status, body, _ = tier.ask(edges[number % 2], "/live/x", f"r-{number}", tokens=REQUEST_TOKENS)
+        status, body, _ = tier.send_request(
+            edges[number % 2], "/live/x", f"r-{number}", tokens=REQUEST_TOKENS
+        )
         capped_answers[f"r-{number}"] = (status, body)
         if status == 200:
             spent += REQUEST_TOKENS
@@ -218,26 +221,27 @@
 
 @then("every edge refuses the tenant at once, quick checks and batches alike")
 def _(tier: Tier) -> None:
-    for edge in tier.of("edge"):
+    for edge in tier.with_role("edge"):
         wait_until(partial(is_answered_with, tier, edge, f"late-{edge.name}", 429), "refused")
         assert tier.submit(edge, f"late-job-{edge.name}", ["late-item"]) == 429
-    assert not any(endpoint.request_counts["late-item"] for endpoint in tier.engines)
+    assert not any(endpoint.request_counts["late-item"] for endpoint in tier.endpoints)
 
 
 @then("another tenant is served at every edge, quick checks and batches alike")
 def _(tier: Tier) -> None:
-    for number, edge in enumerate(tier.of("edge")):
-        assert tier.ask(edge, "/other-live/x", f"o-{number}", tokens=REQUEST_TOKENS)[0] == 200
+    for number, edge in enumerate(tier.with_role("edge")):
+        assert tier.send_request(edge, "/other-live/x", f"o-{number}", tokens=REQUEST_TOKENS)[0] == 200
         assert tier.submit(edge, f"other-{number}", [f"o-item-{number}"], "/other-lots/") == 202
         wait_for_results(tier, edge, f"other-{number}", 1)
 
 
 @then("what the tenant had under way came back exactly once")
 def _(tier: Tier, capped_answers: dict[str, Any]) -> None:
-    page = wait_for_results(tier, tier.of("edge")[1], "job1", len(ITEMS))
+    page = wait_for_results(tier, tier.with_role("edge")[1], "job1", len(ITEMS))
     assert sorted(result["id"] for result in page["results"]) == ITEMS
     runs = sum(
-        (endpoint.request_counts for endpoint in tier.engines), start=type(tier.engines[0].request_counts)()
+        (endpoint.request_counts for endpoint in tier.endpoints),
+        start=type(tier.endpoints[0].request_counts)(),
     )
     for request_id, (status, body) in capped_answers.items():
         assert (runs[request_id], body) == ((1, complete_stream(request_id)) if status == 200 else (0, b""))
@@ -245,17 +249,17 @@
 
 @then("the cap holds after the control primary was killed")
 def _(tier: Tier) -> None:
-    leader = tier.leader("control")
-    others = [p for p in tier.of("control") if p is not leader]
-    before = sum(p.said("leads epoch") for p in others)
+    leader = tier.primary("control")
+    others = [p for p in tier.with_role("control") if p is not leader]
+    before = sum(p.count_logged("leads epoch") for p in others)
     leader.stop()
-    wait_until(lambda: sum(p.said("leads epoch") for p in others) > before, "another control primary")
-    for edge in tier.of("edge"):
-        assert tier.ask(edge, "/live/x", f"after-{edge.name}", tokens=1)[0] == 429
+    wait_until(lambda: sum(p.count_logged("leads epoch") for p in others) > before, "another control primary")
+    for edge in tier.with_role("edge"):
+        assert tier.send_request(edge, "/live/x", f"after-{edge.name}", tokens=1)[0] == 429
 
 
 @then("a raised cap lets the tenant spend again")
 def _(tier: Tier) -> None:
-    assert tier.put(capped_configuration(7, 2 * CAP_TOKENS), 5) == 200
-    for edge in tier.of("edge"):
+    assert tier.put_configuration(capped_configuration(7, 2 * CAP_TOKENS), 5) == 200
+    for edge in tier.with_role("edge"):
         wait_until(partial(is_answered_with, tier, edge, f"again-{edge.name}", 200), "served again")
--- a/tests/test_tier_commands.py
+++ b/tests/test_tier_commands.py
@@ -14,7 +14,7 @@
 from tests.tier_support import Tier, document, wait_until
 
 
-def ottercleat(*words: str) -> subprocess.CompletedProcess[str]:
+def run_ottercleat(*words: str) -> subprocess.CompletedProcess[str]:
     command = [sys.executable, "-m", "eiderhub.cli", "tier", *words]
     return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
@@ -34,7 +34,7 @@
 def test_config_check(tmp_path: Path, change: dict[str, object], status: int, message: str) -> None:
     file = tmp_path / "c.json"
     file.write_text(json.dumps(document(1) | change))
-    completed = ottercleat("config-check", str(file))
+    completed = run_ottercleat("config-check", str(file))
     assert completed.returncode == status
     assert message in completed.stdout + completed.stderr
 
@@ -43,12 +43,12 @@
     store = LmdbStore(tmp_path, 16.0, "id@h:1")
     store.apply([Update(Position(2, 5), [Write("config/current", b"{}")])])
     store.close()
-    checked = ottercleat("store-check", str(tmp_path))
+    checked = run_ottercleat("store-check", str(tmp_path))
     assert (checked.returncode, checked.stdout.splitlines()[0]) == (
         0,
         "id@h:1: epoch 2, version 5, granted 0",
     )
-    assert ottercleat("store-show", str(tmp_path)).stdout.split() == ["2", "config/current"]
+    assert run_ottercleat("store-show", str(tmp_path)).stdout.split() == ["2", "config/current"]
 
 
 @pytest.mark.parametrize(
@@ -56,13 +56,13 @@
     [["store-check", "/nowhere"], ["run", "cook", "/nowhere"], ["run", "edge", "/nowhere"], ["no-such"], []],
 )
 def test_usage_error_has_status_2_and_no_traceback(words: list[str]) -> None:
-    completed = ottercleat(*words)
+    completed = run_ottercleat(*words)
     assert completed.returncode == 2
     assert "Traceback" not in completed.stderr
 
 
 def test_unreachable_node_is_an_error(tmp_path: Path) -> None:
-    completed = ottercleat("status", "127.0.0.1:1")
+    completed = run_ottercleat("status", "127.0.0.1:1")
     assert completed.returncode == 1
     assert "no answer" in completed.stderr
 
@@ -73,24 +73,26 @@
         tier.start()
         file = tmp_path / "c.json"
         file.write_text(json.dumps(document(3)))
-        address = f"{tier.of('control')[0].ip}:{tier.ports['control']}"
+        address = f"{tier.with_role('control')[0].ip}:{tier.ports['control']}"
         wait_until(
-            lambda: ottercleat("config-put", address, str(file), "--base", "0").returncode == 0, "a primary"
+            lambda: run_ottercleat("config-put", address, str(file), "--base", "0").returncode == 0,
+            "a primary",
         )
-        assert json.loads(ottercleat("config-get", address).stdout) == document(3)
-        repeated = ottercleat("config-put", address, str(file), "--base", "0")
+        assert json.loads(run_ottercleat("config-get", address).stdout) == document(3)
+        repeated = run_ottercleat("config-put", address, str(file), "--base", "0")
         assert repeated.returncode == 0  # it is already active
         file.write_text(json.dumps(document(4)))
-        assert "412" in ottercleat("config-put", address, str(file), "--base", "1").stderr
-        node = tier.of("storage")[0].name
-        wait_until(lambda: ottercleat("retire", address, node).returncode == 0, "the retirement accepted")
+        assert "412" in run_ottercleat("config-put", address, str(file), "--base", "1").stderr
+        node = tier.with_role("storage")[0].name
+        wait_until(lambda: run_ottercleat("retire", address, node).returncode == 0, "the retirement accepted")
         wait_until(
-            lambda: "succeeded" in ottercleat("retire", address, node, "--ask").stdout, "the retirement done"
+            lambda: "succeeded" in run_ottercleat("retire", address, node, "--ask").stdout,
+            "the retirement done",
         )
-        other = ottercleat("retire", address, tier.of("storage")[1].name)
+        other = run_ottercleat("retire", address, tier.with_role("storage")[1].name)
         assert other.returncode == 1
         assert "409" in other.stderr
-        status = ottercleat("status", address)
+        status = run_ottercleat("status", address)
         assert status.returncode == 0
         assert node in status.stdout
     finally:
--- a/tests/test_tier_settings.py
+++ b/tests/test_tier_settings.py
@@ -33,7 +33,7 @@
     assert settings.seeds == ["10.0.0.2:81", "10.0.0.3:81"]
     assert settings.zones == {"z": "r", "y": "r"}
     assert settings.bootstrap is True
-    assert (settings.control, settings.platform) == ("", "")
+    assert (settings.control, settings.platform_address) == ("", "")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_upgrade_page.py
+++ b/tests/test_upgrade_page.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from eiderhub.coordination.forms import FORM_KEY
+from eiderhub.coordination.forms import FORMAT_KEY
 from eiderhub.coordination.messages import Position, Update, Write
 from eiderhub.storage.store import LmdbStore
-from tests.test_tier_commands import ottercleat
+from tests.test_tier_commands import run_ottercleat
 from tests.tier_support import Program, Tier, document, wait_until
 
 OLDER = "tests.soak.older"
@@ -36,8 +36,8 @@
 
 def status(tier: Tier) -> dict[str, Any]:
     """As the command prints it for programs, of a control node that runs."""
-    for program in tier.of("control"):
-        done = ottercleat("status", f"{program.ip}:{tier.ports['control']}", "--as-json")
+    for program in tier.with_role("control"):
+        done = run_ottercleat("status", f"{program.ip}:{tier.ports['control']}", "--as-json")
         if done.returncode == 0:
             return dict(json.loads(done.stdout))
     return {}
@@ -59,7 +59,7 @@
 
 
 def streams(tier: Tier, edge: Program, request_id: str) -> bool:
-    return tier.ask(edge, "/live/x", request_id)[0] == 200
+    return tier.send_request(edge, "/live/x", request_id)[0] == 200
 
 
 def is_done(tier: Tier, edge: Program, job: str) -> bool:
@@ -69,51 +69,51 @@
 
 def served(tier: Tier, job: str) -> None:
     """A request goes through each sidecar and a batch job through one, whatever the versions are."""
-    for edge in tier.of("edge"):
+    for edge in tier.with_role("edge"):
         wait_until(partial(streams, tier, edge, f"r-{edge.name}-{job}"), f"a stream through {edge.name}")
-    edge = tier.of("edge")[0]
+    edge = tier.with_role("edge")[0]
     wait_until(lambda: tier.submit(edge, job, ITEMS) == 202, f"{job} taken")
     wait_until(lambda: is_done(tier, edge, job), f"{job} done")
 
 
 def test_one_machine_after_the_other_is_upgraded_and_one_is_put_back(tier: Tier) -> None:
-    assert tier.put(document(1), 0) == 200
+    assert tier.put_configuration(document(1), 0) == 200
     tier.wait_ready()
     count = len(tier.programs)
-    old_primary = tier.leader("control")
+    old_primary = tier.primary("control")
     for number, program in enumerate(tier.programs):
         exchange(tier, program, f"eiderhub.programs.{program.role}")
         if program.role == "edge":
-            wait_until(partial(tier.ready, program), f"{program.name} ready")
+            wait_until(partial(tier.is_ready, program), f"{program.name} ready")
         if number in (1, 4, 7):  # control, storage and sidecars are of two versions
             served(tier, f"job-{number}")
     assert old_primary.module == "eiderhub.programs.control"
     wait_until(lambda: versions(tier) == {"2": count}, "all speak the new form")
-    shown = ottercleat("status", f"{tier.of('control')[0].ip}:{tier.ports['control']}")
+    shown = run_ottercleat("status", f"{tier.with_role('control')[0].ip}:{tier.ports['control']}")
     assert f"wire version 2: {count} processes" in shown.stdout
-    exchange(tier, tier.of("storage")[0], f"{OLDER} storage")
+    exchange(tier, tier.with_role("storage")[0], f"{OLDER} storage")
     wait_until(lambda: versions(tier) == {"1": 1, "2": count - 1}, "one speaks the old form again")
     served(tier, "job-back")
-    assert len(identities(tier)) == count - len(tier.of("edge"))  # each kept its identity
+    assert len(identities(tier)) == count - len(tier.with_role("edge"))  # each kept its identity
 
 
 def test_a_store_is_checked_offline_and_refused_by_a_program_that_cannot_read_it(tier: Tier) -> None:
-    assert tier.put(document(1), 0) == 200
+    assert tier.put_configuration(document(1), 0) == 200
     tier.wait_ready()
     served(tier, "job-1")
-    node = tier.of("storage")[0]
+    node = tier.with_role("storage")[0]
     assert node.stop(signal.SIGTERM) == 0
     folder = Path(tier.folder) / f"data-{node.name}"
-    checked = ottercleat("store-check", str(folder))
+    checked = run_ottercleat("store-check", str(folder))
     assert checked.returncode == 0 and "entries" in checked.stdout
     store = LmdbStore(folder, 64.0)
     position = store.position
-    store.apply([Update(Position(position.epoch, position.version + 1), [Write(FORM_KEY, b"2")])])
+    store.apply([Update(Position(position.epoch, position.version + 1), [Write(FORMAT_KEY, b"2")])])
     store.close()
     before = (folder / "replica.lmdb").read_bytes()
     node.module = "eiderhub.programs.storage"
     node.start()
     assert node.process is not None
     assert node.process.wait(30) == 1
-    assert node.said("records of form 2; this program reads up to 1: start a newer program") == 1
+    assert node.count_logged("records of form 2; this program reads up to 1: start a newer program") == 1
     assert (folder / "replica.lmdb").read_bytes() == before
--- a/tests/test_upgrades_model.py
+++ b/tests/test_upgrades_model.py
@@ -7,7 +7,7 @@
 import pytest
 
 from eiderhub.coordination import replication
-from eiderhub.coordination.forms import FIRST_FORM, StateForms, next_form
+from eiderhub.coordination.forms import FIRST_FORMAT, RecordFormats, next_format
 from eiderhub.coordination.replication import Replica
 from tests.model import upgrades
 from tests.model.history import Broken
@@ -54,7 +54,7 @@
     assert broken_by(play_drawn, 0, DRAWN, 25) == []
 
 
-def _raise_at_once(current: int, own: StateForms, members_read: object) -> int | None:
+def _raise_at_once(current: int, own: RecordFormats, members_read: object) -> int | None:
     return current + 1 if own.writes > current else None
 
 
@@ -79,16 +79,16 @@
 @pytest.mark.parametrize(
     ("current", "own", "members", "expected"),
     [
-        (1, StateForms(2, 1), [2, 2], None),
-        (1, StateForms(2, 2), [2, 1], None),
-        (1, StateForms(2, 2), [2, 3], 2),
-        (2, StateForms(2, 2), [2, 2], None),
-        (1, StateForms(4, 3), [4, 4], 2),  # one at a time
-        (1, StateForms(2, 2), [], 2),
+        (1, RecordFormats(2, 1), [2, 2], None),
+        (1, RecordFormats(2, 2), [2, 1], None),
+        (1, RecordFormats(2, 2), [2, 3], 2),
+        (2, RecordFormats(2, 2), [2, 2], None),
+        (1, RecordFormats(4, 3), [4, 4], 2),  # one at a time
+        (1, RecordFormats(2, 2), [], 2),
     ],
 )
 def test_a_form_rises_once_each_member_reads_it(
-    current: int, own: StateForms, members: list[int], expected: int | None
+    current: int, own: RecordFormats, members: list[int], expected: int | None
 ) -> None:
-    assert next_form(current, own, members) == expected
-    assert FIRST_FORM == 1
+    assert next_format(current, own, members) == expected
+    assert FIRST_FORMAT == 1
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -13,11 +13,11 @@
 from eiderhub.batch import jobs
 from eiderhub.batch.jobs import JobTable
 from eiderhub.control import retirement
-from eiderhub.control.configuration import CURRENT_KEY, stored
-from eiderhub.control.kept_list import LIST_KEY
+from eiderhub.control.configuration import CURRENT_KEY, parse_stored
 from eiderhub.control.messages import EndpointRecord, NodeRecord
 from eiderhub.control.spending import LEASED_PREFIX, SpendingLedger
-from eiderhub.coordination.forms import FORM_KEY
+from eiderhub.control.stored_endpoints import ENDPOINTS_KEY
+from eiderhub.coordination.forms import FORMAT_KEY
 from eiderhub.coordination.messages import Position, Update, Write
 from eiderhub.coordination.wire import OWN_SUPPORT, Feature
 from eiderhub.programs.control_service import SESSIONS_KEY
@@ -57,7 +57,7 @@
 
 
 def frame(body: bytes) -> bytearray:
-    return bytearray(frames.LENGTH.pack(len(body)) + body)
+    return bytearray(frames.LENGTH_PREFIX.pack(len(body)) + body)
 
 
 def test_landings_are_recorded() -> None:
@@ -68,8 +68,8 @@
     assert len(landing.frames) >= 2 * len(union_types(landing.messages))
     for name, recorded in landing.frames.items():
         buffer = frame(bytes.fromhex(recorded["body"]))
-        message = frames.decoded(buffer, 0, len(buffer))
-        assert not isinstance(message, frames.Unknown), name
+        message = frames.decode_frame(buffer, 0, len(buffer))
+        assert not isinstance(message, frames.UnknownMessage), name
         assert keeps(recorded["values"], message), name
 
 
@@ -77,7 +77,7 @@
     decode = landing.decoder().decode
     sent = 0
     for name, message in samples(message_unions()):
-        if not frames.takes(landing.support, message):  # type: ignore[arg-type]
+        if not frames.can_send(landing.support, message):  # type: ignore[arg-type]
             continue
         sent += 1
         read = decode(msgspec.msgpack.encode(message))
@@ -118,7 +118,7 @@
     assert store.identity and store.position.version > 10
     table = JobTable(store)
     table.load()
-    assert {name: (len(job.items), job.visible, job.record.ended) for name, job in table.jobs.items()} == {
+    assert {name: (len(job.items), job.committed_positions, job.record.ended) for name, job in table.jobs.items()} == {
         "job-done": (3, 3, False), "job-open": (4, 1, False), "job-ended": (3, 0, True),
     }  # fmt: skip
     assert table.body("job-open", "i1") == b"i1"
@@ -132,26 +132,26 @@
 ) -> None:
     store = opened(landing, "control", tmp_path)
     assert store.identity.startswith("founder@")
-    assert stored(store.get(CURRENT_KEY) or b"")["generation"] == 2
+    assert parse_stored(store.get(CURRENT_KEY) or b"")["generation"] == 2
     nodes, sidecars = msgspec.json.decode(store.get(SESSIONS_KEY) or b"", type=tuple[list[NodeRecord], int])
     assert {node.role for node in nodes} == {"control", "storage"} and 0 <= sidecars <= 2  # they stop first
-    assert list(retirement.read_orders(store.scan(retirement.RETIRE_PREFIX))) == ["storage-6"]
+    assert list(retirement.decode_orders(store.scan(retirement.RETIRE_PREFIX))) == ["storage-6"]
     ledger = SpendingLedger()
     ledger.load(dict(store.scan(LEASED_PREFIX)))
-    kept = store.get(LIST_KEY)
+    kept = store.get(ENDPOINTS_KEY)
     assert kept is None or len(msgspec.msgpack.decode(kept, type=list[EndpointRecord])) == 2
 
 
 def test_a_store_in_a_form_that_is_not_read_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
-    store.apply([Update(Position(1, 1), [Write(FORM_KEY, b"2")])])
+    store.apply([Update(Position(1, 1), [Write(FORMAT_KEY, b"2")])])
     store.close()
     file = tmp_path / "replica.lmdb"
     before = file.read_bytes()
     with pytest.raises(StoreUnusable, match=r"records of form 2; this program reads up to 1: start a newer"):
-        LmdbStore(tmp_path, DISK_MB, reads_form=1)
+        LmdbStore(tmp_path, DISK_MB, readable_format=1)
     assert file.read_bytes() == before
-    again = LmdbStore(tmp_path, DISK_MB, reads_form=2)
+    again = LmdbStore(tmp_path, DISK_MB, readable_format=2)
     assert (again.identity, again.position) == ("id@h:1", Position(1, 1))
 
 
@@ -247,5 +247,5 @@
 
 
 def test_own_support_names_all_features() -> None:
-    assert all(OWN_SUPPORT.takes(feature) for feature in Feature)
+    assert all(OWN_SUPPORT.includes(feature) for feature in Feature)
     assert set(REQUIRED_FEATURE.values()) <= set(Feature)
--- a/tests/test_wire_versions.py
+++ b/tests/test_wire_versions.py
@@ -20,9 +20,9 @@
     SessionOpen,
     SessionPong,
 )
-from eiderhub.coordination.wire import OWN_SUPPORT, UNTOLD, Feature, WireSupport
-from eiderhub.transport import frames, framing
-from eiderhub.transport.frames import DEFLATED, LENGTH, MAX_MESSAGE_BYTES
+from eiderhub.coordination.wire import DEFAULT_SUPPORT, OWN_SUPPORT, Feature, WireSupport
+from eiderhub.transport import frame_connection, frames
+from eiderhub.transport.frames import DEFLATED_FLAG, LENGTH_PREFIX, MAX_MESSAGE_BYTES
 from eiderhub.transport.traffic import TRAFFIC
 from eiderhub.transport.wire_counts import MAX_KINDS, WIRE_COUNTS, WireCounts
 from tests.connection_support import connection_to
@@ -57,7 +57,7 @@
 
 def encode_frame(message: Any) -> bytes:
     body = msgspec.msgpack.encode(message)
-    return LENGTH.pack(len(body)) + body
+    return LENGTH_PREFIX.pack(len(body)) + body
 
 
 def receive(data: bytes, chunk_size: int = 0) -> tuple[list[Any], bool]:
@@ -81,14 +81,14 @@
 
 def test_peer_without_declared_support_is_sent_only_what_the_oldest_release_reads(counts: WireCounts) -> None:
     oldest_decode = landings.load("landing-01968da").decoder().decode
-    frames_sent = send(UNTOLD, LOAD, SessionAccepted(OWN_SUPPORT), LARGE, PONG)
+    frames_sent = send(DEFAULT_SUPPORT, LOAD, SessionAccepted(OWN_SUPPORT), LARGE, PONG)
     read = []
     while frames_sent:
-        (size,) = LENGTH.unpack_from(frames_sent)
-        read.append(type(oldest_decode(frames_sent[LENGTH.size : LENGTH.size + size])).__name__)
-        frames_sent = frames_sent[LENGTH.size + size :]
+        (size,) = LENGTH_PREFIX.unpack_from(frames_sent)
+        read.append(type(oldest_decode(frames_sent[LENGTH_PREFIX.size : LENGTH_PREFIX.size + size])).__name__)
+        frames_sent = frames_sent[LENGTH_PREFIX.size + size :]
     assert read == ["ConfigurationUpdate", "SessionPong"]
-    assert counts.lines() == [
+    assert counts.metric_lines() == [
         'wire_messages_withheld{kind="LoadUpdate"} 1',
         'wire_messages_withheld{kind="SessionAccepted"} 1',
     ]
@@ -141,12 +141,12 @@
     messages, closed = receive(b"".join(encode_frame(choices[which]) for which in order), chunk_size)
     assert messages == [choices[which] for which in order if which]
     assert not closed
-    assert counts.lines() == ['wire_messages_skipped{kind="Conversation"} 2']
+    assert counts.metric_lines() == ['wire_messages_skipped{kind="Conversation"} 2']
 
 
 def test_unknown_messages_are_logged_once_per_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[str] = []
-    monkeypatch.setattr(framing, "log", RecordingLog(lines))
+    monkeypatch.setattr(frame_connection, "log", RecordingLog(lines))
     receive(encode_frame(UNKNOWN_TYPE) * 5 + encode_frame({"type": "Other"}))
     assert len(lines) == 1 and "Conversation" in lines[0]
 
@@ -155,7 +155,7 @@
     body = {"type": "Hello", "node": ["n", "edge", "z", "", 2, "later"], "later": {"a": 1}}
     assert receive(encode_frame(body))[0] == [Hello(NodeRecord("n", "edge", "z", "", 2))]
     assert receive(encode_frame({"type": "Hello", "node": ["n", "edge", "z"]}))[0] == [
-        Hello(NodeRecord("n", "edge", "z", "", 1), UNTOLD)
+        Hello(NodeRecord("n", "edge", "z", "", 1), DEFAULT_SUPPORT)
     ]
 
 
@@ -165,7 +165,7 @@
         counts.count_skipped(f"Kind{number}")
     counts.count_skipped('a"} 1\nforged 5')
     counts.count_skipped("x" * 10_000)
-    lines = counts.lines()
+    lines = counts.metric_lines()
     assert len(lines) <= MAX_KINDS + 1
     assert all(len(line) < 100 and "forged" not in line for line in lines)
 
@@ -175,13 +175,13 @@
 
 def deflated_frame(body: bytes) -> bytes:
     compressed = zlib.compress(body)
-    return LENGTH.pack(DEFLATED | len(compressed)) + compressed
+    return LENGTH_PREFIX.pack(DEFLATED_FLAG | len(compressed)) + compressed
 
 
 BAD_FRAMES = {
-    "oversized": LENGTH.pack(MAX_MESSAGE_BYTES + 1),
-    "malformed": LENGTH.pack(3) + b"\xc1\xc1\xc1",
-    "deflate": LENGTH.pack(DEFLATED | 5) + b"plain",
+    "oversized": LENGTH_PREFIX.pack(MAX_MESSAGE_BYTES + 1),
+    "malformed": LENGTH_PREFIX.pack(3) + b"\xc1\xc1\xc1",
+    "deflate": LENGTH_PREFIX.pack(DEFLATED_FLAG | 5) + b"plain",
     "invalid": encode_frame({"type": "SessionPong", "sent_at": "soon"}),
 }
 
@@ -192,22 +192,22 @@
     fault: str, before: int, counts: WireCounts, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[str] = []
-    monkeypatch.setattr(framing, "log", RecordingLog(lines))
+    monkeypatch.setattr(frame_connection, "log", RecordingLog(lines))
     messages, closed = receive(encode_frame(PONG) * before + BAD_FRAMES[fault] + encode_frame(PONG))
     assert (messages, closed) == ([PONG] * before, True)
-    assert counts.lines() == [f'wire_frames_broken{{fault="{fault}"}} 1']
+    assert counts.metric_lines() == [f'wire_frames_broken{{fault="{fault}"}} 1']
     assert len(lines) == 1
 
 
 @pytest.mark.parametrize("body", [[1, 2], 7, None, {"no": "type"}, {"type": 5}])
 def test_body_that_is_not_a_message_closes_the_connection(body: Any, counts: WireCounts) -> None:
     assert receive(encode_frame(body)) == ([], True)
-    assert counts.lines() == ['wire_frames_broken{fault="malformed"} 1']
+    assert counts.metric_lines() == ['wire_frames_broken{fault="malformed"} 1']
 
 
 def test_decompression_bomb_closes_the_connection(counts: WireCounts) -> None:
     assert receive(deflated_frame(bytes(MAX_MESSAGE_BYTES + 1))) == ([], True)
-    assert counts.lines() == ['wire_frames_broken{fault="deflate"} 1']
+    assert counts.metric_lines() == ['wire_frames_broken{fault="deflate"} 1']
 
 
 def test_incomplete_frame_is_buffered() -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -82,7 +82,7 @@
         return late.count(zone) / max(1, len(late))
 
     def logged(self, text: str) -> list[dict[str, Any]]:
-        return [d[2] for d in self.did if d[0] == "write_log" and d[1] == text]
+        return [d[2] for d in self.actions if d[0] == "write_log" and d[1] == text]
 
 
 def test_lost_zone_is_evacuated_within_two_seconds_and_restored_by_doubling() -> None:
@@ -160,7 +160,7 @@
     host.run(5)
     host.failure_shares = dict.fromkeys((EAST, WEST, NORTH), 1.0)
     host.run(8)
-    assert any("cut off" in d[1] for d in host.did if d[0] == "write_log")
+    assert any("cut off" in d[1] for d in host.actions if d[0] == "write_log")
     host.failure_shares = {}
     host.run(12)
     assert host.share(EAST, 2) > 0.8
@@ -171,7 +171,7 @@
     host.run(3)
     host.silent_zones = {EAST, WEST}
     host.run(6)
-    assert any("cut off" in d[1] for d in host.did if d[0] == "write_log")
+    assert any("cut off" in d[1] for d in host.actions if d[0] == "write_log")
     shares = [host.balancer.zones.share(zone) for zone in (EAST, WEST)]
     assert max(shares) > 0
 
@@ -238,7 +238,7 @@
             assert all(host.outcomes[call, i] is not Outcome.TIMEOUT for i in range(len(endpoints_used) - 1))
         elif any(host.outcomes[call, i] is Outcome.TIMEOUT for i in range(len(endpoints_used))):
             assert len({host.zone_of[e] for e in endpoints_used}) == 1
-    unserved = [call for call in host.sent if answer in host.answers(call)]
+    unserved = [call for call in host.sent if answer in host.final_answers(call)]
     assert unserved  # their clients were told of the failure
 
 
--- a/tests/tier_support.py
+++ b/tests/tier_support.py
@@ -24,7 +24,7 @@
 SERVICE = "svc"
 HOST = "tier.example"
 EVENTS_PER_STREAM = 3
-FAILING = "fails"  # endpoints answer requests whose id starts with it with 500
+FAILING_PREFIX = "fails"  # endpoints answer requests whose id starts with it with 500
 MAX_PROGRAMS = 400
 
 
@@ -81,8 +81,8 @@
         self.identity = identity
         self.request_counts: Counter[str] = Counter()
         self.break_at_events = break_at_events
-        self.hold = threading.Event()  # while cleared, a stream pauses after each event
-        self.hold.set()
+        self.may_continue = threading.Event()  # while cleared, a stream pauses after each event
+        self.may_continue.set()
 
         class EndpointHandler(FakeServerHandler):
             def do_POST(self) -> None:
@@ -92,7 +92,7 @@
                     return
                 request_id = self.headers["Request-Id"]
                 endpoint.request_counts[request_id] += 1
-                if request_id.startswith(FAILING):
+                if request_id.startswith(FAILING_PREFIX):
                     self.reply(500, Request_Id=request_id)
                     return
                 first = int(self.headers.get("Last-Event-Id", -1)) + 1
@@ -113,7 +113,7 @@
                     event = f"id: {number}\ndata: {request_id} {number}\n\n".encode()
                     self.wfile.write(b"%x\r\n%s\r\n" % (len(event), event))
                     self.wfile.flush()
-                    endpoint.hold.wait(TIMEOUT_S)
+                    endpoint.may_continue.wait(TIMEOUT_S)
                 self.wfile.write(b"0\r\n\r\n")
 
         super().__init__(EndpointHandler)
@@ -177,7 +177,7 @@
         self.file = folder / f"{self.name}.conf"
         self.log = folder / f"{self.name}.log"
         self.file.write_text("".join(f"{key}={value}\n" for key, value in settings.items()))
-        self.source: Path | None = None  # folder with the packages to run; None: the code under test
+        self.package_folder: Path | None = None  # folder with the packages to run; None: the code under test
         self.module = f"eiderhub.programs.{role}"
         self.process: subprocess.Popen[bytes] | None = None
 
@@ -185,14 +185,16 @@
         environment = os.environ | {"OTTERCLEAT_CONFIG": str(self.file)}
         with self.log.open("ab") as log:
             command = [sys.executable, "-m", *self.module.split()]
-            self.process = subprocess.Popen(command, env=environment, stdout=log, stderr=log, cwd=self.source)
+            self.process = subprocess.Popen(
+                command, env=environment, stdout=log, stderr=log, cwd=self.package_folder
+            )
 
     def stop(self, how: signal.Signals = signal.SIGKILL) -> int:
         assert self.process is not None
         self.process.send_signal(how)
         return self.process.wait(TIMEOUT_S)
 
-    def said(self, text: str) -> int:
+    def count_logged(self, text: str) -> int:
         """Return how often the text occurs in the log."""
         return self.log.read_text().count(text)
 
@@ -207,12 +209,12 @@
         self, folder: Path, storage: int = 3, edges: int = 2, endpoints: list[Any] | None = None
     ) -> None:
         self.break_at_events: list[int] = []
-        self.engines = (
+        self.endpoints = (
             [FakeEndpoint("i-1", self.break_at_events), FakeEndpoint("i-2", self.break_at_events)]
             if endpoints is None
             else []
         )
-        self.platform = FakePlatform(self.engines if endpoints is None else endpoints)
+        self.platform = FakePlatform(self.endpoints if endpoints is None else endpoints)
         self.folder = folder
         base = 127 << 24 | (os.getpid() % 199 + 2) << 16  # a separate subnet for each concurrent test process
         addresses = iter(range(base + 1, base + 1 + MAX_PROGRAMS))
@@ -241,7 +243,7 @@
             settings |= {f"listen.{name}": f"{ip}:{port}" for name, port in ports.items()}
             self.programs.append(Program(role, number, folder, settings))
 
-    def of(self, role: str) -> list[Program]:
+    def with_role(self, role: str) -> list[Program]:
         return [program for program in self.programs if program.role == role]
 
     def start(self) -> None:
@@ -249,12 +251,12 @@
             program.start()
 
     def close(self) -> None:
-        for endpoint in self.engines:
-            endpoint.hold.set()
+        for endpoint in self.endpoints:
+            endpoint.may_continue.set()
         for program in self.programs:
             if program.process is not None and program.process.poll() is None:
                 program.stop()
-        for server in (*self.engines, self.platform):
+        for server in (*self.endpoints, self.platform):
             server.close()
 
     # --- calls ---
@@ -274,13 +276,13 @@
         finally:
             connection.close()
 
-    def operate(
+    def operator_call(
         self, method: str, path: str, body: bytes = b"", base: int | None = None
     ) -> tuple[int, bytes]:
         """Send an operator request to each control node in turn until one gives a definite answer."""
         headers = {} if base is None else {"If_Match": str(base)}
         last = (0, b"")
-        for program in self.of("control"):
+        for program in self.with_role("control"):
             if program.process is None or program.process.poll() is not None:
                 continue
             status, answer, answer_headers = self.call(program, "control", method, path, body, **headers)
@@ -293,32 +295,34 @@
                 break
         return last
 
-    def put(self, configuration: dict[str, Any], base: int) -> int:
+    def put_configuration(self, configuration: dict[str, Any], base: int) -> int:
         body = json.dumps(configuration).encode()
         return int(
             wait_until(
-                lambda: next((s for s, _ in [self.operate("PUT", "/config", body, base)] if 0 < s < 500), 0),
+                lambda: next(
+                    (s for s, _ in [self.operator_call("PUT", "/config", body, base)] if 0 < s < 500), 0
+                ),
                 f"an answer to configuration {configuration['generation']}",
             )
         )
 
     def configuration(self) -> dict[str, Any]:
         def read() -> dict[str, Any] | None:
-            status, body = self.operate("GET", "/config")
+            status, body = self.operator_call("GET", "/config")
             return json.loads(body) if status == 200 else None
 
         found = wait_until(read, "the configuration")
         assert isinstance(found, dict)
         return found
 
-    def ready(self, edge: Program) -> bool:
+    def is_ready(self, edge: Program) -> bool:
         return self.call(edge, "readiness", "GET", "/readyz")[0] == 200
 
     def wait_ready(self) -> None:
-        for edge in self.of("edge"):
-            wait_until(partial(self.ready, edge), f"{edge.name} ready")
+        for edge in self.with_role("edge"):
+            wait_until(partial(self.is_ready, edge), f"{edge.name} ready")
 
-    def ask(
+    def send_request(
         self, edge: Program, path: str, request_id: str, tokens: int = 0
     ) -> tuple[int, bytes, dict[str, str]]:
         headers = {
@@ -348,9 +352,9 @@
         status, body, _ = self.call(edge, "frontend", "GET", path, Host=HOST, Wait_Ms="500")
         return json.loads(body) if status == 200 else None
 
-    def leader(self, role: str) -> Program:
+    def primary(self, role: str) -> Program:
         """Return the running program that logged the highest epoch as primary."""
-        running = [p for p in self.of(role) if p.process is not None and p.process.poll() is None]
+        running = [p for p in self.with_role(role) if p.process is not None and p.process.poll() is None]
 
         def last(program: Program) -> int:
             lines = [line for line in program.log.read_text().splitlines() if "leads epoch" in line]
