--- a/tests/model/history.py
+++ b/tests/model/history.py
@@ -49,7 +49,8 @@
         for number, each in self.acknowledgements.items():
             if number != generation and each.base_generation == change.base_generation:
                 raise Broken(
-                    f"generations {number} and {generation} were both taken on top of {change.base_generation}"
+                    f"generations {number} and {generation} were both taken "
+                    f"on top of {change.base_generation}"
                 )
         order = sorted(self.acknowledgements)
         place = order.index(generation)
--- a/tests/model/planted.py
+++ b/tests/model/planted.py
@@ -53,7 +53,7 @@
 
 
 _on_replicated = Replica._on_replicated
-_take_chunk = Replica._stage_chunk
+_stage_chunk = Replica._stage_chunk
 _begin = ChangeProcessor._begin
 _age = Publication.age
 _next_state = retirement.next_state
@@ -70,7 +70,7 @@
 
 
 def _install_each_chunk(self: Replica, chunk: Any) -> bool:
-    return _take_chunk(self, msgspec.structs.replace(chunk, last=True))
+    return _stage_chunk(self, msgspec.structs.replace(chunk, last=True))
 
 
 def _answer_repeat_at_once(self: Any, now: float, order: Any) -> Any:
@@ -118,7 +118,7 @@
 
 
 def _enough_live(view: Any, size: Any) -> bool:
-    return bool(len(view.live) >= size.least)
+    return bool(len(view.live) >= size.min_live)
 
 
 def _all_synced(view: Any, size: Any) -> bool:
@@ -171,7 +171,7 @@
 
 
 def _note_on_arrival(freshness: Any, answer: Any, now: float) -> None:
-    freshness.answered(now, answer.age_s)
+    freshness.record_answer(now, answer.age_s)
 
 
 def _fate_of_any_epoch(self: Any, epoch: int) -> bool:
@@ -187,28 +187,31 @@
         "a granted epoch is granted again", 0, "crossings", ((witness, "is_new_epoch", _equal_epoch),)
     ),
     PlantedFault(
-        "a candidate may lack what the witness has", 0, "crossings", ((witness, "has_all", _always(True)),)
+        "a candidate may lack what the witness has",
+        0,
+        "crossings",
+        ((witness, "is_up_to_date", _always(True)),),
     ),
     PlantedFault(
         "a witness grants though it follows a primary",
         1,
         "restarted_between",
-        ((witness, "is_led", _always(False)),),
+        ((witness, "has_live_primary", _always(False)),),
     ),
     PlantedFault(
         "a witness grants at once after its start",
         1,
         "restarted_between",
-        ((witness, "is_young", _always(False)),),
+        ((witness, "is_recently_started", _always(False)),),
     ),
     PlantedFault(
         "not every member says that it is unled",
         1,
         "restarted_witnesses",
-        ((Replica, "_nobody_is_led", _some_are_unled),),
+        ((Replica, "_no_member_has_leader", _some_are_unled),),
     ),
     PlantedFault("the lease is longer than the election wait", 1, "crossings", (_timing(lease=1.8),)),
-    PlantedFault("there is no lease", 1, "beyond", ((Lease, "end", _always(float("inf"))),)),
+    PlantedFault("there is no lease", 1, "beyond", ((Lease, "expires_at", _always(float("inf"))),)),
     PlantedFault(
         "the lease counts from an answer's arrival",
         1,
@@ -219,7 +222,7 @@
         "a primary leads again in an epoch that it gave away",
         1,
         "frozen_successor",
-        ((Replica, "_take_back", _lead_again),),
+        ((Replica, "_abandon_transfer", _lead_again),),
     ),
     PlantedFault(
         "freshness counts from an answer's arrival",
@@ -249,7 +252,7 @@
         "an earlier epoch's write is committed by counting",
         2,
         "earlier_write_is_not_committed_by_counting",
-        ((Replica, "_commits", _always(True)),),
+        ((Replica, "_is_committed_by_majority", _always(True)),),
     ),
     PlantedFault(
         "two changes are decided at once, on what is written",
@@ -306,7 +309,7 @@
         "barred_replica_is_never_admitted",
         (
             (membership, "may_admit", _whoever_has_all),
-            (Roster, "candidates", _any_candidate),
+            (Roster, "join_candidates", _any_candidate),
             (
                 membership,
                 "next_learner",
@@ -355,31 +358,31 @@
         "a backup takes updates by their number alone",
         4,
         "updates_of_another_past_leave_a_gap",
-        ((Replica, "_follows", _same_version),),
+        ((Replica, "_follows_own_state", _same_version),),
     ),
     PlantedFault(
         "a state is known by its number alone",
         4,
         "state_of_another_past_is_not_counted",
-        ((Replica, "_knows", _not_newer),),
+        ((Replica, "_is_known_state", _not_newer),),
     ),
     PlantedFault(
         "a chunk is staged wherever it comes",
         4,
         "chunk_that_follows_nothing_is_refused",
-        ((Replica, "_continues", _always(True)),),
+        ((Replica, "_is_next_chunk", _always(True)),),
     ),
     PlantedFault(
         "a snapshot is installed before it is whole",
         4,
         "crossings",
-        ((Replica, "_take_chunk", _install_each_chunk),),
+        ((Replica, "_stage_chunk", _install_each_chunk),),
     ),
     PlantedFault(
         "a snapshot replaces a newer state",
         4,
         "older_snapshot_changes_nothing",
-        ((Replica, "_is_behind_us", _always(False)),),
+        ((Replica, "_already_has_snapshot", _always(False)),),
     ),
     PlantedFault(
         "updates during a snapshot are not staged", 4, "beyond", ((Disk, "stage_updates", _always(None)),)
--- a/tests/test_changed_keys.py
+++ b/tests/test_changed_keys.py
@@ -80,7 +80,7 @@
 
 
 def test_large_changes_require_a_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(recent_changes, "MOST_BYTES", 100)
+    monkeypatch.setattr(recent_changes, "MAX_CHANGED_BYTES", 100)
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
     store.apply([Update(pos(1), [Write("a", b"1")])])
     store.apply([Update(pos(2), [Write("a", b"x" * 200)])])
@@ -90,7 +90,7 @@
 @pytest.fixture(autouse=True)
 def default_retention(monkeypatch: pytest.MonkeyPatch) -> None:
     """Restore the production value, which other tests change."""
-    monkeypatch.setattr(recent_changes, "KEPT_UPDATES", DEFAULT_RETAINED_ENTRIES)
+    monkeypatch.setattr(recent_changes, "RETAINED_ENTRIES", DEFAULT_RETAINED_ENTRIES)
 
 
 def snapshots_after_power_failure(seed: int) -> int:
--- a/tests/test_edge_service.py
+++ b/tests/test_edge_service.py
@@ -62,7 +62,7 @@
     async def test() -> None:
         service = make_service(tmp_path, configuration_update(1))
         fail_once = FailOnce(Admission.update_routes)
-        monkeypatch.setattr(Admission, "follow_routes", fail_once)
+        monkeypatch.setattr(Admission, "update_routes", fail_once)
         service.tables.apply(configuration_update(2))
         service.tables.apply(EndpointsUpdate(TableVersion(1, 1), []))
         service._session._notify_update()
--- a/tests/test_items.py
+++ b/tests/test_items.py
@@ -180,7 +180,7 @@
                 await gates[number].wait()
                 return Refusal(ErrorKind.NO_ROOM, "the cap has run out") if number == 0 else None
 
-            monkeypatch.setattr(service._batch_calls, "_pay", pay)
+            monkeypatch.setattr(service._batch_calls, "_charge_tenant", pay)
             first = asyncio.create_task(sidecar.submit("job", "a"))
             await wait_until(lambda: len(paying) == 1, "the first call is being paid for")
             epoch = service.group.replica.epoch
@@ -307,7 +307,7 @@
     async def test() -> None:
         async with running_harness(tmp_path) as harness:
             service = harness.storage.service
-            monkeypatch.setattr(service._session, "fresh", lambda: True)
+            monkeypatch.setattr(service._session, "is_fresh", lambda: True)
             service._leading_since = service._now()
             assert service._known_routes() is None
             service._leading_since -= MAX_TABLE_AGE_S + 0.001
--- a/tests/test_items_model.py
+++ b/tests/test_items_model.py
@@ -135,7 +135,7 @@
     Fault(
         "an outcome is dropped while a session opens, and reports are not reconciled",
         (
-            (ItemTracker, "ended", _ended_dropping_unsent_outcomes),
+            (ItemTracker, "mark_ended", _ended_dropping_unsent_outcomes),
             (Dispatcher, "report", _report_without_reconciling),
         ),
     ),
@@ -144,7 +144,7 @@
     Fault(
         "items of disconnected sidecars are not reclaimed", ((Dispatcher, "tick", _tick_without_reclaiming),)
     ),
-    Fault("a primary keeps timed-out sessions", ((Dispatcher, "silent", lambda self, now: []),)),
+    Fault("a primary keeps timed-out sessions", ((Dispatcher, "timed_out_sessions", lambda self, now: []),)),
     Fault("a sidecar keeps a timed-out session", ((ItemTracker, "is_silent", lambda self, now: False),)),
     Fault("a result is sent only once per session", ((ItemTracker, "tick", _tick_without_resending),)),
     Fault("the table of an earlier epoch is kept", ((Dispatcher, "begin", _begin_without_loading),)),
--- a/tests/test_nearer_session.py
+++ b/tests/test_nearer_session.py
@@ -66,8 +66,8 @@
 
 @pytest.fixture(autouse=True)
 def short_intervals(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control_session, "NEARER_S", 0.0)
-    monkeypatch.setattr(control_session, "PING_S", 0.01)
+    monkeypatch.setattr(control_session, "SAME_ZONE_CHECK_INTERVAL_S", 0.0)
+    monkeypatch.setattr(control_session, "PING_INTERVAL_S", 0.01)
 
 
 @asynccontextmanager
--- a/tests/test_upgrades_model.py
+++ b/tests/test_upgrades_model.py
@@ -59,10 +59,10 @@
 
 
 FAULTS: list[tuple[Schedule, tuple[Patch, ...]]] = [
-    (upgrades.upgraded_at_once, ((replication, "next_form", _raise_at_once),
-                                 (Replica, "_refuse_unreadable", lambda self, message: None))),
-    (upgrades.stale_program_joins, ((Replica, "_refuse_unreadable", lambda self, message: None),)),
-    (upgrades.upgraded_at_once, ((replication, "next_form", _raise_at_once),)),
+    (upgrades.upgraded_at_once, ((replication, "next_format", _raise_at_once),
+                                 (Replica, "_reject_unreadable_format", lambda self, message: None))),
+    (upgrades.stale_program_joins, ((Replica, "_reject_unreadable_format", lambda self, message: None),)),
+    (upgrades.upgraded_at_once, ((replication, "next_format", _raise_at_once),)),
 ]  # fmt: skip
 
 
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -118,7 +118,9 @@
     assert store.identity and store.position.version > 10
     table = JobTable(store)
     table.load()
-    assert {name: (len(job.items), job.committed_positions, job.record.ended) for name, job in table.jobs.items()} == {
+    assert {
+        name: (len(job.items), job.committed_positions, job.record.ended) for name, job in table.jobs.items()
+    } == {
         "job-done": (3, 3, False), "job-open": (4, 1, False), "job-ended": (3, 0, True),
     }  # fmt: skip
     assert table.body("job-open", "i1") == b"i1"
--- a/tests/test_wire_versions.py
+++ b/tests/test_wire_versions.py
@@ -117,7 +117,7 @@
 
 def test_missing_feature_check_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     """Fault injection: every message is sent to every peer."""
-    monkeypatch.setattr(frames, "takes", lambda support, message: True)
+    monkeypatch.setattr(frames, "can_send", lambda support, message: True)
     with pytest.raises((AssertionError, msgspec.DecodeError)):
         test_peer_without_declared_support_is_sent_only_what_the_oldest_release_reads(WIRE_COUNTS)
 
