--- a/tests/golden/record.py
+++ b/tests/golden/record.py
@@ -92,8 +92,8 @@
     )
     wait_until(lambda: tier.submit(edge, "job-done", ITEMS) == 202, "a job taken")
     wait_until(lambda: _count(tier, "job-done") == len(ITEMS), "it is done")
-    for engine in tier.endpoints:
-        engine.may_continue.clear()  # from here on nothing is finished
+    for endpoint in tier.endpoints:
+        endpoint.may_continue.clear()  # from here on nothing is finished
     wait_until(
         lambda: tier.submit(edge, "job-open", [*ITEMS, f"{FAILING_PREFIX}-1"]) == 202, "another job taken"
     )
--- a/tests/items_support.py
+++ b/tests/items_support.py
@@ -99,11 +99,11 @@
         self.calls: dict[str, Call] = {}  # by item
         self.ordered: list[str] = []
         self.endpoints_answer = True  # whether endpoints answer this sidecar
-        self._answers = 0
+        self._response_count = 0
 
-    def answers(self) -> int:
-        self._answers += self.endpoints_answer
-        return self._answers
+    def response_count(self) -> int:
+        self._response_count += self.endpoints_answer
+        return self._response_count
 
     @staticmethod
     def now_us() -> int:
@@ -128,12 +128,12 @@
 
     def start_item(self, item: str) -> None:
         """Deliver the first event of an item."""
-        self._answers += 1
+        self._response_count += 1
         self.calls[item].sink.event(Event(b"", 0, f"text of {item}"))
 
     def finish_item(self, item: str) -> None:
         call = self.calls.pop(item)
-        self._answers += 1
+        self._response_count += 1
         call.sink.event(Event(b"", 0, f"text of {item}"))
         call.sink.finish()
 
@@ -157,7 +157,7 @@
         return cast(Any, admission) is self.admission
 
     def response_count(self) -> int:
-        return self.admission.answers()
+        return self.admission.response_count()
 
     async def reaches_endpoint(self) -> bool:
         return await self.admission.reaches_endpoint()
--- a/tests/model/items.py
+++ b/tests/model/items.py
@@ -42,7 +42,7 @@
 
 SIDECARS = 4
 ENDPOINTS, PLACES = 40, 80
-TERMS = BatchLimits("lots", 10.0, 1_000.0, 3, 0.0)
+LIMITS = BatchLimits("lots", 10.0, 1_000.0, 3, 0.0)
 ACCEPT_S = 0.6
 RETRY_S = 0.1
 TEND_S = 0.25
@@ -269,7 +269,7 @@
         if link is None or not link.carries or link.sidecar.link is not link:
             return
         coming = {message.key for message in link.down if isinstance(message, RunItem)}
-        wrong = [key for key in items if key in coming or key in link.sidecar.ledger.keys]
+        wrong = [key for key in items if key in coming or key in link.sidecar.tracker.keys]
         if wrong:
             raise Broken(f"{self._world.seed}: {wrong[0]} is taken back from {node}, which has it")
 
@@ -281,7 +281,7 @@
                 self._links[session].close_at_group()
             self.dispatcher.assign_items(now, now)
             self.flush()
-            for item in self.table.undeliverable_items(now, {TERMS.route}):
+            for item in self.table.undeliverable_items(now, {LIMITS.route}):
                 self._bury(item.key)
         self._world.timeline.after(0.05, self._tick)
 
@@ -311,7 +311,7 @@
             {"id": item, "path": "/", "tokens": 1, "body": base64.b64encode(b"b").decode()} for item in items
         ]
         body = msgspec.json.encode({"requests": requests})
-        made = self.table.submit(self._world.timeline.now, job, TERMS, body)
+        made = self.table.submit(self._world.timeline.now, job, LIMITS, body)
         assert not isinstance(made, Refusal)
 
         def done() -> None:
@@ -333,7 +333,7 @@
 
 
 class SidecarProcess:
-    """One sidecar: the product's ledger, and attempts that end as chance has it."""
+    """One sidecar: the product's item tracker, and attempts that end as chance has it."""
 
     def __init__(self, world: World, group: StorageGroup, name: str) -> None:
         self._world = world
@@ -342,7 +342,7 @@
         self.alive = True
         self.frozen_until = 0.0
         self.link: Link | None = None
-        self.ledger = ItemTracker(name, "z")
+        self.tracker = ItemTracker(name, "z")
         self._attempts: dict[ItemKey, int] = {}  # serial of the attempt that runs
         self._moving: set[ItemKey] = set()  # those at an endpoint that works on them
         self._serial = 0
@@ -366,12 +366,12 @@
 
     def _later(self, delay: float, call: Callable[[], None]) -> None:
         """Do something in this process's time: not while it is frozen, and not after its end."""
-        ledger = self.ledger
+        tracker = self.tracker
 
         def due() -> None:
             if self.frozen:
                 self._world.timeline.at(self.frozen_until, due)
-            elif self.alive and self.ledger is ledger:
+            elif self.alive and self.tracker is tracker:
                 call()
 
         self._world.timeline.after(delay, due)
@@ -391,7 +391,7 @@
     def start(self) -> None:
         if not self.alive:
             self.alive = True
-            self.ledger = ItemTracker(self.name, "z")
+            self.tracker = ItemTracker(self.name, "z")
             self._tend()
 
     # --- the session ---
@@ -400,22 +400,22 @@
         now = self._world.timeline.now
         if self.link is None:
             self._connect()
-        elif self.ledger.is_silent(now):
+        elif self.tracker.is_silent(now):
             self.link.close_at_sidecar()
         else:
             if self._world.standstills and not self.stuck:
-                self.ledger.endpoint_answered()  # its live calls
-            self._send(self.ledger.tick(now))
+                self.tracker.endpoint_answered()  # its live calls
+            self._send(self.tracker.tick(now))
         self._later(RETRY_S if self.link is None else TEND_S, self._tend)
 
     def _connect(self) -> None:
         if self._world.unreachable(self) or not self._group.leading:
             return
         link = self.link = Link(self._world, self, self._group)
-        link.send_up(self.ledger.open_session())
+        link.send_up(self.tracker.open_session())
 
         def give_up() -> None:
-            if self.link is link and not self.ledger.accepted:
+            if self.link is link and not self.tracker.accepted:
                 link.close_at_sidecar()
 
         self._later(ACCEPT_S, give_up)
@@ -423,27 +423,27 @@
     def closed(self, link: Link) -> None:
         if link is self.link:
             self.link = None
-            self.ledger.end_session()
+            self.tracker.end_session()
 
     def receive(self, link: Link, message: BatchMessage) -> None:
         if link is not self.link or not self.alive:
             return
         now = self._world.timeline.now
-        self.ledger.message_received(now)
+        self.tracker.message_received(now)
         if isinstance(message, WorkerAccepted):
-            self._send(self.ledger.accept_session(now))
+            self._send(self.tracker.accept_session(now))
         elif isinstance(message, Redirect):
             link.close_at_sidecar()
         elif isinstance(message, RunItem):
             self._run(message)
         elif isinstance(message, CancelItem):
-            self.ledger.remove_item(message.key)
+            self.tracker.remove_item(message.key)
             self._attempts.pop(message.key, None)
         elif isinstance(message, ItemStored):
-            self.ledger.remove_item(message.key)
+            self.tracker.remove_item(message.key)
         elif isinstance(message, ProbeEndpoints) and not self.stuck:
             self._later(
-                self._world.rng.uniform(0.001, 0.3), lambda: self._send(self.ledger.probe_answered(now))
+                self._world.rng.uniform(0.001, 0.3), lambda: self._send(self.tracker.probe_answered(now))
             )
 
     def _send(self, messages: list[BatchMessage]) -> None:
@@ -455,7 +455,7 @@
 
     def _run(self, order: RunItem) -> None:
         key = order.key
-        if self.ledger.receive_order(key) is OrderResult.ALREADY_HELD:
+        if self.tracker.receive_order(key) is OrderResult.ALREADY_HELD:
             return
         self._serial += 1
         serial = self._attempts[key] = self._serial
@@ -480,7 +480,7 @@
             if self._attempts.get(key) == serial:
                 del self._attempts[key]
                 self._moving.discard(key)
-                self._send(self.ledger.mark_ended(self._world.timeline.now, outcome))
+                self._send(self.tracker.mark_ended(self._world.timeline.now, outcome))
 
         self._later(delay, ended)
 
@@ -493,7 +493,7 @@
     def _begin(self, key: ItemKey, serial: int) -> None:
         """The item's first event comes."""
         if self._attempts.get(key) == serial:
-            self._send(self.ledger.mark_started(key))
+            self._send(self.tracker.mark_started(key))
 
 
 class Trouble(Enum):
@@ -585,7 +585,7 @@
         now = self.timeline.now
         able = False
         for sidecar in self.sidecars:
-            able |= sidecar.alive and not sidecar.stuck and sidecar.ledger.accepted
+            able |= sidecar.alive and not sidecar.stuck and sidecar.tracker.accepted
             self.worked_on.update((key, now) for key in sidecar.works_on())
         idle = now - self.finished_at > FINISHED_LATELY_S
         if able and idle and now > TROUBLE_S + SETTLED_S + LYING_S:
@@ -639,9 +639,9 @@
 
     def _check_sides(self) -> None:
         for sidecar in self.sidecars:
-            held = len(sidecar.ledger) if sidecar.alive else 0
+            held = len(sidecar.tracker) if sidecar.alive else 0
             if held or self.group.table.running_count(sidecar.name):
                 taken = self.group.table.running_count(sidecar.name)
                 raise Broken(f"{self.seed}: {sidecar.name} holds {held} items, and is taken to hold {taken}")
-            if sidecar.alive and not sidecar.ledger.accepted:
+            if sidecar.alive and not sidecar.tracker.accepted:
                 raise Broken(f"{self.seed}: {sidecar.name} has no session")
--- a/tests/model/members.py
+++ b/tests/model/members.py
@@ -1,6 +1,7 @@
 """Control machines of the model: a disk, and a process around the real parts while it runs.
 
-The process is a driver without sockets: replica, roster, desk and publication are the product's own.
+The process is a driver without sockets: replica, roster, change processor and publication are the
+product's own.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
         self.removed = False
         self.frozen = False
         self.lives = 0
-        self.forms = world.installed  # what the program that runs there reads and writes
+        self.formats = world.installed  # what the program that runs there reads and writes
         self._buffered: list[Callable[[], None]] = []
         rng = world.rng
         self.clock = Clock(rng.uniform(10.0, 100.0), 1.0 + rng.uniform(-0.01, 0.01))
@@ -158,13 +159,13 @@
             rng,
             self.world.size,
             self.world.timing,
-            machine.forms,
+            machine.formats,
         )
         self.roster = Roster(machine.identity, machine.zone)
-        self.desk: ChangeProcessor[Any] = ChangeProcessor(self.replica, machine.disk)
+        self.change_processor: ChangeProcessor[Any] = ChangeProcessor(self.replica, machine.disk)
         self.tables = Tables()
         self.freshness = Freshness()
-        self.publication = Publication(self.tables, self.freshness, self.replica, self.desk)
+        self.publication = Publication(self.tables, self.freshness, self.replica, self.change_processor)
         self.alive = True
         self.loaded_epoch = 0  # that it leads, with its state as it was then
         self.seen_acknowledged = 0  # acknowledgements that were looked for in its state as a primary
@@ -275,7 +276,7 @@
         # In one order, whatever the order of sets is in this interpreter: the same seed, the same run.
         for outgoing in sorted(outbox, key=lambda each: each.recipient):
             self._send(address_of(outgoing.recipient), outgoing.message)
-        for answer in self.desk.step(self.machine.now):
+        for answer in self.change_processor.step(self.machine.now):
             self.world.answered(answer)
         self.publication.begin_epoch(self.machine.now)
         self.publication.publish_newest(self.machine.now)
@@ -317,12 +318,12 @@
     # --- others ---
 
     def order(self, change: Change, caller: Any) -> None:
-        self.desk.submit(change, caller)
+        self.change_processor.submit(change, caller)
         self.after_step()
 
     def read(self) -> int | None:
         """The newest generation, as `GET /config` would answer; None: no clear answer."""
-        newest = self.desk.newest(self.machine.now)
+        newest = self.change_processor.newest(self.machine.now)
         return None if newest is None else newest.generation
 
     def follow(self, follower: Any, send: Callable[[Any], None], message: Any) -> None:
--- a/tests/model/planted.py
+++ b/tests/model/planted.py
@@ -113,7 +113,7 @@
     return bool(position.version <= self.position.version)
 
 
-def _leads_unsettled(self: Replica, now: float) -> bool:
+def _leads_with_uncommitted_writes(self: Replica, now: float) -> bool:
     return self.leads(now)
 
 
@@ -129,7 +129,7 @@
     return learner not in view.leaving and bool(view.heard(learner))
 
 
-def _whoever_has_all(view: Any, learner: str) -> bool:
+def _whoever_is_up_to_date(view: Any, learner: str) -> bool:
     return bool(view.synced(learner)) and bool(view.heard(learner))
 
 
@@ -137,7 +137,7 @@
     return bool(request.epoch >= view.epoch)
 
 
-def _some_are_unled(self: Replica, now: float) -> bool:
+def _some_have_no_leader(self: Replica, now: float) -> bool:
     return self._recently_started(now) or bool(self._members_without_leader)
 
 
@@ -166,15 +166,17 @@
     return self.retired
 
 
-def _forget_taken(current: Any, taken: Any, forgotten: int, change: Any, document: Any) -> Any:
-    return _decide(current, None, forgotten, change, document)
+def _forget_recorded_digest(
+    current: Any, recorded_digest: Any, last_purged: int, change: Any, document: Any
+) -> Any:
+    return _decide(current, None, last_purged, change, document)
 
 
 def _note_on_arrival(freshness: Any, answer: Any, now: float) -> None:
     freshness.record_answer(now, answer.age_s)
 
 
-def _fate_of_any_epoch(self: Any, epoch: int) -> bool:
+def _outcome_of_any_epoch(self: Any, epoch: int) -> bool:
     return self._replica.role is Role.PRIMARY
 
 
@@ -205,10 +207,10 @@
         ((witness, "is_recently_started", _always(False)),),
     ),
     PlantedFault(
-        "not every member says that it is unled",
+        "not every member says that it has no leader",
         1,
         "restarted_witnesses",
-        ((Replica, "_no_member_has_leader", _some_are_unled),),
+        ((Replica, "_no_member_has_leader", _some_have_no_leader),),
     ),
     PlantedFault("the lease is longer than the election wait", 1, "crossings", (_timing(lease=1.8),)),
     PlantedFault("there is no lease", 1, "beyond", ((Lease, "expires_at", _always(float("inf"))),)),
@@ -270,20 +272,23 @@
         ((ChangeProcessor, "newest", _read_what_is_written),),
     ),
     PlantedFault(
-        "a change that was taken is not remembered", 2, "within", ((configuration, "decide", _forget_taken),)
+        "a change that was taken is not remembered",
+        2,
+        "within",
+        ((configuration, "decide", _forget_recorded_digest),),
     ),
     PlantedFault(
         "a waiter is told of another epoch's commit",
         2,
         "waiter_of_an_earlier_epoch_is_told_nothing_certain",
-        ((CommitQueue, "_leads_epoch", _fate_of_any_epoch),),
+        ((CommitQueue, "_leads_epoch", _outcome_of_any_epoch),),
     ),
     PlantedFault("a silent member stays for six seconds", 3, "within", (_timing(replace_after=6.0),)),
     PlantedFault(
         "members change on top of an uncommitted change",
         3,
         "two_join_while_cut",
-        ((Replica, "_may_change_members", _leads_unsettled),),
+        ((Replica, "_may_change_members", _leads_with_uncommitted_writes),),
     ),
     PlantedFault(
         "a member goes before the others have all",
@@ -308,7 +313,7 @@
         3,
         "barred_replica_is_never_admitted",
         (
-            (membership, "may_admit", _whoever_has_all),
+            (membership, "may_admit", _whoever_is_up_to_date),
             (Roster, "join_candidates", _any_candidate),
             (
                 membership,
--- a/tests/model/traces.py
+++ b/tests/model/traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces, each about one guard: what a replica, a desk or a judge does with a few messages."""
+"""Recorded traces, each about one guard: what a replica, a queue or a rule does with a few messages."""
 
 from __future__ import annotations
 
--- a/tests/model/upgrades.py
+++ b/tests/model/upgrades.py
@@ -20,24 +20,24 @@
 )
 from tests.model.world import World
 
-NEXT_FORM = FIRST_FORMAT + 1
-# Three landings: one that knows the first form alone, one that reads the next form, one that writes it.
+NEXT_FORMAT = FIRST_FORMAT + 1
+# Three landings: one that knows the first format alone, one that reads the next format, one that writes it.
 FIRST = RecordFormats(FIRST_FORMAT, FIRST_FORMAT)
-READS = RecordFormats(NEXT_FORM, FIRST_FORMAT)
-WRITES = RecordFormats(NEXT_FORM, NEXT_FORM)
-RAISED_WITHIN_S = 3.0  # the form, once all members read it and are there
+READS = RecordFormats(NEXT_FORMAT, FIRST_FORMAT)
+WRITES = RecordFormats(NEXT_FORMAT, NEXT_FORMAT)
+RAISED_WITHIN_S = 3.0  # the format, once all members read it and are there
 BACK_SHARE = 0.3  # of machines that are put back at first
 
 Between = Callable[[World, Machine], float]
 
 
-def _start_again(world: World, machine: Machine, forms: RecordFormats) -> None:
+def _start_again(world: World, machine: Machine, formats: RecordFormats) -> None:
     """Stop a program as planned, and start another landing's on the same disk."""
     if machine.process is not None and machine.process.replica.transfer_leadership(machine.now):
         machine.process.after_step()
         world.run(0.4)
     machine.kill()
-    machine.forms = forms
+    machine.formats = formats
     world.run(world.rng.uniform(0.05, 0.3))
     machine.start()
 
@@ -67,7 +67,7 @@
         world.run(world.rng.uniform(0.0, 2.0))
 
 
-def _forms(world: World) -> set[int]:
+def _formats(world: World) -> set[int]:
     """That the group writes, as its running members have it; a spare has no state, or an old one."""
     replicas = [m.process.replica for m in world.machines.values() if m.process is not None]
     members = {member for leader in world.leaders() for member in leader.replica.members}
@@ -75,24 +75,24 @@
 
 
 def upgraded_over_two_landings(world: World) -> None:
-    """The form stays until the landing that writes it, and rises once all members run that."""
+    """The format stays until the landing that writes it, and rises once all members run that."""
     world.run(1.0)
     troubles = [cut, cut_pair, freeze, hand_over]
     _upgrade_all(world, FIRST, READS, list(troubles))
     recover(world)
     world.run_until(
-        lambda: _forms(world) == {FIRST_FORMAT}, LEADS_WITHIN_S, "the first form is still written"
+        lambda: _formats(world) == {FIRST_FORMAT}, LEADS_WITHIN_S, "the first format is still written"
     )
     _upgrade_all(world, READS, WRITES, list(troubles))
     recover(world)
-    world.run_until(lambda: _forms(world) == {NEXT_FORM}, RAISED_WITHIN_S, "the next form is written")
+    world.run_until(lambda: _formats(world) == {NEXT_FORMAT}, RAISED_WITHIN_S, "the next format is written")
     serve(world)
 
 
 def upgraded_at_once(world: World) -> None:
-    """Against the rule of two landings: one that reads and writes the next form at once, never put back.
+    """Against the rule of two landings: one that reads and writes the next format at once, never put back.
 
-    The form must wait for the last member all the same.
+    The format must wait for the last member all the same.
     """
     world.run(1.0)
     machines = list(world.machines.values())
@@ -102,28 +102,28 @@
             m.process is not None and m.process.replica.record_format != FIRST_FORMAT for m in machines
         )
         if raised and world.size.target is None:  # else the last may be a spare, which is no member
-            raise Broken("the next form is written before each machine reads it")
+            raise Broken("the next format is written before each machine reads it")
         _start_again(world, machine, WRITES)
         world.run(world.rng.uniform(0.5, 2.0))
     recover(world)
-    world.run_until(lambda: _forms(world) == {NEXT_FORM}, RAISED_WITHIN_S, "the next form is written")
+    world.run_until(lambda: _formats(world) == {NEXT_FORMAT}, RAISED_WITHIN_S, "the next format is written")
     serve(world)
 
 
 def stale_program_joins(world: World) -> None:
-    """A group writes the next form; a machine comes with a program that does not read it."""
+    """A group writes the next format; a machine comes with a program that does not read it."""
     world.run(1.0)
     for machine in world.machines.values():
         _start_again(world, machine, WRITES)
     recover(world)
-    world.run_until(lambda: _forms(world) == {NEXT_FORM}, RAISED_WITHIN_S, "the next form is written")
+    world.run_until(lambda: _formats(world) == {NEXT_FORMAT}, RAISED_WITHIN_S, "the next format is written")
     made = world.add_machine()
-    made.forms = FIRST
+    made.formats = FIRST
     world.introduce()
     made.start()
     world.run(4.0)
     if world.size.target is None:  # a group that wants no more members teaches it nothing
-        assert made.process is not None and made.process.replica.unreadable_format == NEXT_FORM
+        assert made.process is not None and made.process.replica.unreadable_format == NEXT_FORMAT
     assert all(made.identity not in m.process.replica.members
                for m in world.machines.values() if m.process is not None)  # fmt: skip
     made.remove()
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -150,18 +150,20 @@
             process = machine.process
             if process is None:
                 continue
-            self._check_form(process)
+            self._check_format(process)
             position, data = process.replica.position, machine.disk.data
             other = self._states.setdefault(position, dict(data))
             if other != data:
                 raise Broken(f"{process.identity} differs from another replica at {position}")
 
     @staticmethod
-    def _check_form(process: Process) -> None:
-        """Nobody's disk holds a state in a form that the program there does not read."""
-        form = decode_format(process.machine.disk.data.get(FORMAT_KEY))
-        if form > process.machine.forms.reads:
-            raise Broken(f"{process.identity} has records of form {form}, which its program does not read")
+    def _check_format(process: Process) -> None:
+        """Nobody's disk holds a state in a format that the program there does not read."""
+        record_format = decode_format(process.machine.disk.data.get(FORMAT_KEY))
+        if record_format > process.machine.formats.reads:
+            raise Broken(
+                f"{process.identity} has records of format {record_format}, which its program does not read"
+            )
 
     def settled(self) -> bool:
         """Whether one replica leads, its group is as large as it should be, and all have its state."""
--- a/tests/soak/older.py
+++ b/tests/soak/older.py
@@ -19,24 +19,24 @@
 from eiderhub.transport.frames import DEFLATED_FLAG, LENGTH_PREFIX, FrameError, Message, UnknownMessage  # noqa: E402
 from eiderhub.transport.wire_counts import FrameFault  # noqa: E402
 
-_decoded = frames.decode_frame
+_decode_frame = frames.decode_frame
 
 
-def decoded(buffer: bytearray, start: int, end: int) -> Message | UnknownMessage:
+def decode_frame(buffer: bytearray, start: int, end: int) -> Message | UnknownMessage:
     """What a program of wire version 1 would make of a frame.
 
     Raises:
-        FrameBroken: it knows no such frame.
+        FrameError: it knows no such frame.
     """
     if LENGTH_PREFIX.unpack_from(buffer, start)[0] & DEFLATED_FLAG:
         raise FrameError(FrameFault.OVERSIZED)
-    message = _decoded(buffer, start, end)
+    message = _decode_frame(buffer, start, end)
     if isinstance(message, UnknownMessage) or type(message) in frames.REQUIRED_FEATURE:
         raise FrameError(FrameFault.INVALID, str(message))
     return message
 
 
 if __name__ == "__main__":
-    frames.decode_frame = decoded
+    frames.decode_frame = decode_frame
     role = sys.argv.pop(1)
     runpy.run_module(f"eiderhub.programs.{role}", run_name="__main__")
--- a/tests/test_items.py
+++ b/tests/test_items.py
@@ -172,23 +172,23 @@
             service = harness.storage.service
             sidecar, other = await harness.add_sidecar("edge-0"), await harness.add_sidecar("edge-1")
             gates = [asyncio.Event(), asyncio.Event()]
-            paying: list[int] = []
+            charging: list[int] = []
 
-            async def pay(route: str, tokens: int) -> Refusal | None:
-                paying.append(len(paying))
-                number = paying[-1]
+            async def charge_tenant(route: str, tokens: int) -> Refusal | None:
+                charging.append(len(charging))
+                number = charging[-1]
                 await gates[number].wait()
                 return Refusal(ErrorKind.NO_ROOM, "the cap has run out") if number == 0 else None
 
-            monkeypatch.setattr(service._batch_calls, "_charge_tenant", pay)
+            monkeypatch.setattr(service._batch_calls, "_charge_tenant", charge_tenant)
             first = asyncio.create_task(sidecar.submit("job", "a"))
-            await wait_until(lambda: len(paying) == 1, "the first call is being paid for")
+            await wait_until(lambda: len(charging) == 1, "the first call is being charged")
             epoch = service.group.replica.epoch
             service.group._resign()
             await wait_until(lambda: service.group.leads() and service._epoch > epoch, "another epoch")
             await wait_until(other.runner._session_ready.is_set, "a session")
             second = asyncio.create_task(other.submit("job", "a"))
-            await wait_until(lambda: len(paying) == 2, "the second call is being paid for")
+            await wait_until(lambda: len(charging) == 2, "the second call is being charged")
             gates[0].set()
             assert await first in (503, 504)
             third = asyncio.create_task(other.submit("job", "a"))
@@ -346,13 +346,13 @@
 @pytest.mark.parametrize(
     ("slo_ms", "tries", "checks"), [(100, 0, 3), (616, 0, 3), (757, 5, 3), (1_200, 0, 4), (9_000, 0, 16)]
 )
-@pytest.mark.parametrize("still", [False, True])
+@pytest.mark.parametrize("no_data", [False, True])
 def test_item_that_no_endpoint_accepts_is_returned_by_its_objective(
-    slo_ms: int, tries: int, checks: int, still: bool
+    slo_ms: int, tries: int, checks: int, no_data: bool
 ) -> None:
     """Regardless of other calls at the sidecar and of earlier returns of the item."""
     item = running_item(slo_ms, tries)
-    assert [item.check_stalled(still) for _ in range(checks + 1)] == [False] * checks + [True]
+    assert [item.check_stalled(no_data) for _ in range(checks + 1)] == [False] * checks + [True]
 
 
 def test_started_item_is_not_returned_because_of_other_calls() -> None:
--- a/tests/test_upgrades_model.py
+++ b/tests/test_upgrades_model.py
@@ -68,7 +68,8 @@
 
 @pytest.mark.parametrize(
     ("schedule", "patches"), FAULTS,
-    ids=["a record in the new form too early", "a form that is not read is taken", "the form rises early"],
+    ids=["a record in the new format too early", "a format that is not read is taken",
+         "the format rises early"],
 )  # fmt: skip
 def test_planted_fault_is_found(schedule: Schedule, patches: tuple[Patch, ...]) -> None:
     with patched(patches), pytest.raises((Broken, AssertionError)):
@@ -87,7 +88,7 @@
         (1, RecordFormats(2, 2), [], 2),
     ],
 )
-def test_a_form_rises_once_each_member_reads_it(
+def test_format_rises_once_each_member_reads_it(
     current: int, own: RecordFormats, members: list[int], expected: int | None
 ) -> None:
     assert next_format(current, own, members) == expected
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -144,7 +144,7 @@
     assert kept is None or len(msgspec.msgpack.decode(kept, type=list[EndpointRecord])) == 2
 
 
-def test_a_store_in_a_form_that_is_not_read_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
+def test_a_store_in_a_format_that_is_not_read_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
     store = LmdbStore(tmp_path, DISK_MB, "id@h:1")
     store.apply([Update(Position(1, 1), [Write(FORMAT_KEY, b"2")])])
     store.close()
