--- a/eiderhub/sidecar/process.py
+++ b/eiderhub/sidecar/process.py
@@ -83,7 +83,7 @@
         others = process_locks.count_others()
         available = sockets / (1 + others)
         if directory and not others and not check % CHECKS_PER_MEMORY_WRITE:
-            write_memory(directory, host.balancer.learned(now_us()))
+            write_memory(directory, host.balancer.learned_state(now_us()))
         server.max_connections = max(1, int(CALLER_SOCKETS_FRACTION * available))
         host.upstream.limit(max(1, int(UPSTREAM_SHARE * available)))
         await asyncio.sleep(PROCESS_CHECK_INTERVAL_S)
@@ -172,7 +172,7 @@
             and process_locks.count_others()
             and (predecessor_memory := read_memory(directory)) is not None
         ):
-            host.balancer.recall(now_us(), predecessor_memory)
+            host.balancer.restore(now_us(), predecessor_memory)
             log.info("restored the balancer state of the serving process")
         background_coroutines.append(share_resources(process_locks, server, host, sockets, directory))
     background = [loop.create_task(coroutine) for coroutine in background_coroutines]
--- a/tests/model/members.py
+++ b/tests/model/members.py
@@ -1,6 +1,7 @@
 """Control machines of the model: a disk, and a process around the real parts while it runs.
 
-The process is a driver without sockets: replica, roster, desk and publication are the product's own.
+The process is a driver without sockets: replica, roster, change processor and publication are the
+product's own.
 """
 
 from __future__ import annotations
@@ -10,10 +11,10 @@
 from functools import partial
 from typing import Any, Protocol
 
+from eiderhub.control.change_processor import ChangeProcessor, ChangeResult
 from eiderhub.control.configuration import Change
-from eiderhub.control.desk import Answer, Desk
 from eiderhub.control.distribution import Subscriber, Tables
-from eiderhub.control.freshness import FRESH_S, Freshness
+from eiderhub.control.freshness import MAX_TABLE_AGE_S, Freshness
 from eiderhub.control.messages import (
     Hello,
     NodeRecord,
@@ -22,7 +23,7 @@
     SessionPong,
 )
 from eiderhub.control.publication import Publication
-from eiderhub.coordination.forms import StateForms
+from eiderhub.coordination.forms import RecordFormats
 from eiderhub.coordination.messages import REPLICA_MESSAGES
 from eiderhub.coordination.replication import Replica, Role
 from eiderhub.coordination.roster import Roster, address_of
@@ -50,7 +51,7 @@
         self.removed = False
         self.frozen = False
         self.lives = 0
-        self.forms = world.installed  # what the program that runs there reads and writes
+        self.formats = world.installed  # what the program that runs there reads and writes
         self._buffered: list[Callable[[], None]] = []
         rng = world.rng
         self.clock = Clock(rng.uniform(10.0, 100.0), 1.0 + rng.uniform(-0.01, 0.01))
@@ -128,12 +129,12 @@
     rng: random.Random
     size: GroupSize
     timing: Timing
-    installed: StateForms
+    installed: RecordFormats
     machines: dict[str, Machine]
 
     def make_disk(self) -> Disk: ...
 
-    def answered(self, answer: Answer[Any]) -> None: ...
+    def answered(self, answer: ChangeResult[Any]) -> None: ...
 
     def stepped(self, process: Process) -> None:
         """A primary has done something."""
@@ -158,13 +159,13 @@
             rng,
             self.world.size,
             self.world.timing,
-            machine.forms,
+            machine.formats,
         )
         self.roster = Roster(machine.identity, machine.zone)
-        self.desk: Desk[Any] = Desk(self.replica, machine.disk)
+        self.change_processor: ChangeProcessor[Any] = ChangeProcessor(self.replica, machine.disk)
         self.tables = Tables()
         self.freshness = Freshness()
-        self.publication = Publication(self.tables, self.freshness, self.replica, self.desk)
+        self.publication = Publication(self.tables, self.freshness, self.replica, self.change_processor)
         self.alive = True
         self.loaded_epoch = 0  # that it leads, with its state as it was then
         self.seen_acknowledged = 0  # acknowledgements that were looked for in its state as a primary
@@ -199,7 +200,7 @@
         for address, machine in self.world.machines.items():
             if machine is not self.machine and not machine.removed:
                 self._connect(address, machine)
-        self.roster.tend(self.replica)
+        self.roster.update_replica(self.replica)
         self.replica.tick(self.machine.now)
         self.after_step()
 
@@ -219,7 +220,7 @@
         made.send(Hello(self.node))
         for identity in sorted(self.replica.members | set(self._greeted.values())):
             if address_of(identity) == address:
-                self.replica.connected(self.machine.now, identity)
+                self.replica.on_connected(self.machine.now, identity)
 
     @staticmethod
     def _is_up(machine: Machine, process: Process | None) -> bool:
@@ -234,14 +235,14 @@
         """The connection of another replica has ended."""
         if self._greeted.get(address_of(identity)) == identity:
             del self._greeted[address_of(identity)]
-        self.roster.lost(identity)
+        self.roster.remove_replica(identity)
 
     # --- messages ---
 
     def receive(self, sender: Process, message: Any) -> None:
         if isinstance(message, Hello):
             self._greeted[address_of(message.node.identity)] = message.node.identity
-            self.roster.greeted(message.node.identity, message.node.name, message.node.zone)
+            self.roster.add_replica(message.node.identity, message.node.name, message.node.zone)
         elif isinstance(message, REPLICA_MESSAGES):
             self.replica.receive(self.machine.now, sender.identity, message)
         elif isinstance(message, SessionOpen):
@@ -275,10 +276,10 @@
         # In one order, whatever the order of sets is in this interpreter: the same seed, the same run.
         for outgoing in sorted(outbox, key=lambda each: each.recipient):
             self._send(address_of(outgoing.recipient), outgoing.message)
-        for answer in self.desk.step(self.machine.now):
+        for answer in self.change_processor.step(self.machine.now):
             self.world.answered(answer)
-        self.publication.begin(self.machine.now)
-        self.publication.follow(self.machine.now)
+        self.publication.begin_epoch(self.machine.now)
+        self.publication.publish_newest(self.machine.now)
         if replica.role is Role.PRIMARY:
             self.world.stepped(self)
         if replica.outbox:
@@ -294,8 +295,8 @@
             primary = self.replica.primary
             link = self._links.get(address_of(primary)) if primary is not None else None
             if link is not None and link.open and primary != self.identity:
-                silent = self.machine.now - self.freshness.silent_since(self._session_since)
-                if link is not self._session or silent > FRESH_S:
+                silent = self.machine.now - self.freshness.last_current_at(self._session_since)
+                if link is not self._session or silent > MAX_TABLE_AGE_S:
                     self._session, self._session_with = link, primary
                     self._session_since = self.machine.now
                     link.send(SessionOpen(self.node))
@@ -317,12 +318,12 @@
     # --- others ---
 
     def order(self, change: Change, caller: Any) -> None:
-        self.desk.submit(change, caller)
+        self.change_processor.submit(change, caller)
         self.after_step()
 
     def read(self) -> int | None:
         """The newest generation, as `GET /config` would answer; None: no clear answer."""
-        newest = self.desk.newest(self.machine.now)
+        newest = self.change_processor.newest(self.machine.now)
         return None if newest is None else newest.generation
 
     def follow(self, follower: Any, send: Callable[[Any], None], message: Any) -> None:
@@ -346,4 +347,4 @@
 
 def note_answer(freshness: Freshness, answer: SessionPong, now: float) -> None:
     """A session's ping was answered; `now` says nothing of how old the answer is."""
-    freshness.answered(answer.sent_at, answer.age_s)
+    freshness.record_answer(answer.sent_at, answer.age_s)
--- a/tests/model/planted.py
+++ b/tests/model/planted.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from eiderhub.control import configuration, retirement
-from eiderhub.control.desk import Answer, Desk, Outcome
+from eiderhub.control.change_processor import ChangeOutcome, ChangeProcessor, ChangeResult
 from eiderhub.control.messages import SessionPong
 from eiderhub.control.publication import Publication
 from eiderhub.coordination import membership, witness
@@ -53,8 +53,8 @@
 
 
 _on_replicated = Replica._on_replicated
-_take_chunk = Replica._take_chunk
-_begin = Desk._begin
+_stage_chunk = Replica._stage_chunk
+_begin = ChangeProcessor._begin
 _age = Publication.age
 _next_state = retirement.next_state
 _decide = configuration.decide
@@ -66,18 +66,18 @@
 
 
 def _lead_again(self: Replica, now: float) -> None:
-    self._transfer_until = None
+    self._transfer_deadline = None
 
 
 def _install_each_chunk(self: Replica, chunk: Any) -> bool:
-    return _take_chunk(self, msgspec.structs.replace(chunk, last=True))
+    return _stage_chunk(self, msgspec.structs.replace(chunk, last=True))
 
 
 def _answer_repeat_at_once(self: Any, now: float, order: Any) -> Any:
     if self.leads(now):
         decided = self._decide(order.change)
         if decided.is_ok() and not decided.ok_value.writes:
-            return Answer(order.caller, Outcome.ACKNOWLEDGED)
+            return ChangeResult(order.caller, ChangeOutcome.ACKNOWLEDGED)
     return _begin(self, now, order)
 
 
@@ -113,12 +113,12 @@
     return bool(position.version <= self.position.version)
 
 
-def _leads_unsettled(self: Replica, now: float) -> bool:
+def _leads_with_uncommitted_writes(self: Replica, now: float) -> bool:
     return self.leads(now)
 
 
 def _enough_live(view: Any, size: Any) -> bool:
-    return bool(len(view.live) >= size.least)
+    return bool(len(view.live) >= size.min_live)
 
 
 def _all_synced(view: Any, size: Any) -> bool:
@@ -129,7 +129,7 @@
     return learner not in view.leaving and bool(view.heard(learner))
 
 
-def _whoever_has_all(view: Any, learner: str) -> bool:
+def _whoever_is_up_to_date(view: Any, learner: str) -> bool:
     return bool(view.synced(learner)) and bool(view.heard(learner))
 
 
@@ -137,12 +137,12 @@
     return bool(request.epoch >= view.epoch)
 
 
-def _some_are_unled(self: Replica, now: float) -> bool:
-    return self._young(now) or bool(self._unled)
+def _some_have_no_leader(self: Replica, now: float) -> bool:
+    return self._recently_started(now) or bool(self._members_without_leader)
 
 
 def _any_candidate(self: Roster, replica: Replica, retiring: Any) -> list[str]:
-    return sorted(i for i in self._present.values() if i not in replica.members)
+    return sorted(i for i in self._identity_at.values() if i not in replica.members)
 
 
 def _keep_identity(self: Machine) -> None:
@@ -166,15 +166,17 @@
     return self.retired
 
 
-def _forget_taken(current: Any, taken: Any, forgotten: int, change: Any, document: Any) -> Any:
-    return _decide(current, None, forgotten, change, document)
+def _forget_recorded_digest(
+    current: Any, recorded_digest: Any, last_purged: int, change: Any, document: Any
+) -> Any:
+    return _decide(current, None, last_purged, change, document)
 
 
 def _note_on_arrival(freshness: Any, answer: Any, now: float) -> None:
-    freshness.answered(now, answer.age_s)
+    freshness.record_answer(now, answer.age_s)
 
 
-def _fate_of_any_epoch(self: Any, epoch: int) -> bool:
+def _outcome_of_any_epoch(self: Any, epoch: int) -> bool:
     return self._replica.role is Role.PRIMARY
 
 
@@ -187,28 +189,31 @@
         "a granted epoch is granted again", 0, "crossings", ((witness, "is_new_epoch", _equal_epoch),)
     ),
     PlantedFault(
-        "a candidate may lack what the witness has", 0, "crossings", ((witness, "has_all", _always(True)),)
+        "a candidate may lack what the witness has",
+        0,
+        "crossings",
+        ((witness, "is_up_to_date", _always(True)),),
     ),
     PlantedFault(
         "a witness grants though it follows a primary",
         1,
         "restarted_between",
-        ((witness, "is_led", _always(False)),),
+        ((witness, "has_live_primary", _always(False)),),
     ),
     PlantedFault(
         "a witness grants at once after its start",
         1,
         "restarted_between",
-        ((witness, "is_young", _always(False)),),
+        ((witness, "is_recently_started", _always(False)),),
     ),
     PlantedFault(
-        "not every member says that it is unled",
+        "not every member says that it has no leader",
         1,
         "restarted_witnesses",
-        ((Replica, "_nobody_is_led", _some_are_unled),),
+        ((Replica, "_no_member_has_leader", _some_have_no_leader),),
     ),
     PlantedFault("the lease is longer than the election wait", 1, "crossings", (_timing(lease=1.8),)),
-    PlantedFault("there is no lease", 1, "beyond", ((Lease, "end", _always(float("inf"))),)),
+    PlantedFault("there is no lease", 1, "beyond", ((Lease, "expires_at", _always(float("inf"))),)),
     PlantedFault(
         "the lease counts from an answer's arrival",
         1,
@@ -219,7 +224,7 @@
         "a primary leads again in an epoch that it gave away",
         1,
         "frozen_successor",
-        ((Replica, "_take_back", _lead_again),),
+        ((Replica, "_abandon_transfer", _lead_again),),
     ),
     PlantedFault(
         "freshness counts from an answer's arrival",
@@ -249,35 +254,41 @@
         "an earlier epoch's write is committed by counting",
         2,
         "earlier_write_is_not_committed_by_counting",
-        ((Replica, "_commits", _always(True)),),
+        ((Replica, "_is_committed_by_majority", _always(True)),),
     ),
     PlantedFault(
         "two changes are decided at once, on what is written",
         2,
         "races_with_lost_answers",
-        ((Desk, "_is_busy", _always(False)), (Desk, "_begin", _decide_on_what_is_written)),
+        (
+            (ChangeProcessor, "_is_busy", _always(False)),
+            (ChangeProcessor, "_begin", _decide_on_what_is_written),
+        ),
     ),
     PlantedFault(
         "what is written is read before it is committed",
         2,
         "cut_off_for_twenty_seconds",
-        ((Desk, "newest", _read_what_is_written),),
+        ((ChangeProcessor, "newest", _read_what_is_written),),
     ),
     PlantedFault(
-        "a change that was taken is not remembered", 2, "within", ((configuration, "decide", _forget_taken),)
+        "a change that was taken is not remembered",
+        2,
+        "within",
+        ((configuration, "decide", _forget_recorded_digest),),
     ),
     PlantedFault(
         "a waiter is told of another epoch's commit",
         2,
         "waiter_of_an_earlier_epoch_is_told_nothing_certain",
-        ((CommitQueue, "_leads_epoch", _fate_of_any_epoch),),
+        ((CommitQueue, "_leads_epoch", _outcome_of_any_epoch),),
     ),
     PlantedFault("a silent member stays for six seconds", 3, "within", (_timing(replace_after=6.0),)),
     PlantedFault(
         "members change on top of an uncommitted change",
         3,
         "two_join_while_cut",
-        ((Replica, "_may_change_members", _leads_unsettled),),
+        ((Replica, "_may_change_members", _leads_with_uncommitted_writes),),
     ),
     PlantedFault(
         "a member goes before the others have all",
@@ -302,8 +313,8 @@
         3,
         "barred_replica_is_never_admitted",
         (
-            (membership, "may_admit", _whoever_has_all),
-            (Roster, "candidates", _any_candidate),
+            (membership, "may_admit", _whoever_is_up_to_date),
+            (Roster, "join_candidates", _any_candidate),
             (
                 membership,
                 "next_learner",
@@ -352,31 +363,31 @@
         "a backup takes updates by their number alone",
         4,
         "updates_of_another_past_leave_a_gap",
-        ((Replica, "_follows", _same_version),),
+        ((Replica, "_follows_own_state", _same_version),),
     ),
     PlantedFault(
         "a state is known by its number alone",
         4,
         "state_of_another_past_is_not_counted",
-        ((Replica, "_knows", _not_newer),),
+        ((Replica, "_is_known_state", _not_newer),),
     ),
     PlantedFault(
         "a chunk is staged wherever it comes",
         4,
         "chunk_that_follows_nothing_is_refused",
-        ((Replica, "_continues", _always(True)),),
+        ((Replica, "_is_next_chunk", _always(True)),),
     ),
     PlantedFault(
         "a snapshot is installed before it is whole",
         4,
         "crossings",
-        ((Replica, "_take_chunk", _install_each_chunk),),
+        ((Replica, "_stage_chunk", _install_each_chunk),),
     ),
     PlantedFault(
         "a snapshot replaces a newer state",
         4,
         "older_snapshot_changes_nothing",
-        ((Replica, "_is_behind_us", _always(False)),),
+        ((Replica, "_already_has_snapshot", _always(False)),),
     ),
     PlantedFault(
         "updates during a snapshot are not staged", 4, "beyond", ((Disk, "stage_updates", _always(None)),)
--- a/tests/test_nearer_session.py
+++ b/tests/test_nearer_session.py
@@ -19,8 +19,8 @@
 )
 from eiderhub.transport import control_session
 from eiderhub.transport.control_session import ControlSession, control_candidates
+from eiderhub.transport.frame_connection import Connection
 from eiderhub.transport.frames import Message
-from eiderhub.transport.framing import Connection
 
 TIMEOUT_S = 10.0
 
@@ -66,8 +66,8 @@
 
 @pytest.fixture(autouse=True)
 def short_intervals(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control_session, "NEARER_S", 0.0)
-    monkeypatch.setattr(control_session, "PING_S", 0.01)
+    monkeypatch.setattr(control_session, "SAME_ZONE_CHECK_INTERVAL_S", 0.0)
+    monkeypatch.setattr(control_session, "PING_INTERVAL_S", 0.01)
 
 
 @asynccontextmanager
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,7 +18,7 @@
         host.advance(10 * MS)
         host.reply(call, Outcome.OK)
     host.advance(3 * S)
-    assert host.answers(call) == ([] if count else ["shed"])
+    assert host.final_answers(call) == ([] if count else ["shed"])
 
 
 def test_unknown_tenant_is_served() -> None:
@@ -61,13 +61,13 @@
     first_delays = set()
     for seed in range(5):
         host = Host(settings(discovery=Discovery.ASK), endpoints(2), seed=seed)
-        assert host.did == [("watch", True)]
+        assert host.actions == [("watch", True)]
         host.balancer.discovery(host.now, ListForm.FAILED, [])
         host.balancer.discovery(host.now, ListForm.FAILED, [])
         first_delay = host.timers[0][0] - host.now
         assert len(host.timers) == 1
         host.advance(2 * S)
-        assert host.did.count(("watch", True)) == 2
+        assert host.actions.count(("watch", True)) == 2
         host.balancer.discovery(host.now, ListForm.FAILED, [])
         first_delays.add(first_delay)
         assert 250 * MS <= first_delay <= 750 * MS
@@ -91,5 +91,5 @@
     host.advance(9 * S)
     host.reply(call, Outcome.RESET, closed=True)
     assert len(host.sends(call)) == 1
-    assert host.answers(call) == []
+    assert host.final_answers(call) == []
     assert host.balancer.calls == {}
