--- a/eiderhub/address.py
+++ b/eiderhub/address.py
@@ -6,9 +6,9 @@
 
 from msgspec import Meta
 
-PATTERN = r"^(\[[0-9A-Fa-f:.]+\]|[^\[\]:\s]+|[0-9A-Fa-f:.]*:[0-9A-Fa-f:.]*):[0-9]{1,5}$"
-EXAMPLE = "127.0.0.1:7070 or [::1]:7070"
-AddressText = Annotated[str, Meta(pattern=PATTERN, max_length=300, description="an address:port")]
+ADDRESS_PATTERN = r"^(\[[0-9A-Fa-f:.]+\]|[^\[\]:\s]+|[0-9A-Fa-f:.]*:[0-9A-Fa-f:.]*):[0-9]{1,5}$"
+ADDRESS_EXAMPLE = "127.0.0.1:7070 or [::1]:7070"
+AddressText = Annotated[str, Meta(pattern=ADDRESS_PATTERN, max_length=300, description="an address:port")]
 
 
 class Address(NamedTuple):
@@ -21,7 +21,7 @@
         return f"[{self.host}]:{self.port}" if ":" in self.host else f"{self.host}:{self.port}"
 
 
-def parse(text: str) -> Address:
+def parse_host_port(text: str) -> Address:
     """Parse `host:port`; the last colon separates the port, and an IPv6 address may be in brackets.
 
     Raises:
--- a/eiderhub/cli/__main__.py
+++ b/eiderhub/cli/__main__.py
@@ -8,7 +8,7 @@
 
 import click
 
-from eiderhub.reading import DocumentError
+from eiderhub.documents import DocumentError
 
 COMMANDS = {  # each in a module of its own, which is imported only when it is called
     "bench": "Measure parts of the program on this machine.",
@@ -47,9 +47,9 @@
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
         if args and not args[0].startswith("-") and args[0] not in COMMANDS:
-            from eiderhub.reading import nearest
+            from eiderhub.documents import suggest_name
 
-            ctx.fail(f"no such command: {args[0]!r}; {nearest(args[0], COMMANDS)}")
+            ctx.fail(f"no such command: {args[0]!r}; {suggest_name(args[0], COMMANDS)}")
         return super().resolve_command(ctx, args)
 
 
@@ -80,7 +80,7 @@
         error.show()
         return 2
     except DocumentError as error:
-        for line in error.lines():
+        for line in error.fault_lines():
             print(f"ottercleat: {line}", file=sys.stderr)
         return 2
     except (KeyboardInterrupt, click.Abort):
--- a/eiderhub/cli/bench.py
+++ b/eiderhub/cli/bench.py
@@ -110,7 +110,7 @@
     descriptors and its ports is refused.
     """
     from eiderhub.cli.capacity import read_fleet
-    from eiderhub.http1 import Unanswered
+    from eiderhub.http1 import NoReplyError
     from eiderhub.registry.client import Refused
     from eiderhub.scale.counts import CountingLoop
     from eiderhub.scale.plan import Asked, TooLarge, admitted
@@ -131,7 +131,7 @@
             result = runner.run(run.run(tell, path.name, costs.revision(costs.own_root())))
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
-    except (Ended, Unanswered, Refused, TimeoutError) as error:
+    except (Ended, NoReplyError, Refused, TimeoutError) as error:
         print(f"ottercleat: the run ended early: {str(error) or type(error).__name__}", file=sys.stderr)
         return 1
     screen.write_json(json_file, msgspec.to_builtins(result))
--- a/eiderhub/cli/capacity.py
+++ b/eiderhub/cli/capacity.py
@@ -10,7 +10,7 @@
 from eiderhub.capacity.fleet import Fleet
 from eiderhub.capacity.slopes import Slope, Slopes
 from eiderhub.cli import screen
-from eiderhub.reading import DocumentError, Fault, convert, parse
+from eiderhub.documents import DocumentError, Fault, convert, load_document
 
 REPOSITORY = Path(__file__).parents[2]
 FLEET = "deploy/fleet.toml"
@@ -39,23 +39,25 @@
 
 def read_fleet(file: Path) -> Fleet:
     """Raises DocumentError, with all of its faults."""
-    document, _ = parse(file)
-    return convert(document, Fleet, str(file), people=True)
+    document, _ = load_document(file)
+    return convert(document, Fleet, str(file), human_format=True)
 
 
 def read_slopes(file: Path) -> Slopes:
     """Raises DocumentError, with all of its faults."""
-    document, _ = parse(file)
+    document, _ = load_document(file)
     slopes = document.get("slopes") if isinstance(document, dict) else None
     faults: list[Fault] = []
     for name, slope in slopes.items() if isinstance(slopes, dict) else ():
         try:  # each on its own: a fault is then told with its whole path
-            convert(slope, Slope, people=True)
+            convert(slope, Slope, human_format=True)
         except DocumentError as error:
-            faults += (Fault(".".join(filter(None, ("slopes", name, f.path))), f.why) for f in error.faults)
+            faults += (
+                Fault(".".join(filter(None, ("slopes", name, f.path))), f.reason) for f in error.faults
+            )
     if faults:
         raise DocumentError(str(file), faults)
-    return convert(document, Slopes, str(file), people=True)
+    return convert(document, Slopes, str(file), human_format=True)
 
 
 @click.command("capacity")
@@ -81,8 +83,8 @@
 
 
 def _tier(fleet_file: Path, slopes_file: Path, json_file: str | None) -> int:
-    of = convert(parse(fleet_file)[0], tier.TierFleet, str(fleet_file), people=True)
-    measured = convert(parse(slopes_file)[0], tier.TierSlopes, str(slopes_file), people=True)
+    of = convert(load_document(fleet_file)[0], tier.TierFleet, str(fleet_file), human_format=True)
+    measured = convert(load_document(slopes_file)[0], tier.TierSlopes, str(slopes_file), human_format=True)
     found = tier.rows(of, measured)
     screen.write_json(json_file, {"rows": [row._asdict() | {"holds": row.holds} for row in found]})
     if json_file != "-":
--- a/eiderhub/cli/config.py
+++ b/eiderhub/cli/config.py
@@ -11,8 +11,8 @@
 import msgspec
 import tomli_w
 
-from eiderhub.reading import DocumentError, Fault, by_people
-from eiderhub.sidecar.config import ConfigError, Document, config_of, read_document
+from eiderhub.documents import DocumentError, Fault, to_human_format
+from eiderhub.sidecar.config import ConfigError, Document, build_config, read_document
 from eiderhub.world import scenario as scenarios
 
 CAMEL = re.compile(r"(?<=[a-z0-9])(?=[A-Z])")
@@ -38,7 +38,7 @@
     found = _read(path, scenario)
     if isinstance(found, Document):
         try:
-            config_of(found, os.environ)
+            build_config(found, os.environ)
         except ConfigError as error:
             raise DocumentError(path, [Fault("", str(error))]) from None
     click.echo(f"{path}: ok")
@@ -49,7 +49,7 @@
 @SCENARIO
 def show(path: str, scenario: bool) -> None:
     """Print what FILE comes to, with every default, as TOML for people."""
-    document = by_people(_read(path, scenario))
+    document = to_human_format(_read(path, scenario))
     assert isinstance(document, dict)
     click.echo(tomli_w.dumps(document), nl=False)
 
--- a/eiderhub/cli/options.py
+++ b/eiderhub/cli/options.py
@@ -8,7 +8,7 @@
 
 import click
 
-from eiderhub.address import EXAMPLE, Address, parse
+from eiderhub.address import ADDRESS_EXAMPLE, Address, parse_host_port
 
 F = TypeVar("F", bound=Callable[..., Any])
 
@@ -25,11 +25,11 @@
         if isinstance(value, Address):
             return value
         try:
-            address = parse(str(value))
+            address = parse_host_port(str(value))
         except ValueError:
             address = Address("", 0)
         if not address.port:
-            self.fail(f"{value!r} is no address:port, such as {EXAMPLE}", param, ctx)
+            self.fail(f"{value!r} is no address:port, such as {ADDRESS_EXAMPLE}", param, ctx)
         return address
 
 
--- a/eiderhub/cli/run.py
+++ b/eiderhub/cli/run.py
@@ -7,7 +7,7 @@
 
 import click
 
-from eiderhub.sidecar.config import ConfigError, config_of, read_document
+from eiderhub.sidecar.config import ConfigError, build_config, read_document
 
 
 @click.command("run")
@@ -30,7 +30,7 @@
     environ |= {key: value for key, value in told.items() if value}
     environ["GW_CONFIG"] = path
     try:
-        config_of(read_document(path), environ)
+        build_config(read_document(path), environ)
     except ConfigError as error:
         variable, _, why = str(error).partition(": ")
         flag = f"--{variable.removeprefix('GW_').lower()}" if variable in told else f"{path}: {variable}"
--- a/eiderhub/cli/service.py
+++ b/eiderhub/cli/service.py
@@ -9,8 +9,8 @@
 import click
 
 from eiderhub.address import Address
-from eiderhub.http1 import Unanswered
-from eiderhub.reading import DocumentError, convert
+from eiderhub.documents import DocumentError, convert
+from eiderhub.http1 import NoReplyError
 from eiderhub.registry.client import Line, Refused
 
 T = TypeVar("T")
@@ -32,7 +32,7 @@
 
     try:
         return asyncio.run(asked())
-    except (Unanswered, Refused) as error:
+    except (NoReplyError, Refused) as error:
         click.echo(f"ottercleat: {address}: {error}", err=True)
         raise click.exceptions.Exit(1) from None
 
@@ -40,6 +40,6 @@
 def checked(told: dict[str, Any], kind: type[T]) -> T:
     """What the arguments come to; a fault names the argument."""
     try:
-        return convert(told, kind, people=True)
+        return convert(told, kind, human_format=True)
     except DocumentError as error:
         raise click.UsageError(str(error.faults[0])) from None
--- a/eiderhub/cli/tier.py
+++ b/eiderhub/cli/tier.py
@@ -14,7 +14,7 @@
 from result import Err
 
 from eiderhub.control import configuration
-from eiderhub.reading import DocumentError, Fault
+from eiderhub.documents import DocumentError, Fault
 from eiderhub.storage.store import LmdbStore, StoreUnusable
 
 CALL_S = 5.0
--- a/eiderhub/cli/zone.py
+++ b/eiderhub/cli/zone.py
@@ -15,7 +15,7 @@
 from eiderhub.address import Address
 from eiderhub.cli.options import IN_SERVICE, JSON, AddressType
 from eiderhub.cli.service import ask, checked
-from eiderhub.reading import nearest
+from eiderhub.documents import suggest_name
 from eiderhub.registry import calls
 from eiderhub.registry.client import Line, read
 from eiderhub.registry.names import MIN_ORDER_MS, MOST_ORDER_MS
@@ -68,7 +68,7 @@
     told = _zones(address, service)
     names = [state.zone for state in told.zones]
     if zone not in names:
-        raise click.UsageError(f"no such zone: {zone!r}; {nearest(zone, names)}")
+        raise click.UsageError(f"no such zone: {zone!r}; {suggest_name(zone, names)}")
     return told
 
 
--- a/eiderhub/dataplane/endpoint_connections.py
+++ b/eiderhub/dataplane/endpoint_connections.py
@@ -197,7 +197,7 @@
     """The connections to one endpoint."""
 
     def __init__(self, target: str) -> None:
-        host, port = address.parse(target)
+        host, port = address.parse_host_port(target)
         self._host, self._port = host, port
         self._idle_connections: list[EndpointConnection] = []
         self._tasks: set[asyncio.Task[None]] = set()
--- a/eiderhub/dataplane/frontend.py
+++ b/eiderhub/dataplane/frontend.py
@@ -9,7 +9,7 @@
 from eiderhub.control.errors import HTTP_STATUS, ErrorKind
 from eiderhub.dataplane.endpoint_connections import Headers
 from eiderhub.dataplane.events import Event
-from eiderhub.http1 import REASONS, Bounds, Exchange, ServerConnection
+from eiderhub.http1 import REASON_PHRASES, ConnectionLimits, Exchange, ServerConnection
 
 # Request headers for one connection only (RFC 9110, section 7.6.1), and those that the sidecar sets itself.
 NOT_FORWARDED = frozenset(
@@ -45,7 +45,7 @@
         lines = [b"HTTP/1.1 200 OK"]
         lines += [b"%s: %s" % pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS]
         lines.append(b"Transfer-Encoding: chunked")
-        if not self.keep:
+        if not self.keep_alive:
             lines.append(b"Connection: close")
         self.write(b"\r\n".join(lines) + b"\r\n\r\n")
 
@@ -53,28 +53,28 @@
         self.write(b"%x\r\n%s\r\n" % (len(event.raw_bytes), event.raw_bytes))
 
     def finish(self) -> None:
-        if not self.gone:
+        if not self.finished:
             self.write(LAST_CHUNK)
-            self._connection.over(self)
+            self._connection.finish_exchange(self)
 
     def abort(self) -> None:
         """Close the connection, which shows the client that the response is incomplete."""
-        if not self.gone:
-            self.gone = True
+        if not self.finished:
+            self.finished = True
             self._connection.transport.close()
 
     def forward_response(self, status: int, headers: Headers, body: bytes) -> None:
         forwarded = [pair for pair in headers if pair[0].lower() not in HOP_BY_HOP_HEADERS]
-        if status in REASONS:
-            self.answer(status, body, *forwarded)
+        if status in REASON_PHRASES:
+            self.respond(status, body, *forwarded)
         else:
             self.refuse(ErrorKind.FAILED, 0)
 
     def refuse(self, kind: ErrorKind, retry_after_us: int) -> None:
         if retry_after_us:
-            self.answer(HTTP_STATUS[kind], b"", (b"Retry-After", b"%.3f" % (retry_after_us / 1e6)))
+            self.respond(HTTP_STATUS[kind], b"", (b"Retry-After", b"%.3f" % (retry_after_us / 1e6)))
         else:
-            self.answer(HTTP_STATUS[kind])
+            self.respond(HTTP_STATUS[kind])
 
 
 class ClientSink:
@@ -133,10 +133,12 @@
 
     def __init__(self, handler: RequestHandler, connections: set[ServerConnection]) -> None:
         loop = asyncio.get_running_loop()
-        bounds = Bounds(
-            body_bytes=MAX_REQUEST_BODY_BYTES, unsent_bytes=MAX_UNSENT_BYTES, reader_s=SLOW_READER_TIMEOUT_S
+        bounds = ConnectionLimits(
+            max_body_bytes=MAX_REQUEST_BODY_BYTES,
+            max_unsent_bytes=MAX_UNSENT_BYTES,
+            write_timeout_s=SLOW_READER_TIMEOUT_S,
         )
-        super().__init__(self._serve_request, lambda: int(loop.time() * 1e6), connections, bounds=bounds)
+        super().__init__(self._serve_request, lambda: int(loop.time() * 1e6), connections, limits=bounds)
         self._handler = handler
         self._client_address = ""
 
@@ -146,19 +148,19 @@
         self._client_address = str(peer[0]) if peer else ""
 
     def on_message_begin(self) -> None:
-        self._reading = ClientExchange(self, self._count == 0, self._clock(), self._client_address)
-        self._count += 1
-        self._head = 0
+        self._incoming = ClientExchange(self, self._request_count == 0, self._clock(), self._client_address)
+        self._request_count += 1
+        self._head_bytes = 0
 
     def _serve_request(self, exchange: Exchange) -> None:
         assert isinstance(exchange, ClientExchange)
         if self._handler.draining:
-            exchange.keep = False
+            exchange.keep_alive = False
         self._handler.serve(exchange)
 
     @property
     def idle(self) -> bool:
-        return self._exchange is None and self._reading is None
+        return self._current is None and self._incoming is None
 
 
 class ReadinessConnection(ServerConnection):
@@ -169,7 +171,7 @@
         self._is_ready = is_ready
 
     def _answer(self, exchange: Exchange) -> None:
-        exchange.answer(200 if self._is_ready() else 503)
+        exchange.respond(200 if self._is_ready() else 503)
 
 
 def request_head(method: bytes, target: bytes, headers: dict[bytes, bytes], body: bytes) -> bytes:
--- a/eiderhub/dataplane/items.py
+++ b/eiderhub/dataplane/items.py
@@ -248,7 +248,7 @@
         hint, self._primary_hint = self._primary_hint, ""
         targets = ([hint] if hint else []) + [t for t in self._candidates() if t != hint]
         for target in targets:
-            host, port = address.parse(target)
+            host, port = address.parse_host_port(target)
             connection = await connect(self, host, port)
             if connection is not None:
                 connection.peer_zone = self._zone_of(target)
--- a/eiderhub/reading.py
+++ b/eiderhub/documents.py
@@ -30,10 +30,10 @@
 
 class Fault(NamedTuple):
     path: str  # of the key, as written in the document; empty: the whole document
-    why: str
+    reason: str
 
     def __str__(self) -> str:
-        return f"{self.path}: {self.why}" if self.path else self.why
+        return f"{self.path}: {self.reason}" if self.path else self.reason
 
 
 class DocumentError(ValueError):
@@ -45,23 +45,23 @@
         more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
         super().__init__(": ".join(filter(None, (source, str(faults[0])))) + more)
 
-    def lines(self) -> list[str]:
+    def fault_lines(self) -> list[str]:
         return [": ".join(filter(None, (self.source, str(fault)))) for fault in self.faults]
 
 
-def convert(document: Any, target_type: type[T], source: str = "", people: bool = False) -> T:
+def convert(document: Any, target_type: type[T], source: str = "", human_format: bool = False) -> T:
     """Convert a document, by default one in the platform's format, to a struct of the given type.
 
     Raises:
         DocumentError: lists every fault found.
     """
-    if not people:
+    if not human_format:
         try:
             return msgspec.convert(_without_nulls(document), target_type)
         except msgspec.ValidationError:
             pass  # the converter below finds all faults and words them
     faults: list[Fault] = []
-    converted = _Converter(people, faults).convert_value(document, target_type, "")
+    converted = _Converter(human_format, faults).convert_value(document, target_type, "")
     if faults:
         raise DocumentError(source, faults)
     try:
@@ -70,17 +70,17 @@
         raise DocumentError(source, [Fault("", _reason(error))]) from None
 
 
-def by_people(value: Any) -> Any:
+def to_human_format(value: Any) -> Any:
     """Convert a struct to plain data in the human format; values that are None are left out."""
     if isinstance(value, msgspec.Struct):
         pairs = ((name, getattr(value, name)) for name in value.__struct_fields__)
-        return {name.rstrip("_"): by_people(item) for name, item in pairs if item is not None}
+        return {name.rstrip("_"): to_human_format(item) for name, item in pairs if item is not None}
     if isinstance(value, list | tuple):
-        return [by_people(item) for item in value]
+        return [to_human_format(item) for item in value]
     return msgspec.to_builtins(value)
 
 
-def parse(path: Path) -> tuple[Any, bool]:
+def load_document(path: Path) -> tuple[Any, bool]:
     """Read a file; returns the document and whether it is in the human format, which .toml files are.
 
     Raises:
@@ -124,7 +124,7 @@
     return "must be " + text.removeprefix("Expected ").replace("`", "").partition(", got ")[0]
 
 
-def nearest(name: str, known: typing.Iterable[str]) -> str:
+def suggest_name(name: str, known: typing.Iterable[str]) -> str:
     """A clause for an error message that suggests the closest known name, or lists all if none is close."""
     import difflib  # needed only for error messages
 
@@ -182,7 +182,7 @@
             if field is not None and (item is not None or self._human_format):
                 converted[field.encode_name] = self.convert_value(item, hints[field.name], key_path)
             elif field is None and self._human_format:
-                self._add_fault(key_path, f"unknown key; {nearest(str(key), fields)}")
+                self._add_fault(key_path, f"unknown key; {suggest_name(str(key), fields)}")
         for key, field in fields.items():
             if field.required and field.encode_name not in converted:
                 self._add_fault(f"{path}.{key}" if path else key, "missing")
@@ -223,6 +223,6 @@
     choices = next((k for k in alternatives if isinstance(k, type) and issubclass(k, enum.Enum)), None)
     if choices is not None:
         known = [str(choice.value) for choice in choices]
-        hint = nearest(value, known) if isinstance(value, str) else f"expected one of {', '.join(known)}"
+        hint = suggest_name(value, known) if isinstance(value, str) else f"expected one of {', '.join(known)}"
         return f"impossible value {value!r}; {hint}"
     return f"{_reason(error)}; it is {value!r}"[:200]
--- a/eiderhub/emulator/asking.py
+++ b/eiderhub/emulator/asking.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from eiderhub.emulator.clock import Clock
-from eiderhub.http1 import Pool, Reply
+from eiderhub.http1 import ConnectionPool, Reply
 from eiderhub.interface import Effect
 from eiderhub.world.clients import End
 
@@ -49,7 +49,7 @@
 class Asking:
     """Who asks says what an answer means, and hears of one end."""
 
-    def __init__(self, clock: Clock, pool: Pool, data: bytes, until_us: int) -> None:
+    def __init__(self, clock: Clock, pool: ConnectionPool, data: bytes, until_us: int) -> None:
         self.clock = clock
         self.until_us = until_us
         self._pool = pool
@@ -57,7 +57,7 @@
         self._over = False
         self._resent = False
         self._alarm = clock.at(until_us, self._give_up)
-        self._ticket = pool.ask(data, self)
+        self._ticket = pool.send(data, self)
 
     # --- for who asks to say ---
 
@@ -84,7 +84,7 @@
         """Nobody waits for it any more, and nobody is told of its end."""
         self._over = True
         self._alarm.cancel()
-        self._ticket.drop()
+        self._ticket.cancel()
         self.left()
 
     def _give_up(self) -> None:
@@ -113,7 +113,7 @@
 
     def _resend(self) -> None:
         if not self._over:
-            self._ticket = self._pool.ask(self._data, self, fresh=True)
+            self._ticket = self._pool.send(self._data, self, new_connection=True)
 
     def on_unreachable(self) -> None:
         self._end(End.UNREACHABLE)
--- a/eiderhub/emulator/callers.py
+++ b/eiderhub/emulator/callers.py
@@ -7,7 +7,7 @@
 from eiderhub.emulator.asking import Asking, end_of, render
 from eiderhub.emulator.clock import Clock
 from eiderhub.emulator.machines import Job, Jobs
-from eiderhub.http1 import Pool, Reply
+from eiderhub.http1 import ConnectionPool, Reply
 from eiderhub.world.clients import End, Errand, patience_us, retry_us
 from eiderhub.world.day import Day, Post
 from eiderhub.world.front import Front
@@ -21,7 +21,7 @@
 
     def __init__(self, post: Post, host: str, port: int) -> None:
         self.post = post
-        self.pool = Pool(host, port)
+        self.pool = ConnectionPool(host, port)
         self.killed = False  # its last process was killed: what it held is nobody's fault
 
 
--- a/eiderhub/emulator/deployment.py
+++ b/eiderhub/emulator/deployment.py
@@ -28,7 +28,7 @@
 from eiderhub.emulator.services import Services
 from eiderhub.emulator.settings import settings_of
 from eiderhub.emulator.troubles import Troubles
-from eiderhub.http1 import OUR_LIMIT, Exchange, Pool, Unanswered, fetch
+from eiderhub.http1 import DESCRIPTOR_LIMIT_ERRNOS, ConnectionPool, Exchange, NoReplyError, fetch
 from eiderhub.interface import Effect
 from eiderhub.world.clients import End, arrivals
 from eiderhub.world.day import Day, Plan, Post
@@ -116,10 +116,10 @@
 
 async def is_up(host: str, port: int) -> bool | None:
     """What `/up` says; None where nobody answers."""
-    pool = Pool(host, port, UP_WAIT_S)
+    pool = ConnectionPool(host, port, UP_WAIT_S)
     try:
         return (await fetch(pool, UP, UP_WAIT_S)).status == 200
-    except Unanswered:
+    except NoReplyError:
         return None
     finally:
         pool.close()
@@ -158,7 +158,7 @@
         except BaseException as error:
             self._close_claims()
             shutil.rmtree(self.folder, ignore_errors=True)
-            if isinstance(error, OSError) and error.errno in OUR_LIMIT:
+            if isinstance(error, OSError) and error.errno in DESCRIPTOR_LIMIT_ERRNOS:
                 raise _few_descriptors() from None
             raise
 
@@ -169,7 +169,7 @@
             await self._watched(self._start())
         except OSError as error:
             await self.close()
-            raise _few_descriptors() if error.errno in OUR_LIMIT else error from None
+            raise _few_descriptors() if error.errno in DESCRIPTOR_LIMIT_ERRNOS else error from None
         except BaseException:
             await self.close()
             raise
@@ -288,7 +288,7 @@
 
     def _defect(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
-        if isinstance(error, OSError) and error.errno in OUR_LIMIT:
+        if isinstance(error, OSError) and error.errno in DESCRIPTOR_LIMIT_ERRNOS:
             error = _few_descriptors()
         if error is not None:
             self._fail(error)
--- a/eiderhub/emulator/load.py
+++ b/eiderhub/emulator/load.py
@@ -20,11 +20,11 @@
 import numpy as np
 from hdrh.histogram import HdrHistogram
 
+from eiderhub.documents import DocumentError, Fault
 from eiderhub.emulator.asking import Asking, end_of, render
 from eiderhub.emulator.clock import Clock
-from eiderhub.http1 import Pool, Reply
+from eiderhub.http1 import ConnectionPool, Reply
 from eiderhub.interface import Effect
-from eiderhub.reading import DocumentError, Fault
 from eiderhub.world.clients import End
 
 MOST_REQUESTS = 5_000_000
@@ -148,7 +148,7 @@
     def __init__(self, targets: Sequence[tuple[str, int]], due_s: np.ndarray, mix: Mix, seed: int) -> None:
         self.due_s = due_s
         self.mix = mix
-        self.pools = [Pool(loopback(host), port) for host, port in targets]
+        self.pools = [ConnectionPool(loopback(host), port) for host, port in targets]
         self.parts = {shape.name: Part() for shape in mix.shapes}
         self.sent = 0
         self.open: set[_Shot] = set()
--- a/eiderhub/emulator/machines.py
+++ b/eiderhub/emulator/machines.py
@@ -148,27 +148,27 @@
             return  # a machine that says nothing
         name = exchange.headers.get(b"req-id")
         if name is None:
-            exchange.answer(404)
+            exchange.respond(404)
             return
         job = self._jobs.find(name) or self._adopt(exchange, post)
         text = name.decode("latin-1")
-        known = self._judge.attempt(now, exchange.first_us, text, post.name, self.plan)
+        known = self._judge.attempt(now, exchange.started_us, text, post.name, self.plan)
         if job is None or not known or not _as_sent(exchange, job):
-            exchange.answer(400)
+            exchange.respond(400)
             return
         self._judge.crossed(post.zone, self.plan.zone)
         delay = self._network.one_way_us(post.zone, self.plan.zone)
-        if exchange.first:  # its connection had to come up as well
+        if exchange.is_first:  # its connection had to come up as well
             delay += int(2 * self.plan.handshake_rtts * delay)
         running = _Running(exchange, post, job, name)
-        exchange.on_gone = lambda _: self._left(None, running)
+        exchange.on_disconnect = lambda _: self._left(None, running)
         if delay < SOON_US:
             self._arrive(running)
         else:
             self._clock.at(now + delay, self._arrive, running)
 
     def _arrive(self, running: _Running) -> None:
-        if running.exchange.gone:
+        if running.exchange.finished:
             return
         now = self._clock.now_us()
         self._serial += 1
@@ -182,10 +182,10 @@
         offer = self.endpoint.offer(now, work, told, connections)
         if offer is Offer.TAKEN:
             self._running[token] = running
-            running.exchange.on_gone = lambda _: self._left(token, running)
+            running.exchange.on_disconnect = lambda _: self._left(token, running)
         elif offer is Offer.DECLINED:
             self._attempt_over(running, never_ran=True)
-            self._send(running, lambda: running.exchange.answer(503, b"", DECLINED))
+            self._send(running, lambda: running.exchange.respond(503, b"", DECLINED))
         else:
             self._attempt_over(running)
             running.exchange.reset()
@@ -193,7 +193,7 @@
 
     def _attempt_over(self, running: _Running, never_ran: bool = False) -> None:
         """It has its outcome here; that its caller goes after that changes nothing."""
-        running.exchange.on_gone = None
+        running.exchange.on_disconnect = None
         self._judge.attempt_ended(running.name.decode(), self.plan, never_ran)
 
     def _left(self, token: int | None, running: _Running) -> None:
@@ -259,9 +259,9 @@
         self._attempt_over(running)
         if answer.served:
             body = self._jobs.produce(running.name, self.plan.id)
-            self._send(running, lambda: running.exchange.answer(200, body))
+            self._send(running, lambda: running.exchange.respond(200, body))
         else:
-            self._send(running, lambda: running.exchange.answer(500))
+            self._send(running, lambda: running.exchange.respond(500))
 
     def _send(self, running: _Running, answer: Callable[[], None]) -> None:
         """Answers take their way, too, and are lost where the network is cut."""
--- a/eiderhub/emulator/processes.py
+++ b/eiderhub/emulator/processes.py
@@ -19,7 +19,7 @@
 import msgspec
 import tomli_w
 
-from eiderhub.reading import by_people, convert
+from eiderhub.documents import convert, to_human_format
 from eiderhub.registry.settings import Follow
 from eiderhub.sidecar.config import Document
 from eiderhub.world.day import Post
@@ -216,7 +216,7 @@
         if self.config.suffix == ".toml":
             found = convert(document, Document)
             found = msgspec.structs.replace(found, registry=self.follow, regions=self.regions)
-            data = tomli_w.dumps(by_people(found)).encode()
+            data = tomli_w.dumps(to_human_format(found)).encode()
         beside.write_bytes(data)
         beside.replace(self.config)
 
--- a/eiderhub/emulator/roster.py
+++ b/eiderhub/emulator/roster.py
@@ -10,7 +10,7 @@
 
 from eiderhub.emulator.clock import Clock
 from eiderhub.emulator.doors import Door
-from eiderhub.http1 import Exchange, render
+from eiderhub.http1 import Exchange, render_response
 from eiderhub.world.day import Post
 from eiderhub.world.judge import Judge
 from eiderhub.world.registry import Delivery, Listing, Registry, Told
@@ -85,19 +85,19 @@
         now = self._clock.now_us()
         target = urlsplit(exchange.url.decode("latin-1"))
         if target.path != "/discovery/hosts" or exchange.method != b"GET":
-            exchange.answer(404)
+            exchange.respond(404)
             return
         query = parse_qs(target.query)
         try:
             after = int(query["after"][0]) if "after" in query else None
             wait_ms = min(MOST_WAIT_MS, max(0, int(query.get("wait_ms", ["0"])[0])))
         except ValueError:
-            exchange.answer(400)
+            exchange.respond(400)
             return
         self._judge.asked_list(now, post.name)
         ticket = self._registry.ask(now, post.tier, after, wait_ms * 1000)
         self._asked[ticket] = (post, exchange)
-        exchange.on_gone = lambda _: self._hung_up(ticket)
+        exchange.on_disconnect = lambda _: self._hung_up(ticket)
         self.moved()
 
     def _hung_up(self, ticket: int) -> None:
@@ -120,18 +120,18 @@
         self._timer = self._clock.at(due, self.moved) if due is not None else None
 
     def _tell(self, now: int, post: Post, exchange: Exchange, told: Told) -> None:
-        exchange.on_gone = None
+        exchange.on_disconnect = None
         if told.listing is None:
             self._judge.told(now, post.name, None)
-            exchange.answer(503)
+            exchange.respond(503)
             return
         body = msgspec.json.encode(self.document(post, told.listing))
         if told.delivery is Delivery.WHOLE:
             self._judge.told(now, post.name, told.listing)
-            exchange.answer(200, body)
+            exchange.respond(200, body)
             return
         self._judge.told(now, post.name, None)
-        answer = render(200, [], body)
+        answer = render_response(200, [], body)
         exchange.write(answer[: len(answer) - len(body) // 2 - 1])
         if told.delivery is Delivery.BREAKS_OFF:
             exchange.reset()
--- a/eiderhub/emulator/services.py
+++ b/eiderhub/emulator/services.py
@@ -24,7 +24,7 @@
 from eiderhub.emulator.lists import AddressOf, Until
 from eiderhub.emulator.processes import DeploymentError, Process, Station, Usage, claim, environment
 from eiderhub.emulator.wires import How, Wire
-from eiderhub.http1 import Unanswered
+from eiderhub.http1 import NoReplyError
 from eiderhub.interface import Readiness
 from eiderhub.registry import calls
 from eiderhub.registry.belief import Verdict
@@ -236,7 +236,7 @@
         try:
             status = read(await line.get(calls.STATUS, {}, 1.0), calls.Status)
             return status.version if status.branch else -1
-        except (Unanswered, Refused):
+        except (NoReplyError, Refused):
             return -1
         finally:
             line.close()
--- a/eiderhub/emulator/wires.py
+++ b/eiderhub/emulator/wires.py
@@ -13,7 +13,7 @@
 from eiderhub.address import Address
 from eiderhub.emulator.doors import BACKLOG, unlisten
 from eiderhub.emulator.processes import claim
-from eiderhub.http1 import RESET
+from eiderhub.http1 import ZERO_LINGER
 
 SLOW_S = 0.4  # one way, on a slow wire
 MOST_HELD = 1 << 20  # bytes on their way on one connection; then its sender waits
@@ -181,7 +181,7 @@
             if end.transport is not None and not end.lost:
                 sock = end.transport.get_extra_info("socket")
                 with contextlib.suppress(OSError):
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
                 end.transport.abort()
 
 
--- a/eiderhub/http1.py
+++ b/eiderhub/http1.py
@@ -17,37 +17,46 @@
 
 import httptools
 
-OUR_LIMIT = (errno.EMFILE, errno.ENFILE)  # out of file descriptors: this process, this machine
-RESET = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing sends a reset
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
+DESCRIPTOR_LIMIT_ERRNOS = (errno.EMFILE, errno.ENFILE)  # out of file descriptors: this process, this machine
+ZERO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER with a timeout of 0: closing sends a reset
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 MAX_HEAD_BYTES = 64 * 1024  # request target and headers
 MAX_PIPELINED_REQUESTS = 16  # received while an earlier request is still being answered
 MAX_RESPONSE_BODY_BYTES = 64 << 20
 
 
 def render_head(status: int, headers: list[tuple[bytes, bytes]], length: int) -> bytes:
-    lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
+    lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status])]
     lines += [b"%s: %s" % header for header in headers]
     return b"\r\n".join(lines) + b"\r\nContent-Length: %d\r\n\r\n" % length
 
 
-def render(status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
+def render_response(status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> bytes:
     return render_head(status, headers, len(body)) + body
 
 
-class Bounds(NamedTuple):
+class ConnectionLimits(NamedTuple):
     """Limits for each client connection."""
 
-    body_bytes: int = 1 << 20  # request body
-    unsent_bytes: int = 4 << 20  # write buffer size above which the client counts as slow
-    reader_s: float = 0.0  # a slow client must empty the write buffer within this time; 0: no limit
+    max_body_bytes: int = 1 << 20  # request body
+    max_unsent_bytes: int = 4 << 20  # write buffer size above which the client counts as slow
+    write_timeout_s: float = 0.0  # a slow client must empty the write buffer within this time; 0: no limit
 
 
 class Exchange:
     """A request received by a server. It is answered at most once; the client may disconnect before that."""
 
     __slots__ = (
-        "_connection", "body", "first", "first_us", "gone", "headers", "keep", "method", "on_gone", "url",
+        "_connection",
+        "body",
+        "finished",
+        "headers",
+        "is_first",
+        "keep_alive",
+        "method",
+        "on_disconnect",
+        "started_us",
+        "url",
     )  # fmt: skip
 
     def __init__(self, connection: ServerConnection, is_first: bool, started_us: int) -> None:
@@ -56,28 +65,28 @@
         self.url = b""
         self.headers: dict[bytes, bytes] = {}
         self.body = b""
-        self.first = is_first  # whether it is the first request on its connection
-        self.first_us = started_us  # time at which its first byte arrived
-        self.keep = True  # whether the connection stays open after the response
-        self.gone = False  # whether it was answered or the client disconnected
-        self.on_gone: Callable[[Exchange], None] | None = None
-
-    def answer(self, status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> None:
-        if self.gone:
+        self.is_first = is_first  # whether it is the first request on its connection
+        self.started_us = started_us  # time at which its first byte arrived
+        self.keep_alive = True  # whether the connection stays open after the response
+        self.finished = False  # whether it was answered or the client disconnected
+        self.on_disconnect: Callable[[Exchange], None] | None = None
+
+    def respond(self, status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> None:
+        if self.finished:
             return
-        lines = list(headers) if self.keep else [*headers, (b"Connection", b"close")]
+        lines = list(headers) if self.keep_alive else [*headers, (b"Connection", b"close")]
         # The body is written separately: one body may be shared by many responses and must not be copied.
         self._connection.transport.write(render_head(status, lines, len(body)))
         if body:
             self._connection.transport.write(body)
-        self._connection.over(self)
+        self._connection.finish_exchange(self)
 
     def write(self, data: bytes) -> None:
-        if not self.gone:
+        if not self.finished:
             self._connection.transport.write(data)
 
     def reset(self) -> None:
-        if not self.gone:
+        if not self.finished:
             self._connection.reset()
 
 
@@ -90,26 +99,26 @@
         clock: Callable[[], int],
         connections: set[ServerConnection],
         on_open: Callable[[ServerConnection], None] = lambda _: None,
-        bounds: Bounds | None = None,
+        limits: ConnectionLimits | None = None,
     ) -> None:
-        self._limits = bounds or Bounds()
+        self._limits = limits or ConnectionLimits()
         self._pipelined: deque[Exchange] = deque()  # received while an earlier request is being answered
-        self._reading: Exchange | None = None
-        self._head = 0
+        self._incoming: Exchange | None = None
+        self._head_bytes = 0
         self._write_timer: asyncio.TimerHandle | None = None
         self._serve = serve
         self._clock = clock
         self._connections = connections
         self._on_open = on_open
         self._parser = httptools.HttpRequestParser(self)
-        self._exchange: Exchange | None = None
-        self._count = 0
+        self._current: Exchange | None = None
+        self._request_count = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # No isinstance check: uvloop's transports do not derive from asyncio.Transport.
         self.transport = cast(asyncio.Transport, transport)
-        if self._limits.reader_s:
-            self.transport.set_write_buffer_limits(high=self._limits.unsent_bytes, low=0)
+        if self._limits.write_timeout_s:
+            self.transport.set_write_buffer_limits(high=self._limits.max_unsent_bytes, low=0)
         self._connections.add(self)
         self._on_open(self)
 
@@ -122,13 +131,13 @@
 
     def refuse(self, status: int, *headers: tuple[bytes, bytes]) -> None:
         """Send an error response that belongs to no particular request, and close the connection."""
-        self.transport.write(render(status, [*headers, (b"Connection", b"close")], b""))
+        self.transport.write(render_response(status, [*headers, (b"Connection", b"close")], b""))
         self.transport.close()
 
     def pause_writing(self) -> None:
-        if self._limits.reader_s and self._write_timer is None:
+        if self._limits.write_timeout_s and self._write_timer is None:
             loop = asyncio.get_running_loop()
-            self._write_timer = loop.call_later(self._limits.reader_s, self.transport.abort)
+            self._write_timer = loop.call_later(self._limits.write_timeout_s, self.transport.abort)
 
     def resume_writing(self) -> None:
         if self._write_timer is not None:
@@ -139,73 +148,73 @@
         self.resume_writing()
         self._connections.discard(self)
         self._pipelined.clear()
-        exchange, self._exchange = self._exchange, None
+        exchange, self._current = self._current, None
         if exchange is not None:
-            exchange.gone = True
-            if exchange.on_gone is not None:
-                exchange.on_gone(exchange)
-
-    def over(self, exchange: Exchange) -> None:
-        exchange.gone = True
-        if self._exchange is exchange:
-            self._exchange = None
-        if not exchange.keep:
+            exchange.finished = True
+            if exchange.on_disconnect is not None:
+                exchange.on_disconnect(exchange)
+
+    def finish_exchange(self, exchange: Exchange) -> None:
+        exchange.finished = True
+        if self._current is exchange:
+            self._current = None
+        if not exchange.keep_alive:
             self.transport.close()
-        elif self._pipelined and self._exchange is None:
+        elif self._pipelined and self._current is None:
             asyncio.get_running_loop().call_soon(self._serve_next)
 
     def _serve_next(self) -> None:
-        if self._pipelined and self._exchange is None and not self.transport.is_closing():
-            self._exchange = self._pipelined.popleft()
-            self._serve(self._exchange)
+        if self._pipelined and self._current is None and not self.transport.is_closing():
+            self._current = self._pipelined.popleft()
+            self._serve(self._current)
 
     def reset(self) -> None:
         sock: Any = self.transport.get_extra_info("socket")
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         self.transport.abort()
 
     # --- parser callbacks ---
 
     def on_message_begin(self) -> None:
-        self._reading = Exchange(self, self._count == 0, self._clock())
-        self._count += 1
-        self._head = 0
+        self._incoming = Exchange(self, self._request_count == 0, self._clock())
+        self._request_count += 1
+        self._head_bytes = 0
 
     def _add_head_bytes(self, size: int) -> None:
-        self._head += size
-        if self._head > MAX_HEAD_BYTES:
+        self._head_bytes += size
+        if self._head_bytes > MAX_HEAD_BYTES:
             self.refuse(431)
             raise ValueError("request head too long")
 
     def on_url(self, url: bytes) -> None:
         self._add_head_bytes(len(url))
-        if self._reading is not None:
-            self._reading.url += url
+        if self._incoming is not None:
+            self._incoming.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._add_head_bytes(len(name) + len(value))
-        if self._reading is not None:
-            self._reading.headers[name.lower()] = value
+        if self._incoming is not None:
+            self._incoming.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        if self._reading is not None:
-            self._reading.body += body
-            if len(self._reading.body) > self._limits.body_bytes:
+        if self._incoming is not None:
+            self._incoming.body += body
+            if len(self._incoming.body) > self._limits.max_body_bytes:
                 self.refuse(413)
                 raise ValueError("request body too long")
 
     def on_message_complete(self) -> None:
-        exchange, self._reading = self._reading, None
+        exchange, self._incoming = self._incoming, None
         if exchange is None or self.transport.is_closing():
             return
         exchange.method = self._parser.get_method()
-        exchange.keep = self._parser.should_keep_alive()
-        if self._exchange is not None:
+        exchange.keep_alive = self._parser.should_keep_alive()
+        if self._current is not None:
             if len(self._pipelined) >= MAX_PIPELINED_REQUESTS:
                 self.transport.abort()
             self._pipelined.append(exchange)
             return
-        self._exchange = exchange
+        self._current = exchange
         self._serve(exchange)
 
 
@@ -247,7 +256,7 @@
 class ClientConnection(asyncio.Protocol):
     """A client's side of a connection; it carries one request at a time."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self._pool = pool
         self._handler: ReplyHandler | None = None
         self._parser = httptools.HttpResponseParser(self)
@@ -336,13 +345,13 @@
         self.connection: ClientConnection | None = None
         self.is_cancelled = False
 
-    def drop(self) -> None:
+    def cancel(self) -> None:
         self.is_cancelled = True
         if self.connection is not None:
             self.connection.close()
 
 
-class Pool:
+class ConnectionPool:
     """Persistent connections to one address; a new one is opened when all are busy."""
 
     def __init__(self, host: str, port: int, connect_timeout_s: float = 1.0) -> None:
@@ -353,10 +362,10 @@
         self._connect_timeout_s = connect_timeout_s
         self._connecting: set[asyncio.Task[None]] = set()
 
-    def ask(self, data: bytes, handler: ReplyHandler, fresh: bool = False) -> PendingRequest:
+    def send(self, data: bytes, handler: ReplyHandler, new_connection: bool = False) -> PendingRequest:
         """Send a request, if asked to on a new connection. Its outcome is never reported within this call."""
         pending = PendingRequest()
-        if self.idle and not fresh:
+        if self.idle and not new_connection:
             pending.connection = self.idle.pop()
             pending.connection.send(data, handler)
         else:
@@ -378,7 +387,7 @@
             async with asyncio.timeout(self._connect_timeout_s):
                 await loop.create_connection(lambda: connection, self.host, self.port)
         except (OSError, TimeoutError) as error:
-            if isinstance(error, OSError) and error.errno in OUR_LIMIT:
+            if isinstance(error, OSError) and error.errno in DESCRIPTOR_LIMIT_ERRNOS:
                 raise  # a local descriptor shortage does not mean that the server is unreachable
             if not pending.is_cancelled:
                 handler.on_unreachable()
@@ -402,7 +411,7 @@
             connection.close()
 
 
-class Unanswered(Exception):
+class NoReplyError(Exception):
     """A request got no complete reply; the message gives the reason."""
 
 
@@ -414,7 +423,7 @@
 
     def _fail(self, reason: str) -> None:
         if not self.future.done():
-            self.future.set_exception(Unanswered(reason))
+            self.future.set_exception(NoReplyError(reason))
 
     def on_written(self) -> None: ...
 
@@ -429,19 +438,19 @@
         self._fail("could not connect")
 
 
-async def fetch(pool: Pool, data: bytes, timeout_s: float, new_connection: bool = False) -> Reply:
+async def fetch(pool: ConnectionPool, data: bytes, timeout_s: float, new_connection: bool = False) -> Reply:
     """Send a request and wait for its reply.
 
     Raises:
         Unanswered: timed out, could not connect, or lost the connection.
     """
     handler = _FetchHandler()
-    pending = pool.ask(data, handler, new_connection)
+    pending = pool.send(data, handler, new_connection)
     try:
         async with asyncio.timeout(timeout_s):
             return await handler.future
     except TimeoutError:
-        raise Unanswered(f"no reply within {timeout_s:.3g} s") from None
+        raise NoReplyError(f"no reply within {timeout_s:.3g} s") from None
     finally:
         if not handler.future.done() or handler.future.cancelled() or handler.future.exception() is not None:
-            pending.drop()
+            pending.cancel()
--- a/eiderhub/programs/control.py
+++ b/eiderhub/programs/control.py
@@ -30,7 +30,7 @@
 
 async def serve(settings: TierSettings, stop: asyncio.Event, reload: asyncio.Event) -> None:
     own_address = f"{settings.ip}:{settings.first_port}"
-    seeds = [f"{address.parse(seed).host}:{settings.first_port}" for seed in settings.seeds]
+    seeds = [f"{address.parse_host_port(seed).host}:{settings.first_port}" for seed in settings.seeds]
     bootstraps = settings.bootstrap and own_address in seeds
     identity = bootstrap_identity(own_address) if bootstraps else f"{uuid.uuid4().hex[:10]}@{own_address}"
     store = open_store(settings, identity)
@@ -41,7 +41,7 @@
     loop = asyncio.get_running_loop()
     await loop.create_server(lambda: Connection(service), settings.ip, settings.first_port)
     await serve_metrics(service.metrics, settings.ip, settings.last_port - METRICS_PORT_OFFSET)
-    host, port = address.parse(settings.control)
+    host, port = address.parse_host_port(settings.control)
     # Imported late, so that the replica can already join its group meanwhile: no operator request is due
     # before this node is primary.
     from eiderhub.transport.operator_http import OperatorServer
--- a/eiderhub/programs/control_service.py
+++ b/eiderhub/programs/control_service.py
@@ -88,7 +88,7 @@
         self._storage_group = StorageGroupManager(
             self.group, store, replicas_needed, prefers_same_zones=not settings.zone_fault_tolerance
         )
-        control_port = address.parse(settings.control).port
+        control_port = address.parse_host_port(settings.control).port
         self.operator = OperatorService(
             node, self.group, store, self.tables, control_port, replicas_needed, self._storage_nodes
         )
@@ -122,7 +122,9 @@
         ]
 
     def _seed_addresses(self) -> list[str]:
-        return [f"{address.parse(s).host}:{self._settings.first_port}" for s in self._settings.seeds]
+        return [
+            f"{address.parse_host_port(s).host}:{self._settings.first_port}" for s in self._settings.seeds
+        ]
 
     def _now(self) -> float:
         return self.group.now()
--- a/eiderhub/programs/edge_service.py
+++ b/eiderhub/programs/edge_service.py
@@ -81,7 +81,7 @@
 
     def _control_nodes(self) -> list[str]:
         port = self._settings.first_port
-        seeds = [f"{address.parse(s).host}:{port}" for s in self._settings.seeds]
+        seeds = [f"{address.parse_host_port(s).host}:{port}" for s in self._settings.seeds]
         return control_candidates(self.tables, seeds, self._settings.zone, self._rng.shuffle)
 
     def _complete_ping(self, ping: SessionPing) -> SessionPing:
@@ -224,14 +224,14 @@
         def on_client_gone(_: Exchange) -> None:
             self._early_requests.remove(exchange)
 
-        exchange.on_gone = on_client_gone
+        exchange.on_disconnect = on_client_gone
         if len(self._early_requests) == 1:
             self._refuse_expired_early()
 
     def _refuse_expired_early(self) -> None:
         """Refuse expired early requests, and check again while any are held."""
         for exchange in self._early_requests.take_expired(self.now()):
-            exchange.on_gone = None
+            exchange.on_disconnect = None
             exchange.refuse(ErrorKind.NOT_READY, STARTING_RETRY_AFTER_US)
         if self._early_requests and self._early_timer is None:
             self._early_timer = asyncio.get_running_loop().call_later(
@@ -246,7 +246,7 @@
         """Route the requests that were held until the first configuration."""
         now = self.now()
         for held in self._early_requests.take_all():
-            held.request.on_gone = None
+            held.request.on_disconnect = None
             held.request.held_s = now - held.held_since
             self._route_request(held.request)
 
@@ -262,7 +262,7 @@
         elif accesses_batch and (route is None or route.kind == "batch"):
             self._tasks.start(self._read_or_end_batch(exchange, target), exchange.abort)
         elif route is None:
-            exchange.answer(HTTP_STATUS[ErrorKind.UNKNOWN])
+            exchange.respond(HTTP_STATUS[ErrorKind.UNKNOWN])
         elif not self._accepts(MAX_BATCH_CALL_S if route.kind == "batch" else time_left_s(exchange, route)):
             exchange.refuse(ErrorKind.NOT_READY, STOPPING_RETRY_AFTER_US)
         elif route.kind == "batch":
@@ -278,7 +278,7 @@
         started_at = self.now()
         charge = await self._spending.charge(tenant, tokens)
         exchange.held_s += self.now() - started_at
-        if exchange.gone:  # the client disconnected meanwhile
+        if exchange.finished:  # the client disconnected meanwhile
             if charge is ChargeResult.PAID:
                 self._spending.refund(tenant, tokens)
         elif charge is ChargeResult.PAID:
@@ -313,7 +313,7 @@
         def on_client_gone(_: Exchange) -> None:
             admission.abandon(call)
 
-        exchange.on_gone = on_client_gone
+        exchange.on_disconnect = on_client_gone
         admission.submit(call)
 
     # --- batch ---
@@ -321,7 +321,7 @@
     async def _submit_job(self, exchange: ClientExchange, route: Route) -> None:
         job = exchange.headers.get(b"request-id", b"").decode("latin-1")
         if exchange.method != b"POST" or not job:
-            exchange.answer(HTTP_STATUS[ErrorKind.INVALID])
+            exchange.respond(HTTP_STATUS[ErrorKind.INVALID])
             return
         self._send_answer(exchange, await self._item_runner.submit(job, route.name, exchange.body))
 
@@ -345,7 +345,7 @@
 
     @staticmethod
     def _send_answer(exchange: ClientExchange, answer: Answer) -> None:
-        exchange.answer(answer.status, answer.body, JSON_HEADER)
+        exchange.respond(answer.status, answer.body, JSON_HEADER)
 
     def metrics(self) -> list[str]:
         """Metrics of this sidecar, one per line."""
@@ -381,7 +381,7 @@
         """Begin to drain: accept only requests that can finish in time, and return all items."""
         self._drain = Drain(self.now(), grace_s)
         for held in self._early_requests.take_all():
-            held.request.on_gone = None
+            held.request.on_disconnect = None
             held.request.refuse(ErrorKind.NOT_READY, STOPPING_RETRY_AFTER_US)
         self._spending.return_unspent()
         self._item_runner.return_all_items()
--- a/eiderhub/programs/operator_service.py
+++ b/eiderhub/programs/operator_service.py
@@ -102,7 +102,7 @@
         primary = self._group.replica.primary
         if primary is None or primary == self._node.identity:
             return Reply(HTTPStatus.SERVICE_UNAVAILABLE)
-        host = address.parse(address_of(primary)).host
+        host = address.parse_host_port(address_of(primary)).host
         return Reply(HTTPStatus.TEMPORARY_REDIRECT, location=f"http://{host}:{self._control_port}{call.path}")
 
     @staticmethod
--- a/eiderhub/programs/settings.py
+++ b/eiderhub/programs/settings.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from eiderhub.reading import DocumentError, Fault
+from eiderhub.documents import DocumentError, Fault
 
 ENVIRONMENT_VARIABLE = "OTTERCLEAT_CONFIG"
 SECTION = "settings"  # added for configparser: the file itself has no sections
--- a/eiderhub/programs/startup.py
+++ b/eiderhub/programs/startup.py
@@ -11,8 +11,8 @@
 import picologging as logging
 import uvloop
 
+from eiderhub.documents import DocumentError
 from eiderhub.programs.settings import TierSettings, load
-from eiderhub.reading import DocumentError
 from eiderhub.transport.traffic import TRAFFIC
 
 USAGE_EXIT_STATUS = 2
--- a/eiderhub/programs/storage_service.py
+++ b/eiderhub/programs/storage_service.py
@@ -115,7 +115,7 @@
 
     def _control_nodes(self) -> list[str]:
         port = self._settings.first_port
-        seeds = [f"{address.parse(s).host}:{port}" for s in self._settings.seeds]
+        seeds = [f"{address.parse_host_port(s).host}:{port}" for s in self._settings.seeds]
         return control_candidates(self.tables, seeds, self._settings.zone, self._rng.shuffle)
 
     def _send_lease_request(self, request: LeaseRequest) -> bool:
--- a/eiderhub/registry/client.py
+++ b/eiderhub/registry/client.py
@@ -13,8 +13,8 @@
 import msgspec
 import structlog
 
-from eiderhub.address import Address, parse
-from eiderhub.http1 import Pool, Reply, Unanswered, fetch
+from eiderhub.address import Address, parse_host_port
+from eiderhub.http1 import ConnectionPool, NoReplyError, Reply, fetch
 from eiderhub.interface import Readiness
 from eiderhub.registry import calls, kept
 from eiderhub.registry.belief import Belief, Claim, Pace, Sources, Steering, Verdict
@@ -58,7 +58,7 @@
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self._pool = Pool(address.host, address.port, CONNECT_S)
+        self._pool = ConnectionPool(address.host, address.port, CONNECT_S)
 
     async def get(self, path: str, query: dict[str, Any], wait_s: float, *headers: str) -> Reply:
         """Raises Unanswered."""
@@ -91,7 +91,7 @@
     try:
         return msgspec.json.decode(reply.body, type=kind)
     except msgspec.DecodeError as error:
-        raise Unanswered(f"no answer of a list service: {error}") from None
+        raise NoReplyError(f"no answer of a list service: {error}") from None
 
 
 class Answer(NamedTuple):
@@ -162,7 +162,7 @@
         self.belief = Belief(follow.much_smaller, int(follow.believe_s * 1e6))
         self._deliver = deliver
         self._log = told or log
-        self._lines = [Line(parse(address)) for address in follow.addresses]
+        self._lines = [Line(parse_host_port(address)) for address in follow.addresses]
         self._sources = Sources(len(self._lines))
         self._pace = Pace(self._rng, calls_per_s=follow.calls_per_s)
         self._task: asyncio.Task[None] | None = None
@@ -207,7 +207,7 @@
         running = self._task is not None
         self.stop()
         self.follow = follow
-        self._lines = [Line(parse(address)) for address in follow.addresses]
+        self._lines = [Line(parse_host_port(address)) for address in follow.addresses]
         self._sources = Sources(len(self._lines))
         if running:
             self.start()
@@ -231,7 +231,7 @@
                 answer = await ask_list(line, self.follow)
             else:
                 answer = await ask_list(line, self.follow, belief.version, whose, wait_ms)
-        except (Unanswered, Refused) as error:
+        except (NoReplyError, Refused) as error:
             if str(error) != self._failing:
                 self._failing = str(error)
                 self._log.warning(
@@ -305,7 +305,7 @@
             Refused: by the main service.
             Unanswered: none of them is the main service and answers.
         """
-        last: Exception = Unanswered("no address")
+        last: Exception = NoReplyError("no address")
         for _ in self._lines:
             line = self._lines[self._index]
             try:
@@ -317,8 +317,8 @@
                     self._pace.answered(None)
                     raise
                 last = error
-            except Unanswered as error:
-                last = Unanswered(f"{line.address}: {error}")
+            except NoReplyError as error:
+                last = NoReplyError(f"{line.address}: {error}")
             self._index = (self._index + 1) % len(self._lines)
         raise last
 
@@ -389,7 +389,7 @@
         """Whether the service has heard it, whatever it makes of it."""
         try:
             await self._writer.post(path, self.named, calls.Done)
-        except (Unanswered, Refused) as error:
+        except (NoReplyError, Refused) as error:
             self._log.warning("not told to the list service", call=path, reason=str(error))
             return isinstance(error, Refused) and error.status not in (421, 503)
         return True
@@ -402,7 +402,7 @@
                 else:
                     await asyncio.sleep(self._lease_s * RENEW_PART * self._rng.uniform(0.8, 1.0))
                     await self._renew()
-            except Unanswered as error:
+            except NoReplyError as error:
                 self._log.warning(
                     "the list service does not answer", id=self.record.entry.instance_id, reason=str(error)
                 )
@@ -498,10 +498,10 @@
             return False
         writer.close()
         return True
-    pool = Pool(address.host, address.port, wait_s)
+    pool = ConnectionPool(address.host, address.port, wait_s)
     try:
         return (await fetch(pool, request(address, "GET", path, None), wait_s)).status == 200
-    except Unanswered:
+    except NoReplyError:
         return False
     finally:
         pool.close()
--- a/eiderhub/registry/config.py
+++ b/eiderhub/registry/config.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, Struct
 
 from eiderhub.address import AddressText
-from eiderhub.reading import convert, parse
+from eiderhub.documents import convert, load_document
 from eiderhub.registry.names import Name, NameOrNone
 
 Count = Annotated[int, Meta(ge=1, le=10_000_000)]
@@ -64,5 +64,5 @@
     Raises:
         DocumentError: with all of its faults.
     """
-    document, _ = parse(Path(path))
-    return convert(document, Document, path, people=True)
+    document, _ = load_document(Path(path))
+    return convert(document, Document, path, human_format=True)
--- a/eiderhub/registry/following.py
+++ b/eiderhub/registry/following.py
@@ -7,8 +7,8 @@
 
 import structlog
 
-from eiderhub.address import parse
-from eiderhub.http1 import Unanswered
+from eiderhub.address import parse_host_port
+from eiderhub.http1 import NoReplyError
 from eiderhub.registry import calls
 from eiderhub.registry.belief import Pace, Sizes, Sources
 from eiderhub.registry.client import DOUBT_S, PATIENCE_S, Line, Refused, now_us, read
@@ -25,7 +25,7 @@
     def __init__(self, service: Service, addresses: list[str], rng: random.Random) -> None:
         self._service = service
         self._rng = rng
-        self._lines = [Line(parse(address)) for address in addresses]
+        self._lines = [Line(parse_host_port(address)) for address in addresses]
         self._sources = Sources(len(self._lines))
         self._pace = Pace(rng)
         self._sizes = Sizes()
@@ -50,7 +50,7 @@
             query = {"after": core.version, "wait_ms": WAIT_MS} if has else {}
             reply = await line.get(calls.FEED, query, WAIT_MS / 1000 + PATIENCE_S, *headers)
             feed = read(reply, calls.Feed)
-        except (Unanswered, Refused) as error:
+        except (NoReplyError, Refused) as error:
             if str(error) != self._failing:
                 self._failing = str(error)
                 log.warning("the main service does not answer", address=str(line.address), reason=str(error))
--- a/eiderhub/registry/server.py
+++ b/eiderhub/registry/server.py
@@ -13,10 +13,10 @@
 import msgspec
 import structlog
 
-from eiderhub.address import parse
-from eiderhub.http1 import Bounds, Exchange, ServerConnection
+from eiderhub.address import parse_host_port
+from eiderhub.documents import DocumentError, convert
+from eiderhub.http1 import ConnectionLimits, Exchange, ServerConnection
 from eiderhub.interface import Readiness
-from eiderhub.reading import DocumentError, convert
 from eiderhub.registry import calls
 from eiderhub.registry.config import Document, Serve
 from eiderhub.registry.core import Core, Decision, Refusal, Told, is_ready, listed
@@ -101,7 +101,9 @@
         self.core = core
         self._store = store
         self._limits = config.limits
-        self._bounds = Bounds(config.limits.body_bytes, config.limits.unsent_bytes, config.limits.reader_s)
+        self._bounds = ConnectionLimits(
+            config.limits.body_bytes, config.limits.unsent_bytes, config.limits.reader_s
+        )
         self._connections: set[ServerConnection] = set()
         self._listeners: list[asyncio.Server] = []
         self._watches: Watches[Ask] = Watches()
@@ -136,7 +138,7 @@
         loop = asyncio.get_running_loop()
         plain = Serve(listen=self.config.listen, service=self.config.service, tier=self.config.tier)
         for serve in (plain, *self.config.serve):
-            address = parse(serve.listen)
+            address = parse_host_port(serve.listen)
             listener = await loop.create_server(
                 self._connected(serve), address.host, address.port, backlog=BACKLOG, start_serving=False
             )
@@ -229,7 +231,7 @@
         headers = [(b"Content-Type", b"application/json"), (b"Registry-Id", self.core.identity.encode())]
         if retry_s:
             headers.append((b"Retry-After", b"%.3f" % retry_s))
-        exchange.answer(status, msgspec.json.encode(what), *headers)
+        exchange.respond(status, msgspec.json.encode(what), *headers)
 
     def _busy(self, exchange: Exchange, why: str) -> None:
         self._tally["refused"] += 1
@@ -240,7 +242,7 @@
         try:
             return convert(msgspec.json.decode(exchange.body), kind)
         except DocumentError as error:
-            self._tell(exchange, 400, calls.Done(why="; ".join(error.lines()[:5])))
+            self._tell(exchange, 400, calls.Done(why="; ".join(error.fault_lines()[:5])))
         except (msgspec.DecodeError, RecursionError) as error:
             self._tell(exchange, 400, calls.Done(why=f"no JSON: {error}"))
         return None
@@ -440,7 +442,7 @@
             ticket = self._watches.add(ask, group, now + wait_ms * 1000)
             if (after or 0) < self.core.newest(group):
                 self._watches.changed(now, group)
-            exchange.on_gone = lambda _: self._watches.drop(ticket, group)
+            exchange.on_disconnect = lambda _: self._watches.drop(ticket, group)
             self._arm()
         else:
             self._answer(ask)
@@ -459,7 +461,7 @@
         return ask.after > self.core.version or not self._continues(ask)
 
     def _answer(self, ask: Ask) -> None:
-        ask.exchange.on_gone = None
+        ask.exchange.on_disconnect = None
         continues = self._continues(ask)
         after = ask.after if continues else None
         place = (ask.group, ask.view, after, self.core.version)
@@ -488,7 +490,7 @@
             (b"Registry-Age-Ms", b"%d" % self.age_ms),
             (b"Registry-Callers", b"%d" % len(self._connections)),
         ]
-        ask.exchange.answer(200, body, *headers)
+        ask.exchange.respond(200, body, *headers)
 
     @property
     def age_ms(self) -> int:
@@ -524,7 +526,7 @@
             loop = asyncio.get_running_loop()
             timer = loop.call_later(wait_ms / 1000, self._feed_now, exchange)
             self._feeds[exchange] = (after, timer)
-            exchange.on_gone = self._feed_gone
+            exchange.on_disconnect = self._feed_gone
         else:
             self._feed_tell(exchange, after)
 
@@ -534,7 +536,7 @@
     def _feed_now(self, exchange: Exchange) -> None:
         after, timer = self._feeds.pop(exchange)
         timer.cancel()
-        exchange.on_gone = None
+        exchange.on_disconnect = None
         self._feed_tell(exchange, after)
 
     def _feed_tell(self, exchange: Exchange, after: int) -> None:
--- a/eiderhub/scale/backends.py
+++ b/eiderhub/scale/backends.py
@@ -23,7 +23,7 @@
 import numpy as np
 import uvloop
 
-from eiderhub.address import Address, parse
+from eiderhub.address import Address, parse_host_port
 from eiderhub.http1 import Exchange, ServerConnection
 from eiderhub.scale.alarms import Alarms
 
@@ -112,23 +112,23 @@
             self._answer(number, exchange)
 
     def _answer(self, number: int, exchange: Exchange) -> None:
-        self._answered[number] += not exchange.gone
-        exchange.answer(200, ANSWER)
+        self._answered[number] += not exchange.finished
+        exchange.respond(200, ANSWER)
 
     def _figures(self, exchange: Exchange) -> None:
         late = self._alarms.late_ns
         late_ms = round(float(np.percentile(late, 99)) / 1e6, 3) if late else 0.0
         self._alarms.late_ns = []
-        exchange.answer(200, msgspec.json.encode(Counts(self._accepted, self._answered, late_ms)))
+        exchange.respond(200, msgspec.json.encode(Counts(self._accepted, self._answered, late_ms)))
 
     def _list(self, exchange: Exchange) -> None:
         query = parse_qs(urlsplit(exchange.url.decode("latin-1")).query)
         if "after" not in query:
-            exchange.answer(200, self._whole)
+            exchange.respond(200, self._whole)
             return
         wait_ms = min(MOST_WAIT_MS, int(query.get("wait_ms", ["0"])[0]))
         nothing = msgspec.json.encode({"generation": GENERATION, "reset": False, "instances": []})
-        asyncio.get_running_loop().call_later(wait_ms / 1000, exchange.answer, 200, nothing)
+        asyncio.get_running_loop().call_later(wait_ms / 1000, exchange.respond, 200, nothing)
 
 
 class _Half(asyncio.Protocol):
@@ -193,7 +193,7 @@
         sets, count, service_us = (int(text) for text in rest)
         places = await _Endpoints(sets, service_us).open(count)
     else:
-        places = await _relay([parse(text) for text in rest])
+        places = await _relay([parse_host_port(text) for text in rest])
     beside = Path(file + ".part")
     beside.write_bytes(msgspec.json.encode(places))
     beside.replace(file)
--- a/eiderhub/scale/changes.py
+++ b/eiderhub/scale/changes.py
@@ -11,7 +11,7 @@
 import numpy as np
 
 from eiderhub.address import Address
-from eiderhub.http1 import Unanswered
+from eiderhub.http1 import NoReplyError
 from eiderhub.registry import calls
 from eiderhub.registry.client import Line, Refused
 from eiderhub.scale.hollow import Change, Settle, Settled, delay_ms
@@ -62,7 +62,7 @@
         call = calls.RecordCall(service=seat.service, id=seat.id, undo=undo)
         try:
             done = await line.post(calls.DRAIN, call, calls.Done, WRITE_S)
-        except (Unanswered, Refused):
+        except (NoReplyError, Refused):
             self.written.failed += 1
             return
         self.written.made.append(Change(seat.service, done.version, time.monotonic()))
--- a/eiderhub/scale/faults.py
+++ b/eiderhub/scale/faults.py
@@ -10,7 +10,7 @@
 from msgspec import structs
 
 from eiderhub.emulator.wires import How
-from eiderhub.http1 import Unanswered
+from eiderhub.http1 import NoReplyError
 from eiderhub.registry.client import Refused
 from eiderhub.scale.changes import Writer
 from eiderhub.scale.counts import peak, together
@@ -49,7 +49,7 @@
         while True:
             try:
                 self.least_records = min(self.least_records, (await self.topology.main.status()).records)
-            except (Unanswered, Refused):
+            except (NoReplyError, Refused):
                 self.notes.append("the main service did not answer a look")
             await asyncio.sleep(WATCH_S)
 
--- a/eiderhub/scale/fit.py
+++ b/eiderhub/scale/fit.py
@@ -17,7 +17,7 @@
 import numpy as np
 
 from eiderhub.capacity.slopes import KNOWN, Slope, Slopes
-from eiderhub.reading import DocumentError, Fault
+from eiderhub.documents import DocumentError, Fault
 from eiderhub.scale.decisions import DecisionsResult, Sample
 from eiderhub.scale.path import RelayResult
 from eiderhub.scale.result import FOLLOWER, HOLLOW, MAIN, Phase, Result, Role
--- a/eiderhub/scale/hollow.py
+++ b/eiderhub/scale/hollow.py
@@ -27,11 +27,11 @@
 import xxhash
 from msgspec import Struct
 
-from eiderhub.address import parse
+from eiderhub.address import parse_host_port
 from eiderhub.balancer import Balancer
-from eiderhub.http1 import Bounds, Exchange, ServerConnection
+from eiderhub.documents import convert
+from eiderhub.http1 import ConnectionLimits, Exchange, ServerConnection
 from eiderhub.interface import ListForm, Settings
-from eiderhub.reading import convert
 from eiderhub.registry.client import Registration, now_us, record_of
 from eiderhub.registry.records import Entry
 from eiderhub.registry.settings import Follow, Register
@@ -39,8 +39,8 @@
 from eiderhub.scale.plan import Seat
 from eiderhub.settings import Setup
 from eiderhub.sidecar.clock import Alarm
-from eiderhub.sidecar.discovery import Listed
-from eiderhub.sidecar.following import Following
+from eiderhub.sidecar.discovery import ListedEndpoint
+from eiderhub.sidecar.registry_watcher import RegistryWatcher
 
 TOGETHER = 16  # registrations or first lists that are under way at a time
 TICK_S = 0.02  # how often the lateness of timers is looked at
@@ -153,7 +153,7 @@
         Alarm(now_us() + delay_us, lambda: self._sidecar.wake(mark))
 
     def watch(self, on: bool) -> None:
-        self._sidecar.following.turn(on)
+        self._sidecar.following.set_enabled(on)
 
     def write_log(self, text: str, **fields: str | int | float) -> None:
         """Nobody reads it."""
@@ -190,7 +190,7 @@
             wait_s=part.wait_s,
             calls_per_s=part.calls_per_s,
         )
-        self.following = Following(follow, self._on_list, self._on_steering)
+        self.following = RegistryWatcher(follow, self._on_list, self._on_steering)
         self.in_force: list[tuple[float, int]] = []  # when which version was in the decisions
         self.listed = asyncio.Event()
         self.lists = 0
@@ -207,7 +207,7 @@
             region=seat.region,
             lease_ms=part.lease_ms,
         )
-        addresses = [parse(text) for text in part.main[seat.region]]
+        addresses = [parse_host_port(text) for text in part.main[seat.region]]
         self.registration = Registration(record_of(told, started_ms), addresses, _alive)
         self.state = State.HELD
         self.registration.start()
@@ -217,7 +217,7 @@
         """As a sidecar starts: the decisions first, with an empty list, then the watch."""
         self.balancer.start(now_us())
         self._on_list(ListForm.CACHED, [])
-        self.following.turn(True)
+        self.following.set_enabled(True)
 
     def abandon(self) -> None:
         """As if its process had been killed."""
@@ -241,7 +241,7 @@
     def _on_steering(self, shares: Mapping[str, float], regions: Mapping[str, str]) -> None:
         self.balancer.steer(now_us(), shares, {**regions, **self._settings.regions})
 
-    def _on_list(self, form: ListForm, entries: list[Listed]) -> None:
+    def _on_list(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
         self.balancer.discovery(now_us(), form, [entry.endpoint for entry in entries])
         if form is ListForm.CACHED:
             return
@@ -297,10 +297,10 @@
         stop = asyncio.Event()
         for number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(number, stop.set)
-        address = parse(self.part.control)
-        bounds = Bounds(body_bytes=MOST_BODY)
+        address = parse_host_port(self.part.control)
+        bounds = ConnectionLimits(max_body_bytes=MOST_BODY)
         listener = await loop.create_server(
-            lambda: ServerConnection(self._came, now_us, self._connections, bounds=bounds),
+            lambda: ServerConnection(self._came, now_us, self._connections, limits=bounds),
             address.host,
             address.port,
         )
@@ -331,9 +331,9 @@
         try:
             found = await call(msgspec.json.decode(exchange.body, type=kind))
         except Exception as error:  # whoever asked must hear of it, or would wait for long
-            exchange.answer(500, msgspec.json.encode({"why": f"{type(error).__name__}: {error}"}))
+            exchange.respond(500, msgspec.json.encode({"why": f"{type(error).__name__}: {error}"}))
             raise
-        exchange.answer(200, msgspec.json.encode(found))
+        exchange.respond(200, msgspec.json.encode(found))
 
     # --- calls ---
 
--- a/eiderhub/scale/path.py
+++ b/eiderhub/scale/path.py
@@ -27,7 +27,7 @@
 from eiderhub.emulator.clock import Clock
 from eiderhub.emulator.load import Pattern, loopback, schedule
 from eiderhub.emulator.processes import Process, Usage, claim, environment, new_folder
-from eiderhub.http1 import Pool, Reply, Unanswered, fetch
+from eiderhub.http1 import ConnectionPool, NoReplyError, Reply, fetch
 from eiderhub.interface import Effect
 from eiderhub.scale.alarms import NS, Alarms
 from eiderhub.scale.backends import Counts, Places, listing
@@ -150,12 +150,12 @@
     """The connections and the calls of one leg."""
 
     def __init__(self, targets: Sequence[tuple[str, int]]) -> None:
-        self.pools = [Pool(loopback(host), port) for host, port in targets]
+        self.pools = [ConnectionPool(loopback(host), port) for host, port in targets]
         self.turn = 0
         self.ends: Counter[End] = Counter()
         self.latencies_ns: list[int] = []
 
-    def pool(self) -> Pool:
+    def pool(self) -> ConnectionPool:
         self.turn += 1
         return self.pools[self.turn % len(self.pools)]
 
@@ -413,7 +413,7 @@
             sidecar = await self._start_sidecar(address, where)
             relay = self._processes[1]
             assert where.figures is not None
-            self._figures = Pool(*where.figures)
+            self._figures = ConnectionPool(*where.figures)
             tell(0.0, "idle")
             before = cpu_ns(sidecar.pid)
             begun = time.monotonic()
@@ -499,14 +499,14 @@
             self._folder, address, where.discovery, where.sets[0], self._seed, self._sidecar
         )
         self._processes.append(process)
-        pool = Pool(*address)
+        pool = ConnectionPool(*address)
         try:
             async with asyncio.timeout(READY_S):
                 for number in range(1_000_000):
                     self._check_one(process)
                     name = f"{number:016x}"
                     asked = render(name, CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
-                    with contextlib.suppress(Unanswered):
+                    with contextlib.suppress(NoReplyError):
                         if (await fetch(pool, asked, 1.0)).status == 200:
                             return process
                     await asyncio.sleep(0.02)
--- a/eiderhub/scale/registry_bench.py
+++ b/eiderhub/scale/registry_bench.py
@@ -15,7 +15,7 @@
 import numpy as np
 
 from eiderhub.emulator.processes import Process, new_folder
-from eiderhub.http1 import Unanswered
+from eiderhub.http1 import NoReplyError
 from eiderhub.interface import Readiness
 from eiderhub.registry import calls
 from eiderhub.registry.belief import Pace, S
@@ -276,7 +276,7 @@
                     await caller.once(0)
                     back.append(time.monotonic())
                     return
-            except (Unanswered, Refused):
+            except (NoReplyError, Refused):
                 with_watch = False
                 wait_s = pace.failed() / S if jitter else BASE_S * 2 ** min(turn, 6)
                 await asyncio.sleep(wait_s)
--- a/eiderhub/scale/services.py
+++ b/eiderhub/scale/services.py
@@ -14,7 +14,7 @@
 
 from eiderhub.address import Address
 from eiderhub.emulator.processes import Process, Usage, claim, environment
-from eiderhub.http1 import Unanswered
+from eiderhub.http1 import NoReplyError
 from eiderhub.registry import calls
 from eiderhub.registry.client import Line, Refused, read
 
@@ -77,7 +77,7 @@
                 try:
                     if (await self.status()).branch:
                         return time.monotonic() - begun
-                except (Unanswered, Refused):
+                except (NoReplyError, Refused):
                     pass
                 if process.ended.is_set():
                     raise Ended(process)
--- a/eiderhub/scale/topology.py
+++ b/eiderhub/scale/topology.py
@@ -15,10 +15,10 @@
 import tomli_w
 
 from eiderhub.address import Address
+from eiderhub.documents import convert, to_human_format
 from eiderhub.emulator.processes import Process, claim, new_folder
 from eiderhub.emulator.wires import How, Wire
-from eiderhub.http1 import Unanswered
-from eiderhub.reading import by_people, convert
+from eiderhub.http1 import NoReplyError
 from eiderhub.registry import calls
 from eiderhub.registry.client import Line
 from eiderhub.registry.settings import Follow, Register
@@ -274,7 +274,7 @@
             raise Ended(group.process)
         try:
             await group.call("/snapshot", Nothing(), Snapshot, 10.0)
-        except Unanswered:
+        except NoReplyError:
             return False
         return True
 
@@ -322,7 +322,7 @@
         folder = self.folder / seat.id
         (folder / "tmp").mkdir(parents=True)
         path = folder / "config.toml"
-        path.write_text(tomli_w.dumps(by_people(found)), encoding="utf-8")
+        path.write_text(tomli_w.dumps(to_human_format(found)), encoding="utf-8")
         environ = {"GW_CONFIG": str(path), "TMPDIR": str(folder / "tmp")}
         command = [sys.executable, "-B", "-m", "eiderhub.sidecar"]
         real.process = spawn(f"real-{seat.id}", command, self.folder, environ)
--- a/eiderhub/scale/watchers.py
+++ b/eiderhub/scale/watchers.py
@@ -17,8 +17,8 @@
 import numpy as np
 import uvloop
 
-from eiderhub.address import Address, parse
-from eiderhub.http1 import Unanswered
+from eiderhub.address import Address, parse_host_port
+from eiderhub.http1 import NoReplyError
 from eiderhub.registry.client import Line, ask_list
 from eiderhub.registry.settings import Follow
 
@@ -62,7 +62,7 @@
             while caller.answers == before:
                 try:
                     await caller.once(0)
-                except Unanswered:  # the service is busy with the others' lists
+                except NoReplyError:  # the service is busy with the others' lists
                     await asyncio.sleep(AGAIN_S)
 
     await asyncio.gather(*(first(caller) for caller in callers))
@@ -105,7 +105,7 @@
 def main() -> int:
     address, count, path = sys.argv[1:]
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        history = runner.run(watch(parse(address), int(count)))
+        history = runner.run(watch(parse_host_port(address), int(count)))
     Path(path).write_bytes(msgspec.json.encode(history))
     return 0
 
--- a/eiderhub/settings.py
+++ b/eiderhub/settings.py
@@ -10,6 +10,7 @@
 
 from msgspec import Meta, Struct, field
 
+from eiderhub.documents import convert
 from eiderhub.interface import (
     Discovery,
     Effect,
@@ -23,7 +24,6 @@
     Settings,
     Tenant,
 )
-from eiderhub.reading import convert
 
 Name = Annotated[str, Meta(min_length=1)]
 PositiveUs = Annotated[int, Meta(gt=0)]
--- a/eiderhub/sidecar/bodies.py
+++ b/eiderhub/sidecar/bodies.py
@@ -6,11 +6,11 @@
 from typing import Final, NamedTuple, Protocol
 
 MAX_BODY_BYTES: Final = 32 * 1024 * 1024
-MOST_KEPT: Final = 64 * 1024  # bodies up to this size are buffered completely and may be retried
+MAX_BUFFERED_BYTES: Final = 64 * 1024  # bodies up to this size are buffered completely and may be retried
 MIN_BUFFERED_BYTES: Final = 16 * 1024
 BUFFER_MEMORY_FRACTION: Final = 0.2  # of the memory limit, for the body buffers of all connections
-READ_SIZE: Final = 32 * 1024
-STALL_S: Final = 15.0  # a peer that makes no progress on a body for this long is dropped
+READ_BUFFER_BYTES: Final = 32 * 1024
+STALL_TIMEOUT_S: Final = 15.0  # a peer that makes no progress on a body for this long is dropped
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -26,7 +26,7 @@
     chunked: bool
 
 
-def framing(headers: Headers) -> Framing:
+def parse_framing(headers: Headers) -> Framing:
     """Return the framing given by the headers; the parser has already rejected contradictory headers."""
     length, chunked = None, False
     for name, value in headers:
@@ -42,24 +42,25 @@
     return Framing(length, chunked)
 
 
-def frame(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 LAST_CHUNK: Final = b"0\r\n\r\n"
 
 
-def most_kept(memory_bytes: int, connections: int) -> int:
+def buffer_limit(memory_bytes: int, connections: int) -> int:
     """The body bytes that one connection may buffer, so that all stay within their part of the memory."""
     return min(
-        MOST_KEPT, max(MIN_BUFFERED_BYTES, int(BUFFER_MEMORY_FRACTION * memory_bytes / max(1, connections)))
+        MAX_BUFFERED_BYTES,
+        max(MIN_BUFFERED_BYTES, int(BUFFER_MEMORY_FRACTION * memory_bytes / max(1, connections))),
     )
 
 
 class Source(Protocol):
     """The side that a body is read from."""
 
-    def flow(self) -> None:
+    def update_flow_control(self) -> None:
         """Pause or resume reading, depending on whether the receiving side is congested."""
 
 
@@ -69,7 +70,7 @@
     @property
     def congested(self) -> bool: ...
 
-    def pass_on(self, data: bytes) -> None: ...
+    def forward(self, data: bytes) -> None: ...
 
     def end_body(self) -> None: ...
 
@@ -78,8 +79,15 @@
     """A request body that is forwarded while it is received; it can't be retried once forwarding starts."""
 
     __slots__ = (
-        "_buffered", "_buffered_bytes", "_sink", "_source", "begun", "buffer_limit", "given_up", "length",
-        "whole",
+        "_buffered",
+        "_buffered_bytes",
+        "_sink",
+        "_source",
+        "buffer_limit",
+        "complete",
+        "discarded",
+        "forwarding_started",
+        "length",
     )  # fmt: skip
 
     def __init__(
@@ -87,9 +95,9 @@
     ) -> None:
         self.length = length  # None: chunked
         self.buffer_limit = buffer_limit
-        self.whole = False  # the last byte has been received
-        self.begun = False  # part of it may have been forwarded
-        self.given_up = False  # the rest is read and dropped
+        self.complete = False  # the last byte has been received
+        self.forwarding_started = False  # part of it may have been forwarded
+        self.discarded = False  # the rest is read and dropped
         self._source = source
         self._buffered = list(buffered)
         self._buffered_bytes = sum(map(len, self._buffered))
@@ -97,39 +105,39 @@
 
     @property
     def congested(self) -> bool:
-        if self.given_up:
+        if self.discarded:
             return False
         return self._sink.congested if self._sink is not None else self._buffered_bytes >= self.buffer_limit
 
     def feed(self, data: bytes) -> None:
         if self._sink is not None:
-            self._sink.pass_on(data)
-        elif not self.given_up:
+            self._sink.forward(data)
+        elif not self.discarded:
             self._buffered.append(data)
             self._buffered_bytes += len(data)
 
     def finish(self) -> None:
-        self.whole = True
+        self.complete = True
         if self._sink is not None:
             self._sink.end_body()
 
     def attach(self, sink: Sink) -> None:
         """Forward what is buffered to the sink, then the rest as it is received."""
-        self.begun = True
+        self.forwarding_started = True
         self._sink = sink
         buffered, self._buffered, self._buffered_bytes = self._buffered, [], 0
         for data in buffered:
-            sink.pass_on(data)
-        if self.whole:
+            sink.forward(data)
+        if self.complete:
             sink.end_body()
-        self.flow()
+        self.update_flow_control()
 
-    def give_up(self) -> None:
-        self.given_up = True
+    def discard(self) -> None:
+        self.discarded = True
         self._sink = None
         self._buffered, self._buffered_bytes = [], 0
-        self.flow()
+        self.update_flow_control()
 
-    def flow(self) -> None:
-        if not self.whole:
-            self._source.flow()
+    def update_flow_control(self) -> None:
+        if not self.complete:
+            self._source.update_flow_control()
--- a/eiderhub/sidecar/caller.py
+++ b/eiderhub/sidecar/caller.py
@@ -18,14 +18,14 @@
 from eiderhub.sidecar.bodies import (
     LAST_CHUNK,
     MAX_BODY_BYTES,
-    READ_SIZE,
-    STALL_S,
+    READ_BUFFER_BYTES,
+    STALL_TIMEOUT_S,
     FramingError,
     Headers,
     Source,
     Upload,
-    frame,
-    framing,
+    encode_chunk,
+    parse_framing,
 )
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.host import Host, Request
@@ -33,19 +33,21 @@
 from eiderhub.sidecar.upstream import HOP_BY_HOP, Response
 
 MAX_HEAD_BYTES = 16 * 1024
-READ_S = 2.5  # to receive a request, from connecting or its first byte; the terms require an end within 3 s
-BODY_S = 1.5  # at least, from a complete head to the first byte of the body
+READ_TIMEOUT_S = (
+    2.5  # to receive a request, from connecting or its first byte; the terms require an end within 3 s
+)
+BODY_START_TIMEOUT_S = 1.5  # at least, from a complete head to the first byte of the body
 MIN_BODY_BYTES_PER_S = 48_000  # minimum rate of a body: slow clients send 64 kB, with pauses
-PIECE = 2048  # bytes parsed at a time if a read may hold many pipelined requests, which then wait
+PARSE_BYTES = 2048  # bytes parsed at a time if a read may hold many pipelined requests, which then wait
 # A read with at most this many heads is parsed at once. In parts, a body would be forwarded in parts, too.
-MOST_HEADS = 8
-LINGER_S = 1.0  # after half-closing, how long to read input while waiting for the caller to close
+MAX_HEADS_PER_PARSE = 8
+HALF_CLOSE_WAIT_S = 1.0  # after half-closing, how long to read input while waiting for the caller to close
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 ZERO_LINGER = struct.pack("ii", 1, 0)  # closing with this SO_LINGER value resets the connection
 log = structlog.get_logger()
 
 
-class Stage(Enum):
+class ConnectionStage(Enum):
     """The stage of a connection; it never returns to an earlier one."""
 
     OPEN = 1  # reading requests
@@ -56,7 +58,7 @@
 
 
 SHUTTING_DOWN = "the sidecar ends"  # the reason given to callers
-READING_STAGES = (Stage.OPEN, Stage.DISCARDING)
+READING_STAGES = (ConnectionStage.OPEN, ConnectionStage.DISCARDING)
 
 
 class RequestRejected(Exception):
@@ -92,7 +94,7 @@
     """What caller connections need of the server: shared state and the admission of requests."""
 
     host: Host
-    most_kept: int  # bytes of a body, in either direction
+    buffer_limit: int  # bytes of a body, in either direction
     intake: Intake
     open_request_ids: set[bytes]  # ids of the requests not yet answered
 
@@ -123,16 +125,16 @@
 class CallerConnection(asyncio.BufferedProtocol):
     """One caller's connection; requests are served one at a time, in order."""
 
-    _buffer = bytearray(READ_SIZE)  # shared by all connections: each read is consumed at once
+    _buffer = bytearray(READ_BUFFER_BYTES)  # shared by all connections: each read is consumed at once
 
     def __init__(self, server: CallerServer) -> None:
         self.server = server
         self.current: Request | None = None
-        self.waiting: list[IncomingRequest] = []  # pipelined requests, waiting for the current one
+        self.pipelined: list[IncomingRequest] = []  # pipelined requests, waiting for the current one
         self.keep_alive = True
         self.receiving = False
-        self.due_us = 0  # when the first request, or the one being received, is timed out; 0: never
-        self.stage = Stage.OPEN
+        self.read_deadline_us = 0  # when the first request, or the one being received, is timed out; 0: never
+        self.stage = ConnectionStage.OPEN
         self.congested = False  # the write buffer is full: the caller reads too slowly
         self.write_blocked_since_us = 0
         self.rejection: RequestRejected | None = None
@@ -141,8 +143,8 @@
         self._incoming: IncomingRequest | None = None  # the request being received, once its head is complete
         self._answer_source: Source | None = None  # the source of an answer that is being forwarded
         self._answer_chunked = False  # whether that answer is written chunked
-        self._paused = False
-        self._unfed = b""  # input read but not yet parsed
+        self._reading_paused = False
+        self._unparsed = b""  # input read but not yet parsed
         self._last_read_us = 0  # when the last input was read
         self._close_timer: asyncio.TimerHandle | None = None
         self._awaiting_first_answer = True
@@ -153,9 +155,9 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # A cast, not `isinstance`: uvloop's transports don't subclass asyncio's.
         self.transport = cast(asyncio.Transport, transport)
-        self.transport.set_write_buffer_limits(high=self.server.most_kept)
+        self.transport.set_write_buffer_limits(high=self.server.buffer_limit)
         self.idle_since_us = now_us()
-        self.due_us = self.idle_since_us + int(READ_S * 1e6)
+        self.read_deadline_us = self.idle_since_us + int(READ_TIMEOUT_S * 1e6)
         self.server.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
@@ -163,10 +165,10 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         self._last_read_us = now_us()
-        if not self._unfed and (nbytes <= PIECE or self._count_heads(nbytes) <= MOST_HEADS):
+        if not self._unparsed and (nbytes <= PARSE_BYTES or self._count_heads(nbytes) <= MAX_HEADS_PER_PARSE):
             self._parse(memoryview(self._buffer)[:nbytes])
         else:
-            self._unfed += memoryview(self._buffer)[:nbytes]
+            self._unparsed += memoryview(self._buffer)[:nbytes]
             self._parse_pending()
 
     def _count_heads(self, nbytes: int) -> int:
@@ -175,12 +177,12 @@
 
     def _parse_pending(self) -> None:
         """Parse pending input until a request has to wait; parsed requests take many times the memory."""
-        while self._unfed and not self.waiting and self.stage in READING_STAGES:
-            part, self._unfed = self._unfed[:PIECE], self._unfed[PIECE:]
+        while self._unparsed and not self.pipelined and self.stage in READING_STAGES:
+            part, self._unparsed = self._unparsed[:PARSE_BYTES], self._unparsed[PARSE_BYTES:]
             self._parse(part)
         if self.stage not in READING_STAGES:
-            self._unfed = b""
-        self.flow()
+            self._unparsed = b""
+        self.update_flow_control()
 
     def _parse(self, data: bytes | memoryview) -> None:
         if self.stage not in READING_STAGES:
@@ -189,23 +191,23 @@
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
             # The request itself is served, and its answer closes the connection.
-            self.stage = Stage.NO_MORE_INPUT
+            self.stage = ConnectionStage.NO_MORE_INPUT
         except httptools.HttpParserError:
             self.stop_reading(self.rejection or RequestRejected(400, "malformed HTTP"))
 
     def stop_reading(self, rejection: RequestRejected) -> None:
         """Stop parsing input; the rejection is answered in order and closes the connection."""
-        if self.stage is Stage.DISCARDING:
+        if self.stage is ConnectionStage.DISCARDING:
             self.half_close()
-        if self.stage is not Stage.OPEN:
+        if self.stage is not ConnectionStage.OPEN:
             return
-        self.stage = Stage.NO_MORE_INPUT
+        self.stage = ConnectionStage.NO_MORE_INPUT
         incoming, self._incoming = self._incoming, None
         if incoming is None or incoming.upload is None:
             self._serve_or_queue(IncomingRequest(rejection))
         elif self.current is not None and self.current.upload is incoming.upload:
             self.server.count_failure(f"{rejection.status} {rejection}, amid a body")
-            self.server.host.withdraw(self.current, rejection.status, f"{rejection}\n".encode())
+            self.server.host.fail_upload(self.current, rejection.status, f"{rejection}\n".encode())
         else:  # it is already in the queue
             incoming.rejection = rejection
 
@@ -213,61 +215,61 @@
         return False  # a half-closed connection counts as closed by the caller
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.stage = Stage.CLOSED
+        self.stage = ConnectionStage.CLOSED
         if self._close_timer is not None:
             self._close_timer.cancel()
             self._close_timer = None
         del self.parser  # breaks a reference cycle; such cycles would accumulate until a full collection
-        self.waiting.clear()
-        self._unfed = b""
+        self.pipelined.clear()
+        self._unparsed = b""
         self._incoming = self._answer_source = self._current_upload = None
         self.server.on_disconnected(self)
         current = self._release_current()
         if current is not None:
-            self.server.host.gone(current)
+            self.server.host.on_caller_disconnect(current)
 
     def _release_current(self) -> Request | None:
         """Detach and return the current request, if any."""
         current, self.current = self.current, None
         if current is not None:
             self.server.release_id(current.id)
-            self.server.host.figures.inflight -= current.whole
+            self.server.host.figures.inflight -= current.body_complete
         return current
 
-    def flow(self) -> None:
+    def update_flow_control(self) -> None:
         """Pause or resume reading, depending on waiting requests and the congestion of the upload."""
         upload = self._incoming.upload if self._incoming is not None else None
-        pause = bool(self.waiting) or (upload is not None and upload.congested)
-        if pause == self._paused or self.transport.is_closing():
+        pause = bool(self.pipelined) or (upload is not None and upload.congested)
+        if pause == self._reading_paused or self.transport.is_closing():
             return
-        self._paused = pause
+        self._reading_paused = pause
         if pause:
-            self.due_us = 0  # no timeout: the delay is not the caller's
+            self.read_deadline_us = 0  # no timeout: the delay is not the caller's
             self.transport.pause_reading()
         else:
             if self.receiving:
-                self.due_us = now_us() + int(READ_S * 1e6)
+                self.read_deadline_us = now_us() + int(READ_TIMEOUT_S * 1e6)
             self.transport.resume_reading()
 
     def pause_writing(self) -> None:
         self.congested = True
         self.write_blocked_since_us = now_us()
         if self._answer_source is not None:
-            self._answer_source.flow()
+            self._answer_source.update_flow_control()
 
     def resume_writing(self) -> None:
         self.congested = False
         self.write_blocked_since_us = 0
         if self._answer_source is not None:
-            self._answer_source.flow()
-        elif self.waiting:
+            self._answer_source.update_flow_control()
+        elif self.pipelined:
             self._schedule_next()
 
     # --- parser callbacks ---
 
     def on_message_begin(self) -> None:
         self.receiving = True
-        self.due_us = self.due_us or now_us() + int(READ_S * 1e6)
+        self.read_deadline_us = self.read_deadline_us or now_us() + int(READ_TIMEOUT_S * 1e6)
         self._url = b""
         self._headers: Headers = []
         self._body: list[bytes] = []
@@ -296,26 +298,26 @@
         incoming.http_1_1 = self.parser.get_http_version() == "1.1"
         incoming.keep_alive = incoming.http_1_1 and self.parser.should_keep_alive()
         try:
-            length, chunked = framing(self._headers)
+            length, chunked = parse_framing(self._headers)
         except FramingError as error:
             self._reject(RequestRejected(501, str(error)))
         if length is None and not chunked:
             return
         now = now_us()
-        if self.due_us:
-            self.due_us = max(self.due_us, now + int(BODY_S * 1e6))
+        if self.read_deadline_us:
+            self.read_deadline_us = max(self.read_deadline_us, now + int(BODY_START_TIMEOUT_S * 1e6))
         if (length or 0) > MAX_BODY_BYTES:
             self._reject(RequestRejected(413, "the body is too long"))
         incoming.expects_continue = incoming.http_1_1 and any(
             len(name) == 6 and name.lower() == b"expect" and value.lower() == b"100-continue"
             for name, value in incoming.headers
         )
-        if incoming.expects_continue and self.current is None and not self.waiting:
+        if incoming.expects_continue and self.current is None and not self.pipelined:
             try:
                 self._send_continue(incoming)
             except RequestRejected as rejected:
                 self._reject(rejected)
-        if (length or 0) > self.server.most_kept:
+        if (length or 0) > self.server.buffer_limit:
             self._start_upload(incoming, length)
 
     def _send_continue(self, incoming: IncomingRequest) -> None:
@@ -326,28 +328,28 @@
 
     def _start_upload(self, incoming: IncomingRequest, length: int | None) -> None:
         """Serve the request before its body, which is too large to buffer and is forwarded as received."""
-        incoming.upload = Upload(length, self.server.most_kept, self, self._body)
+        incoming.upload = Upload(length, self.server.buffer_limit, self, self._body)
         incoming.arrived_us = now_us()
         self._body = []
         self._serve_or_queue(incoming)
 
     def on_body(self, body: bytes) -> None:
         self._body_bytes += len(body)
-        if self.due_us:
+        if self.read_deadline_us:
             now = now_us()
-            extended_us = self.due_us + len(body) * 1_000_000 // MIN_BODY_BYTES_PER_S
-            self.due_us = min(extended_us, now + int(READ_S * 1e6))
+            extended_us = self.read_deadline_us + len(body) * 1_000_000 // MIN_BODY_BYTES_PER_S
+            self.read_deadline_us = min(extended_us, now + int(READ_TIMEOUT_S * 1e6))
         if self._body_bytes > MAX_BODY_BYTES:
             self._reject(RequestRejected(413, "the body is too long"))
         incoming = self._incoming
-        if incoming is None or self.stage is Stage.DISCARDING:
+        if incoming is None or self.stage is ConnectionStage.DISCARDING:
             return
         if incoming.upload is not None:
             incoming.upload.feed(body)
-            self.flow()
+            self.update_flow_control()
             return
         self._body.append(body)
-        if self._body_bytes > self.server.most_kept:
+        if self._body_bytes > self.server.buffer_limit:
             self._start_upload(incoming, None)
 
     def _reject(self, rejection: RequestRejected) -> None:
@@ -356,9 +358,9 @@
 
     def on_message_complete(self) -> None:
         self.receiving = False
-        self.due_us = 0
+        self.read_deadline_us = 0
         incoming, self._incoming = self._incoming, None
-        if self.stage is Stage.DISCARDING or incoming is None:
+        if self.stage is ConnectionStage.DISCARDING or incoming is None:
             self.half_close()
             return
         incoming.keep_alive = incoming.keep_alive and not self.parser.should_upgrade()
@@ -371,7 +373,7 @@
         incoming.arrived_us = now_us()
         if self.current is not None and self.current.upload is incoming.upload:
             self.server.host.figures.inflight += 1
-            self.server.host.came_whole(self.current)
+            self.server.host.on_body_complete(self.current)
 
     # --- serving requests in order ---
 
@@ -380,14 +382,14 @@
         """Whether a request is being served, is queued or is being received."""
         return (
             self.current is not None
-            or bool(self.waiting)
+            or bool(self.pipelined)
             or (self.receiving and self.stage in READING_STAGES)
         )
 
     @property
     def receiving_first_request(self) -> bool:
         """Whether the first request of this connection is still being received."""
-        return self._awaiting_first_answer and self.receiving and self.current is None and not self.waiting
+        return self._awaiting_first_answer and self.receiving and self.current is None and not self.pipelined
 
     def can_close(self) -> bool:
         """Whether the connection is idle: no request, no unread input in the kernel and no unsent answer.
@@ -396,9 +398,9 @@
         """
         if self.busy or self.transport.get_write_buffer_size():
             return False
-        return self.stage is Stage.HALF_CLOSED or not self._poll_socket(select.POLLIN)
+        return self.stage is ConnectionStage.HALF_CLOSED or not self._poll_socket(select.POLLIN)
 
-    def left_unread(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the caller has closed the connection; aborts it if the event loop has not noticed yet.
 
         The event loop doesn't notice while reading is paused, and after a delay it may process timers and
@@ -416,9 +418,9 @@
         return bool(poll.poll(0))
 
     def _serve_or_queue(self, incoming: IncomingRequest) -> None:
-        if self.current is not None or self.waiting or self.congested:
-            self.waiting.append(incoming)
-            self.flow()
+        if self.current is not None or self.pipelined or self.congested:
+            self.pipelined.append(incoming)
+            self.update_flow_control()
             return
         self._serve(incoming)
 
@@ -442,8 +444,8 @@
         if request is not None:
             self.current = request
             self.server.open_request_ids.add(request.id)
-            self.server.host.figures.inflight += request.whole
-            self.server.host.take(request)
+            self.server.host.figures.inflight += request.body_complete
+            self.server.host.accept_request(request)
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Write a complete answer; then close if the caller, its input or a shutdown requires it."""
@@ -457,7 +459,7 @@
         self.keep_alive = (
             self.keep_alive
             and not self._body_incomplete()
-            and (bool(self.waiting) or self.server.intake is Intake.OPEN)
+            and (bool(self.pipelined) or self.server.intake is Intake.OPEN)
         )
         lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status])]
         lines += [b"%s: %s" % header for header in headers if header[0].lower() not in HOP_BY_HOP]
@@ -469,7 +471,7 @@
         self._answer_source = None
         current = self._release_current()
         if current is not None:
-            self.server.host.figures.count_answer(current.grade, status)
+            self.server.host.figures.count_answer(current.class_name, status)
         self.idle_since_us = now_us()
         self._awaiting_first_answer = False
         self.server.on_answered(self)
@@ -480,7 +482,7 @@
 
     # --- forwarding an answer while it is received ---
 
-    def begin(self, head: Response, source: Source) -> CallerConnection:
+    def start_streaming(self, head: Response, source: Source) -> CallerConnection:
         length = head.framing.length
         self._answer_chunked = length is None and self._http_1_1
         if length is None and not self._http_1_1:
@@ -495,23 +497,23 @@
         self._answer_source = source
         return self
 
-    def pass_on(self, data: bytes) -> None:
-        self.transport.write(frame(data) if self._answer_chunked else data)
+    def forward(self, data: bytes) -> None:
+        self.transport.write(encode_chunk(data) if self._answer_chunked else data)
 
     def finish(self) -> None:
         if self._answer_chunked:
             self.transport.write(LAST_CHUNK)
         self._on_answer_complete(200)
 
-    def break_off(self) -> None:
+    def abort_answer(self) -> None:
         """Reset the connection, so that the caller can tell that the answer is incomplete."""
         current = self._release_current()
         if current is None:  # the caller has disconnected
             return
-        self.server.host.figures.count_answer(current.grade, 502)
+        self.server.host.figures.count_answer(current.class_name, 502)
         self.server.count_failure("answer broken off")
         self._answer_source = None
-        self.stage = Stage.CLOSED
+        self.stage = ConnectionStage.CLOSED
         sock: Any = self.transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
         self.transport.abort()
@@ -519,27 +521,27 @@
     # --- the next request, or closing the connection ---
 
     def _schedule_next(self) -> None:
-        if self._incoming is not None and self._incoming.expects_continue and not self.waiting:
+        if self._incoming is not None and self._incoming.expects_continue and not self.pipelined:
             try:
                 self._send_continue(self._incoming)
             except RequestRejected as rejected:
                 self.stop_reading(rejected)
-        if self.waiting and not self.congested:
+        if self.pipelined and not self.congested:
             # Deferred: the answer may be written from within a call that still uses the previous request.
             asyncio.get_running_loop().call_soon(self._serve_next)
 
     def _serve_next(self) -> None:
-        if not self.waiting or self.current is not None or self.congested:
+        if not self.pipelined or self.current is not None or self.congested:
             return
-        if self.left_unread():
+        if self.has_disconnected():
             return
-        incoming = self.waiting.pop(0)
+        incoming = self.pipelined.pop(0)
         self._serve(incoming)
         self._parse_pending()
 
     def _body_incomplete(self) -> bool:
         """Whether the body of the current request is still being received."""
-        return self._current_upload is not None and not self._current_upload.whole
+        return self._current_upload is not None and not self._current_upload.complete
 
     def _close_after_answer(self) -> None:
         """Close the connection, but give the caller time to read the answer.
@@ -548,11 +550,11 @@
         dropped.
         """
         if self._current_upload is not None and self._body_incomplete():
-            self._current_upload.give_up()
-        if self.stage is Stage.OPEN and self._body_incomplete():
-            self.stage = Stage.DISCARDING
-            self.waiting.clear()
-            self.flow()  # don't parse here: the answer may be written from within the parser
+            self._current_upload.discard()
+        if self.stage is ConnectionStage.OPEN and self._body_incomplete():
+            self.stage = ConnectionStage.DISCARDING
+            self.pipelined.clear()
+            self.update_flow_control()  # don't parse here: the answer may be written from within the parser
         else:
             self.half_close()
 
@@ -563,21 +565,21 @@
         Requests received from here on are never served: the caller sees the close without an answer and can
         send them again elsewhere.
         """
-        if self.stage in (Stage.HALF_CLOSED, Stage.CLOSED):
+        if self.stage in (ConnectionStage.HALF_CLOSED, ConnectionStage.CLOSED):
             return
-        self.stage = Stage.HALF_CLOSED
-        self.due_us = 0
-        self.waiting.clear()
-        self._unfed = b""
+        self.stage = ConnectionStage.HALF_CLOSED
+        self.read_deadline_us = 0
+        self.pipelined.clear()
+        self._unparsed = b""
         self._incoming = None
-        self.flow()
+        self.update_flow_control()
         if not self.transport.is_closing():
             self.transport.write_eof()
-            self._schedule_close(now_us() + int(STALL_S * 1e6))
+            self._schedule_close(now_us() + int(STALL_TIMEOUT_S * 1e6))
 
     def _schedule_close(self, close_by_us: int) -> None:
         self._close_timer = asyncio.get_running_loop().call_later(
-            LINGER_S, self._close_unless_reading, close_by_us
+            HALF_CLOSE_WAIT_S, self._close_unless_reading, close_by_us
         )
 
     def _close_unless_reading(self, close_by_us: int) -> None:
@@ -605,18 +607,18 @@
         elif self.can_close():
             self.half_close()
 
-    def look_after(self, now: int) -> None:
+    def check_timeouts(self, now: int) -> None:
         """Time out callers that don't send or don't read, so that they don't hold descriptors."""
-        if self.write_blocked_since_us and now - self.write_blocked_since_us > STALL_S * 1e6:
+        if self.write_blocked_since_us and now - self.write_blocked_since_us > STALL_TIMEOUT_S * 1e6:
             self.server.count_failure("does not read its answer")
             self.transport.abort()
-        elif self._paused and self.left_unread():
+        elif self._reading_paused and self.has_disconnected():
             pass
-        elif self.due_us and self.stage in READING_STAGES and now >= self.due_us:
-            if self.receiving and self.stage is Stage.OPEN:  # its answer closes the connection
+        elif self.read_deadline_us and self.stage in READING_STAGES and now >= self.read_deadline_us:
+            if self.receiving and self.stage is ConnectionStage.OPEN:  # its answer closes the connection
                 self.stop_reading(RequestRejected(408, "the request did not come whole"))
             else:
-                discarding = self.stage is Stage.DISCARDING
+                discarding = self.stage is ConnectionStage.DISCARDING
                 self.server.count_failure(
                     "body stalled after its answer" if discarding else "no request came"
                 )
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -12,14 +12,14 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from eiderhub.address import PATTERN, Address, AddressText, parse
+from eiderhub.address import ADDRESS_PATTERN, Address, AddressText, parse_host_port
+from eiderhub.documents import DocumentError, convert, suggest_name
+from eiderhub.documents import load_document as parse_file
 from eiderhub.interface import Settings
-from eiderhub.reading import DocumentError, convert, nearest
-from eiderhub.reading import parse as parse_file
 from eiderhub.registry.names import Name
 from eiderhub.registry.settings import Follow, Register
 from eiderhub.settings import Setup
-from eiderhub.sidecar.discovery import DiscoveryResponse, Listing, readable
+from eiderhub.sidecar.discovery import DiscoveryResponse, EndpointList, is_readable
 from eiderhub.sidecar.logs import DEFAULT_LINES_PER_S, Form
 
 DEFAULT_SOCKETS = 1024  # file descriptors, if the configuration sets no limit
@@ -53,7 +53,7 @@
     name: str = ""
     listen: AddressText | None = None  # for callers
     discovery: AddressText | None = None
-    management: Annotated[str, Meta(pattern="^$|" + PATTERN, description="an address:port")] = ""
+    management: Annotated[str, Meta(pattern="^$|" + ADDRESS_PATTERN, description="an address:port")] = ""
     seed: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]*$", description="a hexadecimal number")] | int = ""
     limits: Bounds = Bounds()
     log: Log = Log()
@@ -71,7 +71,7 @@
                     raise ValueError(f"regions: zone {zone} stands in {both_regions}; leave one out")
         own = self.settings.my_zone
         if region_by_zone and own and own not in region_by_zone:
-            reason = f"our own zone {own} (settings.my_zone) is in none; {nearest(own, region_by_zone)}"
+            reason = f"our own zone {own} (settings.my_zone) is in none; {suggest_name(own, region_by_zone)}"
             raise ValueError(f"regions: {reason}")
         if self.register is not None and not self.register.addresses and self.registry is None:
             raise ValueError("register.addresses: missing, and there is no [registry] to take them from")
@@ -84,7 +84,7 @@
     discovery: Address
     seed: int
     sockets: int
-    known: Listing
+    known: EndpointList
     settings: Settings
     management: Address | None = None  # for operators
     memory_bytes: int = DEFAULT_MEMORY_MB << 20
@@ -99,7 +99,7 @@
     if text is None:
         raise ConfigError(f"{key}: missing")
     try:
-        return parse(text)
+        return parse_host_port(text)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
 
@@ -123,7 +123,7 @@
     """The last known list without its unreadable entries, which must not prevent a start."""
     if not isinstance(known, dict) or not isinstance(known.get("instances"), list):
         return known
-    readable_entries = [entry for entry in known["instances"] if readable(entry)]
+    readable_entries = [entry for entry in known["instances"] if is_readable(entry)]
     # If none is readable, the list is kept, so that its first error is reported.
     if len(readable_entries) in (0, len(known["instances"])):
         return known
@@ -154,7 +154,7 @@
     return int(str(value), 16) if value != "" else secrets.randbits(64)
 
 
-def config_of(document: Document, environ: Mapping[str, str]) -> Config:
+def build_config(document: Document, environ: Mapping[str, str]) -> Config:
     """Combine the file with the environment variables, which take precedence."""
 
     def address(variable: str, file_value: str | None) -> Address:
@@ -174,7 +174,7 @@
         discovery=Address("", 0) if document.registry else address("GW_DISCOVERY", document.discovery),
         seed=_parse_seed(document.seed),
         sockets=document.limits.sockets,
-        known=document.known.listing() if document.known is not None else Listing(0, True, []),
+        known=document.known.to_endpoint_list() if document.known is not None else EndpointList(0, True, []),
         settings=dataclasses.replace(document.settings.settings(), regions=region_by_zone),
         management=address("GW_MANAGEMENT", document.management) if management_text else None,
         memory_bytes=int(document.limits.memory_mb * (1 << 20)),
@@ -198,4 +198,4 @@
     Raises:
         ConfigError: with a one-line message that names the error.
     """
-    return config_of(_document_from_environment(environ), environ)
+    return build_config(_document_from_environment(environ), environ)
--- a/eiderhub/sidecar/discovery.py
+++ b/eiderhub/sidecar/discovery.py
@@ -27,8 +27,8 @@
 # 6 s of the end of the outage. Where lists are polled, a poll given up sooner would lose its place in the
 # queue of a busy discovery, so the wait stays the same.
 RECOVERY_WAIT_MS = 2_500
-PATIENCE_S = 1.0  # a response may be late by this much: its changes count as received one second later
-GAP_S = 0.75  # longest pause within a response
+RESPONSE_GRACE_S = 1.0  # a response may be late by this much: its changes count as received one second later
+READ_GAP_TIMEOUT_S = 0.75  # longest pause within a response
 LIST_READ_TIMEOUT_S = 3.5  # for a complete response; leaves time for another poll
 CONNECT_TIMEOUT_S = 2.0
 MAX_LIST_BYTES = 8 << 20
@@ -53,7 +53,7 @@
     weight: float | None = None  # taken as 1 where missing or not above 0
     started_at_ms: float | None = None  # Unix time; 0: unknown, long ago
 
-    def to_listed_endpoint(self) -> Listed:
+    def to_listed_endpoint(self) -> ListedEndpoint:
         host, _, port = self.host_port.rpartition(":")
         if not 0 < int(port) < 1 << 16:
             raise ValueError(f"{self.host_port}: port out of range")
@@ -70,7 +70,7 @@
             # The balancer's clock is monotonic, so a start may be negative; 0 stands for unknown.
             launched_us=started_ms * 1000 - UNIX_OFFSET_US or 1 if started_ms else 0,
         )
-        return Listed(endpoint, host, int(port))
+        return ListedEndpoint(endpoint, host, int(port))
 
 
 class DiscoveryResponse(Struct, frozen=True, kw_only=True):
@@ -81,9 +81,9 @@
     instances: list[Instance]
     unreadable: int = 0  # number of entries left out because they could not be parsed
 
-    def listing(self) -> Listing:
+    def to_endpoint_list(self) -> EndpointList:
         entries = [instance.to_listed_endpoint() for instance in self.instances]
-        return Listing(self.generation, self.reset, entries, self.unreadable)
+        return EndpointList(self.generation, self.reset, entries, self.unreadable)
 
 
 class RawDiscoveryResponse(Struct, frozen=True, kw_only=True):
@@ -94,7 +94,7 @@
     instances: list[Any]
 
 
-class Listed(NamedTuple):
+class ListedEndpoint(NamedTuple):
     """One entry of a list: the endpoint as the balancer knows it, and its address."""
 
     endpoint: Endpoint
@@ -102,26 +102,26 @@
     port: int
 
 
-class Listing(NamedTuple):
+class EndpointList(NamedTuple):
     generation: int
-    whole: bool
-    entries: list[Listed]
+    is_full: bool
+    entries: list[ListedEndpoint]
     unreadable: int = 0
 
 
-def read_listing(body: bytes) -> Listing:
+def parse_endpoint_list(body: bytes) -> EndpointList:
     """Parse a response body of discovery.
 
     Raises:
         ValueError: it is not a list; no part of it may be used.
     """
     try:
-        return msgspec.json.decode(body, type=DiscoveryResponse).listing()
+        return msgspec.json.decode(body, type=DiscoveryResponse).to_endpoint_list()
     except (ValueError, OverflowError):
         return _parse_readable_entries(msgspec.json.decode(body, type=RawDiscoveryResponse))
 
 
-def readable(document: Any) -> bool:
+def is_readable(document: Any) -> bool:
     """Whether an entry can be parsed."""
     try:
         msgspec.convert(document, Instance).to_listed_endpoint()
@@ -130,13 +130,13 @@
     return True
 
 
-def _parse_readable_entries(response: RawDiscoveryResponse) -> Listing:
+def _parse_readable_entries(response: RawDiscoveryResponse) -> EndpointList:
     """Parse a list of which some entries are malformed, without rejecting the others.
 
     A malformed entry with a readable id is taken as draining, so that its endpoint gets no new requests:
     whatever its state is, it is not known to be ready.
     """
-    entries: list[Listed] = []
+    entries: list[ListedEndpoint] = []
     errors: list[Exception] = []
     for document in response.instances:
         try:
@@ -147,12 +147,12 @@
             name, zone = fields.get("instanceId"), fields.get("zone")
             if isinstance(name, str):
                 known_zone = zone if isinstance(zone, str) else ""
-                entries.append(Listed(Endpoint(name, known_zone, "", -1, Readiness.DRAINING), "", 0))
+                entries.append(ListedEndpoint(Endpoint(name, known_zone, "", -1, Readiness.DRAINING), "", 0))
     if response.reset and errors and len(errors) == len(response.instances):
         raise ValueError(f"no entry can be read: {errors[0]}")
     if errors:
         log.warning("entries of a list can't be read", entries=len(errors), first=str(errors[0]))
-    return Listing(response.generation, response.reset, entries)
+    return EndpointList(response.generation, response.reset, entries)
 
 
 class DiscoveryBusyError(ValueError):
@@ -199,7 +199,7 @@
         if self._gap_timer is not None:
             self._gap_timer.cancel()
         self._gap_timer = (
-            asyncio.get_running_loop().call_later(GAP_S, self._on_gap_timeout) if rearm else None
+            asyncio.get_running_loop().call_later(READ_GAP_TIMEOUT_S, self._on_gap_timeout) if rearm else None
         )
 
     def _on_gap_timeout(self) -> None:
@@ -222,7 +222,7 @@
         self._call: DiscoveryCall | None = None
         self._recovering = False  # the latest poll got no response
 
-    async def poll(self, generation: int | None, immediate: bool = False) -> Listing:
+    async def poll(self, generation: int | None, immediate: bool = False) -> EndpointList:
         """Get the changes since `generation`, or the full list if it is None.
 
         A poll without response is retried once, since it cannot be told from one without changes, and the
@@ -244,7 +244,7 @@
         await asyncio.sleep(random.uniform(0.0, RETRY_JITTER_S))
         return await self._poll_once(generation, immediate)
 
-    async def _poll_once(self, generation: int | None, immediate: bool) -> Listing:
+    async def _poll_once(self, generation: int | None, immediate: bool) -> EndpointList:
         self._call = None
         reused = self._connection is not None and not self._connection.lost
         if self._connection is None or self._connection.lost:
@@ -252,7 +252,7 @@
         max_wait_ms = self.recovery_wait_ms if self._recovering else self.wait_ms
         wait_ms = int(max_wait_ms * random.uniform(MIN_WAIT_JITTER, 1.0))
         query = "" if generation is None else f"?after={generation}&wait_ms={0 if immediate else wait_ms}"
-        timeout_s = PATIENCE_S + (wait_ms / 1000 if query else 0.0)
+        timeout_s = RESPONSE_GRACE_S + (wait_ms / 1000 if query else 0.0)
         call = self._call = DiscoveryCall(self._connection, timeout_s, reused)
         head = f"GET /discovery/hosts{query} HTTP/1.1\r\nHost: {self.host}:{self.port}\r\n\r\n"
         self._connection.send(head.encode())
@@ -264,8 +264,8 @@
         self._recovering = False
         if response.status != 200:
             raise DiscoveryBusyError(f"status {response.status}")
-        listing = read_listing(response.body)
-        if not query and not listing.whole:
+        listing = parse_endpoint_list(response.body)
+        if not query and not listing.is_full:
             raise ValueError("the full list was requested, and a delta was returned")
         return listing
 
@@ -297,7 +297,7 @@
             self._call.fail(ConnectionResetError("the connection ended"))
 
 
-class Watcher:
+class DiscoveryWatcher:
     """Polls discovery while turned on.
 
     A failure ends that, and the balancer decides when to turn it on again; with `retry_forever` it goes on.
@@ -310,23 +310,23 @@
         generation: int,
         retry_forever: bool,
         ask_every_us: int,
-        on_list: Callable[[ListForm, list[Listed]], None],
+        on_list: Callable[[ListForm, list[ListedEndpoint]], None],
     ) -> None:
         self.host = host
         self.port = port
         self.generation = generation
-        self.persist = retry_forever  # for pushed lists, where the balancer does not turn it on again
+        self.retry_forever = retry_forever  # for pushed lists, where the balancer does not turn it on again
         self.wait_ms = min(
             MAX_POLL_WAIT_MS, int(POLL_WAIT_FRACTION * ask_every_us / 1000) or MAX_POLL_WAIT_MS
         )
-        self.deliver = on_list
-        self.heard = asyncio.Event()  # set once discovery has answered or proved unreachable
+        self.on_list = on_list
+        self.first_poll_done = asyncio.Event()  # set once discovery has answered or proved unreachable
         self._task: asyncio.Task[None] | None = None
         self._client: DiscoveryClient | None = None
 
-    def turn(self, on: bool) -> None:
+    def set_enabled(self, on: bool) -> None:
         if on and self._task is None:
-            recovery_wait_ms = RECOVERY_WAIT_MS if self.persist else self.wait_ms
+            recovery_wait_ms = RECOVERY_WAIT_MS if self.retry_forever else self.wait_ms
             self._client = DiscoveryClient(self.host, self.port, self.wait_ms, recovery_wait_ms)
             self._task = asyncio.get_running_loop().create_task(self._run(self._client))
         elif not on and self._task is not None:
@@ -335,36 +335,36 @@
             if self._client is not None:
                 self._client.close()  # a response that still arrives is discarded
 
-    def move(self, host: str, port: int) -> None:
+    def set_address(self, host: str, port: int) -> None:
         """Switch to another address of discovery at once, even during a backoff."""
-        self.turn(False)
+        self.set_enabled(False)
         self.host, self.port = host, port
-        self.turn(True)
+        self.set_enabled(True)
 
     async def _run(self, client: DiscoveryClient) -> None:
         backoff_s, max_backoff_s = PUSH_BACKOFF_S
         request_full = False  # whether the next poll asks for the full list
         while True:
             try:
-                immediate = not self.heard.is_set()  # the process waits for this when starting
+                immediate = not self.first_poll_done.is_set()  # the process waits for this when starting
                 listing = await client.poll(None if request_full else self.generation, immediate)
                 request_full = not request_full and listing.generation < self.generation
                 if request_full:
                     log.warning("discovery told of an older list", has=listing.generation, we=self.generation)
                     continue
-                self.deliver(ListForm.FULL if listing.whole else ListForm.DELTA, listing.entries)
+                self.on_list(ListForm.FULL if listing.is_full else ListForm.DELTA, listing.entries)
                 # Only now: a list that could not be applied is requested again.
                 self.generation = listing.generation
                 backoff_s = PUSH_BACKOFF_S[0]
-                self.heard.set()
+                self.first_poll_done.set()
             except Exception as error:  # whatever it is, polling must go on, or the list would stay outdated
                 log.warning("discovery failed", reason=str(error) or type(error).__name__)
                 client.close()
                 if not isinstance(error, DiscoveryBusyError):
-                    self.heard.set()
-                if not self.persist:
+                    self.first_poll_done.set()
+                if not self.retry_forever:
                     self._task = None
-                    self.deliver(ListForm.FAILED, [])
+                    self.on_list(ListForm.FAILED, [])
                     return
                 await asyncio.sleep(backoff_s * random.uniform(0.5, 1.5))
                 backoff_s = min(2 * backoff_s, max_backoff_s)
--- a/eiderhub/sidecar/host.py
+++ b/eiderhub/sidecar/host.py
@@ -15,15 +15,15 @@
 
 from eiderhub.balancer import Balancer
 from eiderhub.interface import Discovery, Effect, ListForm, Outcome, Readiness
-from eiderhub.sidecar.bodies import Headers, Source, Upload, most_kept
+from eiderhub.sidecar.bodies import Headers, Source, Upload, buffer_limit
 from eiderhub.sidecar.clock import Alarm, now_us
 from eiderhub.sidecar.config import Config
-from eiderhub.sidecar.discovery import Listed, Watcher
-from eiderhub.sidecar.figures import Figures
+from eiderhub.sidecar.discovery import DiscoveryWatcher, ListedEndpoint
+from eiderhub.sidecar.metrics import RequestMetrics
 from eiderhub.sidecar.upstream import Attempt, Receiver, Response, Upstream
 
 if TYPE_CHECKING:
-    from eiderhub.sidecar.following import Following
+    from eiderhub.sidecar.registry_watcher import RegistryWatcher
 
 ANSWER_MARGIN_US = 40_000  # answers are sent this long before the client's deadline, for transfer time
 log = structlog.get_logger()
@@ -34,14 +34,14 @@
 
     def answer(self, status: int, headers: Headers, body: bytes) -> None: ...
 
-    def begin(self, head: Response, source: Source) -> Receiver:
+    def start_streaming(self, head: Response, source: Source) -> Receiver:
         """Start a streamed answer; its data follows through the receiver."""
 
     def finish(self) -> None: ...
 
-    def break_off(self) -> None: ...
+    def abort_answer(self) -> None: ...
 
-    def left_unread(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether the caller has closed its connection and the event loop has not reported it yet."""
 
 
@@ -49,9 +49,24 @@
     """One accepted request, and its attempts."""
 
     __slots__ = (
-        "alarm", "answer_due_us", "answered", "attempts", "body", "call", "caller", "client_timeout_us",
-        "deadline_us", "grade", "head", "hint_us", "id", "open_attempts", "streaming_attempt", "tenant",
-        "upload", "whole",
+        "alarm",
+        "answer_due_us",
+        "answered",
+        "attempts",
+        "body",
+        "body_complete",
+        "call",
+        "caller",
+        "class_name",
+        "client_timeout_us",
+        "deadline_us",
+        "head",
+        "hint_us",
+        "id",
+        "open_attempts",
+        "streaming_attempt",
+        "tenant",
+        "upload",
     )  # fmt: skip
 
     def __init__(
@@ -67,7 +82,7 @@
         request_id: bytes = b"",
     ) -> None:
         self.caller = caller
-        self.grade = class_name
+        self.class_name = class_name
         self.tenant = tenant
         self.hint_us = hint_us
         self.client_timeout_us = client_timeout_us  # how long the client waits after sending its last byte
@@ -80,7 +95,7 @@
         self.open_attempts = 0  # number of attempts that have not ended
         self.answered = False  # also True while its answer is streamed
         self.streaming_attempt: Attempt | None = None  # whose answer is being streamed
-        self.whole = self.upload is None or self.upload.whole
+        self.body_complete = self.upload is None or self.upload.complete
         self.alarm: Alarm | None = None
         self.set_deadline(arrived_us)
 
@@ -96,31 +111,31 @@
     def __init__(self, config: Config, max_connections: int, memory_bytes: int) -> None:
         settings = config.settings
         self.settings = settings
-        self.figures = Figures(c.name for c in settings.classes)
+        self.figures = RequestMetrics(c.name for c in settings.classes)
         deduplicated = (c for c in settings.classes if c.effect is Effect.DEDUPLICATED)
         self.dedup_windows_us = {c.name: c.dedup_window_us for c in deduplicated}  # a retry is safe within it
         self.requests: dict[str, Request] = {}
-        self.serial = 0
-        self.listed: set[str] = set()  # ids of the endpoints in the current list
-        self.named = asyncio.Event()  # set once any list has contained endpoints
+        self.last_serial = 0
+        self.listed_endpoints: set[str] = set()  # ids of the endpoints in the current list
+        self.endpoints_known = asyncio.Event()  # set once any list has contained endpoints
         self.upstream = Upstream(
             settings.limits.conn_idle_us,
             settings.limits.connect_timeout_us,
             max_connections,
             self.figures,
-            most_kept(memory_bytes, max_connections),
+            buffer_limit(memory_bytes, max_connections),
         )
-        self.watcher: Watcher | Following = self._create_watcher(config)
+        self.watcher: DiscoveryWatcher | RegistryWatcher = self._create_watcher(config)
         self.balancer = Balancer(settings, config.seed, self)
         self.known_list = config.known
 
-    def _create_watcher(self, config: Config) -> Watcher | Following:
+    def _create_watcher(self, config: Config) -> DiscoveryWatcher | RegistryWatcher:
         if config.follow is not None:
-            from eiderhub.sidecar.following import Following  # only imported where configured
+            from eiderhub.sidecar.registry_watcher import RegistryWatcher  # only imported where configured
 
-            return Following(config.follow, self.on_list, self.on_steering)
+            return RegistryWatcher(config.follow, self.on_list, self.on_steering)
         settings = config.settings
-        return Watcher(
+        return DiscoveryWatcher(
             config.discovery.host,
             config.discovery.port,
             config.known.generation,
@@ -134,18 +149,18 @@
         self.balancer.start(now_us())
         if self.known_list.unreadable:
             log.warning("entries of the known list can't be read", entries=self.known_list.unreadable)
-        restored = not isinstance(self.watcher, Watcher) and self.watcher.restore()
+        restored = not isinstance(self.watcher, DiscoveryWatcher) and self.watcher.restore()
         if not restored:
             self.on_list(ListForm.CACHED, self.known_list.entries)
-        if self.settings.discovery is Discovery.PUSH or not isinstance(self.watcher, Watcher):
-            self.watcher.turn(True)
+        if self.settings.discovery is Discovery.PUSH or not isinstance(self.watcher, DiscoveryWatcher):
+            self.watcher.set_enabled(True)
 
-    def figure_lines(self) -> list[str]:
-        down = self.listed.intersection(self.balancer.hosts_down(now_us()))
-        lines = self.figures.lines(len(self.listed), len(down))
-        return lines if isinstance(self.watcher, Watcher) else [*lines, *self.watcher.metric_lines()]
+    def metric_lines(self) -> list[str]:
+        down = self.listed_endpoints.intersection(self.balancer.hosts_down(now_us()))
+        lines = self.figures.metric_lines(len(self.listed_endpoints), len(down))
+        return lines if isinstance(self.watcher, DiscoveryWatcher) else [*lines, *self.watcher.metric_lines()]
 
-    def _tell(self, event: Callable[..., None], *values: Any) -> bool:
+    def _notify_balancer(self, event: Callable[..., None], *values: Any) -> bool:
         """Report an event to the balancer; return False if it raised.
 
         A failure of the balancer must neither end the process nor lose requests.
@@ -161,23 +176,23 @@
 
     # --- requests ---
 
-    def take(self, request: Request) -> None:
+    def accept_request(self, request: Request) -> None:
         """Accept a request: from here on it will get exactly one answer."""
-        self.serial += 1
+        self.last_serial += 1
         # A unique internal id: a client may reuse an id for which the balancer still holds a request.
-        call = request.call = f"{self.serial:016x}"
+        call = request.call = f"{self.last_serial:016x}"
         self.requests[call] = request
-        if request.whole:
+        if request.body_complete:
             request.alarm = Alarm(request.answer_due_us, partial(self._on_deadline, request))
         remaining_us = request.deadline_us - now_us()
-        if not self._tell(
-            self.balancer.order, call, request.grade, request.tenant, remaining_us, request.hint_us
+        if not self._notify_balancer(
+            self.balancer.order, call, request.class_name, request.tenant, remaining_us, request.hint_us
         ):
             self._answer_and_expire(request, 500)
 
-    def came_whole(self, request: Request) -> None:
+    def on_body_complete(self, request: Request) -> None:
         """The last byte of a streamed request body has arrived: start its and its attempts' timeouts."""
-        request.whole = True
+        request.body_complete = True
         if request.answered:
             return
         request.set_deadline(now_us())
@@ -186,20 +201,20 @@
             if not attempt.ended:
                 self._set_attempt_deadline(request, attempt)
 
-    def withdraw(self, request: Request, status: int, reason: bytes) -> None:
+    def fail_upload(self, request: Request, status: int, reason: bytes) -> None:
         """The rest of the body never arrived, or was malformed: no attempt can be completely written."""
         self._answer_and_expire(request, status, reason)
         self._abort_attempts(request, Outcome.CANCELLED)
 
-    def gone(self, request: Request) -> None:
+    def on_caller_disconnect(self, request: Request) -> None:
         """The client has closed its connection: no further attempts are made for its request."""
         if request.streaming_attempt is not None:
             request.streaming_attempt.abort(Outcome.CANCELLED)
         elif not request.answered:
-            if not request.whole:
+            if not request.body_complete:
                 self._abort_attempts(request, Outcome.CANCELLED)
             self._mark_answered(request)
-            self._tell(self.balancer.expired, request.call)
+            self._notify_balancer(self.balancer.expired, request.call)
 
     def _abort_attempts(self, request: Request, outcome: Outcome) -> None:
         for attempt in list(request.attempts):
@@ -231,7 +246,7 @@
         """Answer in place of the balancer, and report the request to it as expired."""
         if not request.answered:
             self._answer(request, status, [], reason)
-            self._tell(self.balancer.expired, request.call)
+            self._notify_balancer(self.balancer.expired, request.call)
 
     def _on_deadline(self, request: Request) -> None:
         """The request's deadline: its attempts time out, and it is answered if it is still open."""
@@ -256,13 +271,13 @@
         if attempt.deadline_us < request.answer_due_us:
             attempt.alarm = Alarm(attempt.deadline_us, partial(attempt.abort, Outcome.TIMEOUT))
 
-    def _data(self, request: Request, attempt: Attempt, now: int) -> bytes | None:
+    def _build_request(self, request: Request, attempt: Attempt, now: int) -> bytes | None:
         """Return the bytes of an attempt that is about to be written; None if the request is over."""
         # While the body is being received, the client's timeout has not started: the endpoint gets all of it.
         remaining_ms = (
             (attempt.deadline_us - now) if attempt.deadline_us else request.client_timeout_us
         ) // 1000
-        if request.answered or remaining_ms < 1 or request.caller.left_unread():
+        if request.answered or remaining_ms < 1 or request.caller.has_disconnected():
             return None
         return b"%sReq-Deadline-Ms: %d\r\n\r\n%s" % (request.head, remaining_ms, request.body)
 
@@ -276,13 +291,13 @@
             if outcome is Outcome.OK:
                 request.caller.finish()
             else:
-                request.caller.break_off()
+                request.caller.abort_answer()
         elif outcome is Outcome.OK and response is not None:
             self._answer(request, 200, response.headers, response.body)
         if request.answered and not request.open_attempts:
             self._discard(request)
         elapsed_us = now_us() - attempt.sent_us
-        notified = self._tell(
+        notified = self._notify_balancer(
             self.balancer.reply,
             request.call,
             attempt.number,
@@ -304,12 +319,12 @@
             if alarm is not None:
                 alarm.cancel()
         request.alarm = attempt.alarm = None  # breaks reference cycles
-        receiver = request.caller.begin(head, attempt)
+        receiver = request.caller.start_streaming(head, attempt)
         elapsed_us = now_us() - attempt.sent_us
         for other in list(request.attempts):
             if other is not attempt:
                 other.abort(Outcome.CANCELLED)
-        self._tell(self.balancer.streaming, request.call, attempt.number, elapsed_us)
+        self._notify_balancer(self.balancer.streaming, request.call, attempt.number, elapsed_us)
         return receiver
 
     # --- the balancer's actions ---
@@ -322,7 +337,7 @@
         attempt = Attempt(
             len(request.attempts),
             endpoint,
-            partial(self._data, request),
+            partial(self._build_request, request),
             partial(self._on_attempt_end, request),
             partial(self._start_streaming, request),
             request.upload,
@@ -330,16 +345,18 @@
         attempt.timeout_us = max_wait_us
         # The balancer decided within the deduplication window, but the connection may open after its end.
         run_starts_us = [other.sent_us for other in request.attempts if other.may_have_run]
-        if run_starts_us and request.grade in self.dedup_windows_us:
-            attempt.set_write_deadline(min(run_starts_us) + self.dedup_windows_us[request.grade])
+        if run_starts_us and request.class_name in self.dedup_windows_us:
+            attempt.set_write_deadline(min(run_starts_us) + self.dedup_windows_us[request.class_name])
         request.attempts.append(attempt)
         request.open_attempts += 1
-        not_sendable = request.upload is not None and (request.upload.begun or request.upload.given_up)
+        not_sendable = request.upload is not None and (
+            request.upload.forwarding_started or request.upload.discarded
+        )
         not_sendable = not_sendable or attempt.number >= self.settings.limits.max_attempts
-        if request.answered or not_sendable or request.caller.left_unread():
+        if request.answered or not_sendable or request.caller.has_disconnected():
             asyncio.get_running_loop().call_soon(attempt.end, Outcome.NOT_SENT)
             return
-        if request.whole:
+        if request.body_complete:
             self._set_attempt_deadline(request, attempt)
         self.upstream.send(attempt)
 
@@ -365,10 +382,10 @@
             self._answer(request, 504 if now_us() >= request.answer_due_us else 502, [], b"")
 
     def timer(self, delay_us: int, mark: str) -> None:
-        Alarm(now_us() + delay_us, partial(self._tell, self.balancer.wake, mark))
+        Alarm(now_us() + delay_us, partial(self._notify_balancer, self.balancer.wake, mark))
 
     def watch(self, on: bool) -> None:
-        self.watcher.turn(on)
+        self.watcher.set_enabled(on)
 
     def close_idle(self, endpoint: str) -> None:
         self.upstream.close_idle(endpoint)
@@ -380,23 +397,23 @@
 
     def on_steering(self, shares: Mapping[str, float], regions: Mapping[str, str]) -> None:
         """Regions in the local configuration take precedence over those from the registry."""
-        self._tell(self.balancer.steer, shares, {**regions, **self.settings.regions})
+        self._notify_balancer(self.balancer.steer, shares, {**regions, **self.settings.regions})
 
-    def on_list(self, form: ListForm, entries: list[Listed]) -> None:
+    def on_list(self, form: ListForm, entries: list[ListedEndpoint]) -> None:
         """Update the pools before the balancer: nothing new is sent to endpoints that drain or are gone."""
         if form in (ListForm.FULL, ListForm.CACHED):
-            self.listed.clear()
+            self.listed_endpoints.clear()
             for removed_id in self.upstream.pools.keys() - {entry.endpoint.id for entry in entries}:
                 self.upstream.retire(removed_id)
         for endpoint, host, port in entries:
             if endpoint.readiness is Readiness.READY:
-                self.upstream.place(endpoint.id, host, port, endpoint.launched_us)
+                self.upstream.set_endpoint(endpoint.id, host, port, endpoint.launched_us)
             else:
                 self.upstream.retire(endpoint.id)
             if endpoint.readiness is Readiness.GONE:
-                self.listed.discard(endpoint.id)
+                self.listed_endpoints.discard(endpoint.id)
             else:
-                self.listed.add(endpoint.id)
-        if self.listed:
-            self.named.set()
-        self._tell(self.balancer.discovery, form, [entry.endpoint for entry in entries])
+                self.listed_endpoints.add(endpoint.id)
+        if self.listed_endpoints:
+            self.endpoints_known.set()
+        self._notify_balancer(self.balancer.discovery, form, [entry.endpoint for entry in entries])
--- a/eiderhub/sidecar/lifecycle.py
+++ b/eiderhub/sidecar/lifecycle.py
@@ -12,7 +12,9 @@
 
 from eiderhub.sidecar.clock import now_us
 
-ACCEPT_S = 0.6  # accept connections for this long: the front sends some up to 0.4 s after `/up` turns 503
+ACCEPT_GRACE_S = (
+    0.6  # accept connections for this long: the front sends some up to 0.4 s after `/up` turns 503
+)
 IDLE_CLOSE_DELAY_S = 1.5  # standby closes idle connections after this: none may stay open for 4 s
 MIN_IDLE_S = 0.2  # a connection idle for less, such as a new one, may have a request in transit
 DRAIN_POLL_INTERVAL_S = 0.02
@@ -76,7 +78,7 @@
         if not self._in_standby:
             self._in_standby = True
             self._drain_task = asyncio.get_running_loop().create_task(
-                self._drain_connections(ACCEPT_S, IDLE_CLOSE_DELAY_S)
+                self._drain_connections(ACCEPT_GRACE_S, IDLE_CLOSE_DELAY_S)
             )
         return True
 
@@ -99,8 +101,8 @@
         self._stopping = True
         self._cancel_drain()
         finish_by_us = now_us() + int(finish_s * 1e6)
-        accept_s = 0.0 if successor else ACCEPT_S
-        serve_s = 0.0 if successor else max(ACCEPT_S, keep_open_s)
+        accept_s = 0.0 if successor else ACCEPT_GRACE_S
+        serve_s = 0.0 if successor else max(ACCEPT_GRACE_S, keep_open_s)
         drain = asyncio.get_running_loop().create_task(
             self._drain_connections(serve_s, max(serve_s, keep_open_s))
         )
--- a/eiderhub/sidecar/logs.py
+++ b/eiderhub/sidecar/logs.py
@@ -22,7 +22,7 @@
     TEXT = "text"
 
 
-class Bounded:
+class RateLimiter:
     """Limits the lines per second; the next line written carries the number of dropped lines."""
 
     def __init__(self, lines_per_s: int, clock: Callable[[], float] = time.monotonic) -> None:
@@ -84,7 +84,7 @@
     )
     structlog.configure(
         processors=[
-            Bounded(lines_per_s),
+            RateLimiter(lines_per_s),
             _bind_fields(fields),
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
--- a/eiderhub/sidecar/management.py
+++ b/eiderhub/sidecar/management.py
@@ -9,7 +9,7 @@
 from eiderhub.sidecar.lifecycle import Lifecycle
 
 MAX_CONNECTIONS = 12  # concurrent; descriptors are reserved for them
-OWN_DESCRIPTORS = 20  # held by the process for other purposes than connections
+RESERVED_DESCRIPTORS = 20  # held by the process for other purposes than connections
 MAX_LINE_BYTES = 256
 LINE_TIMEOUT_S = 5.0  # to receive a complete line
 CLOSE_DELAY_S = 0.5  # time for the client to read the answer: closing over unread input would reset it
--- a/eiderhub/sidecar/figures.py
+++ b/eiderhub/sidecar/metrics.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 
-class Figures:
+class RequestMetrics:
     """Counts of requests and attempts since the process started."""
 
     def __init__(self, classes: Iterable[str]) -> None:
@@ -24,7 +24,7 @@
         else:
             self.failure[request_class] += 1
 
-    def lines(self, hosts_listed: int, hosts_down: int) -> list[str]:
+    def metric_lines(self, hosts_listed: int, hosts_down: int) -> list[str]:
         lines = [
             f"svc.calls.{grade}.{name}={counts[grade]}"
             for grade in self.success
--- a/eiderhub/sidecar/process.py
+++ b/eiderhub/sidecar/process.py
@@ -18,15 +18,15 @@
 import uvloop
 
 from eiderhub.address import Address
-from eiderhub.sidecar.bodies import most_kept
+from eiderhub.sidecar.bodies import buffer_limit
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.config import Config, ConfigError, load, load_discovery
-from eiderhub.sidecar.discovery import Watcher
+from eiderhub.sidecar.discovery import DiscoveryWatcher
 from eiderhub.sidecar.handover import ProcessLocks, inherited_socket, read_memory, write_memory
 from eiderhub.sidecar.host import Host
 from eiderhub.sidecar.lifecycle import FLUSH_DELAY_S, Lifecycle
 from eiderhub.sidecar.logs import configure
-from eiderhub.sidecar.management import MAX_CONNECTIONS, OWN_DESCRIPTORS, ManagementServer
+from eiderhub.sidecar.management import MAX_CONNECTIONS, RESERVED_DESCRIPTORS, ManagementServer
 from eiderhub.sidecar.server import Server
 
 if TYPE_CHECKING:
@@ -34,39 +34,39 @@
     from eiderhub.registry.settings import Register
 
 CALLER_SOCKETS_FRACTION = 0.55  # of the file descriptors, for callers
-UPSTREAM_SHARE = 0.4  # for connections to endpoints; the rest is for other uses
+UPSTREAM_SOCKETS_FRACTION = 0.4  # for connections to endpoints; the rest is for other uses
 # SIGKILL follows SIGTERM after this, or the longest deadline if that is shorter, plus 0.7 s.
-LONGEST_S = 3.0
-AFTER_LONGEST_S = 0.4  # a drain may take this much longer, so that it ends before SIGKILL
+MAX_DEADLINE_S = 3.0
+DRAIN_MARGIN_S = 0.4  # a drain may take this much longer, so that it ends before SIGKILL
 PROCESS_CHECK_INTERVAL_S = 0.1  # how often to look for other processes of this sidecar
 CHECKS_PER_MEMORY_WRITE = 5  # the balancer state is stored once per this many checks
 FIRST_LIST_TIMEOUT_S = 2.0  # how long a successor waits for an endpoint list before serving anyway
 FRESH_LIST_TIMEOUT_S = 4.0  # how long to wait for discovery, as the age of the known list is unknown
 DEREGISTER_TIMEOUT_S = 0.3  # to remove the endpoint from the registry
 RELOAD_ATTEMPTS, RELOAD_RETRY_DELAY_S = 11, 0.1  # reading the configuration after SIGHUP
-LAG_EVERY_S = 0.1
-LAG_LOG_S = 10.0
+LAG_SAMPLE_INTERVAL_S = 0.1
+LAG_LOG_INTERVAL_S = 10.0
 LAG_WARNING_US = 50_000  # a larger lag uses up the margin by which answers precede deadlines
 log = structlog.get_logger()
 
 
 async def watch_lag() -> None:
     """Periodically log the longest event loop lag, which is part of every latency measured here."""
-    worst, next_log = 0, now_us() + int(LAG_LOG_S * 1e6)
+    worst, next_log = 0, now_us() + int(LAG_LOG_INTERVAL_S * 1e6)
     while True:
         before = now_us()
-        await asyncio.sleep(LAG_EVERY_S)
+        await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
         now = now_us()
-        worst = max(worst, now - before - int(LAG_EVERY_S * 1e6))
+        worst = max(worst, now - before - int(LAG_SAMPLE_INTERVAL_S * 1e6))
         if now >= next_log:
             if worst >= LAG_WARNING_US:
                 log.warning("the event loop was late", most_ms=worst // 1000)
-            worst, next_log = 0, now + int(LAG_LOG_S * 1e6)
+            worst, next_log = 0, now + int(LAG_LOG_INTERVAL_S * 1e6)
 
 
 async def drain(lifecycle: Lifecycle, server: Server, host: Host, successor: bool = False) -> None:
     """Answer all accepted requests before SIGKILL, while callers move to other sidecars."""
-    finish_s = min(LONGEST_S, max(c.deadline_us for c in host.settings.classes) / 1e6) + AFTER_LONGEST_S
+    finish_s = min(MAX_DEADLINE_S, max(c.deadline_us for c in host.settings.classes) / 1e6) + DRAIN_MARGIN_S
     # Requests that arrive on open connections until then can still be served within the shortest target time.
     keep_open_s = finish_s - min(c.aim_us for c in host.settings.classes) / 1e6
     await lifecycle.stop(keep_open_s, finish_s, successor)
@@ -85,7 +85,7 @@
         if directory and not others and not check % CHECKS_PER_MEMORY_WRITE:
             write_memory(directory, host.balancer.learned_state(now_us()))
         server.max_connections = max(1, int(CALLER_SOCKETS_FRACTION * available))
-        host.upstream.limit(max(1, int(UPSTREAM_SHARE * available)))
+        host.upstream.set_max_connections(max(1, int(UPSTREAM_SOCKETS_FRACTION * available)))
         await asyncio.sleep(PROCESS_CHECK_INTERVAL_S)
 
 
@@ -105,12 +105,12 @@
             if tries_left == RELOAD_ATTEMPTS - 1:
                 log.warning("the configuration is read again", reason=str(error))
         await asyncio.sleep(RELOAD_RETRY_DELAY_S)
-    if isinstance(address, Address) and isinstance(host.watcher, Watcher):
+    if isinstance(address, Address) and isinstance(host.watcher, DiscoveryWatcher):
         log.info("discovery has moved", to=f"{address.host}:{address.port}")
-        host.watcher.move(address.host, address.port)
-    elif not isinstance(address, Address) and not isinstance(host.watcher, Watcher):
+        host.watcher.set_address(address.host, address.port)
+    elif not isinstance(address, Address) and not isinstance(host.watcher, DiscoveryWatcher):
         log.info("discovery has moved", to=", ".join(address.addresses))
-        host.watcher.move(address)
+        host.watcher.set_registry(address)
     else:
         log.error("the configuration was not reloaded", reason="[registry] needs a restart")
 
@@ -130,12 +130,12 @@
 
 def start_registration(register: Register) -> Registration:
     """Register the local endpoint for as long as it is alive and this process runs."""
-    from eiderhub.address import parse
+    from eiderhub.address import parse_host_port
     from eiderhub.registry.client import Registration, lives, record_of  # imported only if configured
 
-    endpoint = parse(register.address)
+    endpoint = parse_host_port(register.address)
     record = record_of(register, time.time_ns() // 1_000_000)
-    addresses = [parse(text) for text in register.addresses]
+    addresses = [parse_host_port(text) for text in register.addresses]
     is_alive = partial(lives, endpoint, register.alive)
     registration = Registration(record, addresses, is_alive, register.alive_every_s)
     registration.start()
@@ -152,19 +152,19 @@
     # other process starts, so a process that may have a successor uses half of the memory from the start.
     memory = config.memory_bytes // 2 if inherited else config.memory_bytes
     # Reserve descriptors before dividing the rest, or callers and endpoints could leave none for discovery.
-    reserved = OWN_DESCRIPTORS + (MAX_CONNECTIONS if config.management else 0)
+    reserved = RESERVED_DESCRIPTORS + (MAX_CONNECTIONS if config.management else 0)
     sockets = max(1, config.sockets - reserved)
-    host = Host(config, max(1, int(UPSTREAM_SHARE * sockets)), memory)
+    host = Host(config, max(1, int(UPSTREAM_SOCKETS_FRACTION * sockets)), memory)
     loop.add_signal_handler(signal.SIGHUP, Reloader(host).restart)
     max_callers = max(1, int(CALLER_SOCKETS_FRACTION * sockets))
-    server = Server(host, max_callers, most_kept(memory, max_callers))
+    server = Server(host, max_callers, buffer_limit(memory, max_callers))
     await server.bind(config.listen.host, config.listen.port, inherited)
     if config.management:
-        management = ManagementServer(server.lifecycle, host.figure_lines)
+        management = ManagementServer(server.lifecycle, host.metric_lines)
         await management.bind(config.management.host, config.management.port)
     host.start()
-    background_coroutines = [host.upstream.sweep(), host.upstream.report(), watch_lag()]
-    background_coroutines += [server.watch_callers(), server.log_failures()]
+    background_coroutines = [host.upstream.sweep(), host.upstream.log_outcomes(), watch_lag()]
+    background_coroutines += [server.watch_timeouts(), server.log_failures()]
     if inherited:
         process_locks.acquire()
         if (
@@ -183,11 +183,11 @@
     if inherited:
         # Another process may be serving on this socket; let it accept until this one can serve.
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(host.named.wait(), FIRST_LIST_TIMEOUT_S)
-    if not inherited and isinstance(host.watcher, Watcher) and not host.watcher.persist:
+            await asyncio.wait_for(host.endpoints_known.wait(), FIRST_LIST_TIMEOUT_S)
+    if not inherited and isinstance(host.watcher, DiscoveryWatcher) and not host.watcher.retry_forever:
         # Changes since the known list must take effect within 6 s, also right after a start.
         discovery_answered, stop_requested = (
-            asyncio.ensure_future(event.wait()) for event in (host.watcher.heard, stop)
+            asyncio.ensure_future(event.wait()) for event in (host.watcher.first_poll_done, stop)
         )
         await asyncio.wait(
             (discovery_answered, stop_requested),
--- a/eiderhub/sidecar/following.py
+++ b/eiderhub/sidecar/registry_watcher.py
@@ -13,19 +13,19 @@
 from eiderhub.registry.client import Watch
 from eiderhub.registry.records import Entry
 from eiderhub.registry.settings import Follow
-from eiderhub.sidecar.discovery import Instance, Listed
+from eiderhub.sidecar.discovery import Instance, ListedEndpoint
 
 MAX_RECHECK_DELAY_S = 3600.0  # orders are re-evaluated at least this often, since the system clock may be set
 log = structlog.get_logger()
 
 
-class Following:
+class RegistryWatcher:
     """Takes the place of the platform's discovery watcher. The registry client handles failures itself."""
 
     def __init__(
         self,
         follow: Follow,
-        on_list: Callable[[ListForm, list[Listed]], None],
+        on_list: Callable[[ListForm, list[ListedEndpoint]], None],
         on_steering: Callable[[Mapping[str, float], Mapping[str, str]], None],
     ) -> None:
         """`on_steering` is called with the operators' shares by zone, and with regions by zone."""
@@ -43,12 +43,12 @@
         finally:
             self._restoring = False
 
-    def turn(self, on: bool) -> None:
+    def set_enabled(self, on: bool) -> None:
         """Start watching. Turning it off has no effect, since that would only discard the current list."""
         if on:
             self.watch.start()
 
-    def move(self, follow: Follow) -> None:
+    def set_registry(self, follow: Follow) -> None:
         """Switch to other registry addresses, keeping the current list."""
         self.watch.move(follow)
 
@@ -81,7 +81,7 @@
             self._order_end_timer = asyncio.get_running_loop().call_later(delay_s, self._apply_orders)
 
 
-def _to_listed_endpoint(entry: Entry) -> Listed:
+def _to_listed_endpoint(entry: Entry) -> ListedEndpoint:
     return Instance(
         instance_id=entry.instance_id,
         host_port=entry.host_port,
--- a/eiderhub/sidecar/server.py
+++ b/eiderhub/sidecar/server.py
@@ -9,7 +9,7 @@
 import structlog
 
 from eiderhub.interface import Effect, RequestClass
-from eiderhub.sidecar.bodies import MOST_KEPT
+from eiderhub.sidecar.bodies import MAX_BUFFERED_BYTES
 from eiderhub.sidecar.caller import SHUTTING_DOWN, CallerConnection, IncomingRequest, RequestRejected
 from eiderhub.sidecar.clock import now_us
 from eiderhub.sidecar.host import Host, Request
@@ -17,12 +17,12 @@
 from eiderhub.sidecar.upstream import HOP_BY_HOP
 
 MAX_DEADLINE_MS = 3_600_000
-READ_CHECK_S = 0.25
+TIMEOUT_CHECK_INTERVAL_S = 0.25
 BACKLOG = 1024
 FAILURE_LOG_INTERVAL_S = 5.0  # how often failure reasons are logged
 MAX_FAILURE_REASONS = 20  # distinct reasons in one log line
-UNHEARD_S = 1.0  # a connection whose first request takes longer may be closed to make room
-EXCESS = 8  # accepted above the limit, to be answered with 503
+FIRST_REQUEST_GRACE_S = 1.0  # a connection whose first request takes longer may be closed to make room
+EXTRA_CONNECTIONS = 8  # accepted above the limit, to be answered with 503
 OVERLOAD_RETRY_AFTER = b"1"  # seconds, as the value of Retry-After
 NOT_FORWARDED = HOP_BY_HOP | {b"req-deadline-ms"}  # set for each attempt
 log = structlog.get_logger()
@@ -31,9 +31,9 @@
 class Server:
     """Accepts callers' connections and validates their requests."""
 
-    def __init__(self, host: Host, max_connections: int, most_kept: int = MOST_KEPT) -> None:
+    def __init__(self, host: Host, max_connections: int, buffer_limit: int = MAX_BUFFERED_BYTES) -> None:
         self.host = host
-        self.most_kept = most_kept  # bytes of a body per connection, in either direction
+        self.buffer_limit = buffer_limit  # bytes of a body per connection, in either direction
         self.max_connections = max_connections
         self.callers: dict[CallerConnection, None] = {}  # least recently served first
         self.open_request_ids: set[bytes] = set()
@@ -42,7 +42,7 @@
         self.intake = Intake.OPEN
         self._failure_counts: dict[str, int] = {}  # by reason, since the last log line
         self._accepting: set[asyncio.Future[Any]] = set()  # from the accept queue of the closed listener
-        self.lifecycle = Lifecycle(self, host.named.is_set)
+        self.lifecycle = Lifecycle(self, host.endpoints_known.is_set)
 
     async def bind(self, host: str, port: int, inherited: socket.socket | None = None) -> None:
         """Bind the address or use the inherited socket; connections queue until serving starts."""
@@ -58,25 +58,25 @@
     def on_connected(self, caller: CallerConnection) -> None:
         self.callers[caller] = None
         if len(self.callers) > self.max_connections:
-            self._make_room(caller)
+            self._close_excess(caller)
 
     def on_answered(self, caller: CallerConnection) -> None:
         """Mark the connection as the most recently served: it is the last to be closed to make room."""
         if self.callers.pop(caller, caller) is None:
             self.callers[caller] = None
 
-    def _make_room(self, newest: CallerConnection) -> None:
+    def _close_excess(self, newest: CallerConnection) -> None:
         """Close an idle connection or, if there is none, one whose first request is slow to arrive.
 
         The closed connection is removed from `callers` at once, as the event loop reports its end only later.
         If it were still listed, each new connection would select it again and be refused.
         """
-        before = now_us() - int(UNHEARD_S * 1e6)
+        before = now_us() - int(FIRST_REQUEST_GRACE_S * 1e6)
         closing = next((c for c in self.callers if c.can_close() and c is not newest), None)
         closing = closing or next(
             (c for c in self.callers if c.receiving_first_request and c.idle_since_us < before), None
         )
-        if closing is None and len(self.callers) > self.max_connections + EXCESS:
+        if closing is None and len(self.callers) > self.max_connections + EXTRA_CONNECTIONS:
             closing = newest  # keep descriptors free for other uses
         if closing is not None:
             del self.callers[closing]
@@ -101,13 +101,13 @@
                 log.info("callers turned away", reasons=dict(sorted(self._failure_counts.items())))
                 self._failure_counts.clear()
 
-    async def watch_callers(self) -> None:
+    async def watch_timeouts(self) -> None:
         """Periodically time out callers that don't send or don't read."""
         while True:
-            await asyncio.sleep(READ_CHECK_S)
+            await asyncio.sleep(TIMEOUT_CHECK_INTERVAL_S)
             now = now_us()
             for caller in list(self.callers):
-                caller.look_after(now)
+                caller.check_timeouts(now)
 
     def close_idle(self, idle_s: float) -> None:
         before = now_us() - int(idle_s * 1e6)
--- a/eiderhub/sidecar/upstream.py
+++ b/eiderhub/sidecar/upstream.py
@@ -19,17 +19,17 @@
 from eiderhub.interface import Outcome
 from eiderhub.sidecar.bodies import (
     LAST_CHUNK,
-    MOST_KEPT,
-    READ_SIZE,
-    STALL_S,
+    MAX_BUFFERED_BYTES,
+    READ_BUFFER_BYTES,
+    STALL_TIMEOUT_S,
     Framing,
     Headers,
     Upload,
-    frame,
-    framing,
+    encode_chunk,
+    parse_framing,
 )
 from eiderhub.sidecar.clock import Alarm, now_us
-from eiderhub.sidecar.figures import Figures
+from eiderhub.sidecar.metrics import RequestMetrics
 
 IDLE_TIMEOUT_FRACTION = 0.85  # connections are kept idle for this fraction of the endpoint's idle timeout
 DEFAULT_ENDPOINT_IDLE_US = 5_000_000  # the endpoint's idle timeout where the settings give none
@@ -44,7 +44,7 @@
 # A spare connection is opened once more than this ratio of calls, over about this many, found none settled.
 MAX_UNSETTLED_RATIO, UNSETTLED_WINDOW_CALLS = 0.01, 200
 SWEEP_INTERVAL_S = 0.25
-TALLY_EVERY_S = 5.0  # interval at which attempt outcomes are logged
+OUTCOME_LOG_INTERVAL_S = 5.0  # interval at which attempt outcomes are logged
 STREAMING_DELAY_S = 0.05  # a response of unknown length that takes longer than this is streamed to the caller
 MAX_HEADER_BYTES = 64 * 1024  # of a response
 MAX_ERROR_BODY_BYTES = 1 << 20  # error bodies are read up to this size so that the connection stays usable
@@ -74,7 +74,7 @@
     @property
     def congested(self) -> bool: ...
 
-    def pass_on(self, data: bytes) -> None: ...
+    def forward(self, data: bytes) -> None: ...
 
 
 class ConnectionOwner(Protocol):
@@ -94,7 +94,9 @@
 class Connection(asyncio.BufferedProtocol):
     """One outgoing HTTP/1.1 connection; it carries one exchange at a time."""
 
-    _buffer = bytearray(READ_SIZE)  # shared by all connections: data read is processed before the next read
+    _buffer = bytearray(
+        READ_BUFFER_BYTES
+    )  # shared by all connections: data read is processed before the next read
 
     def __init__(self, owner: ConnectionOwner, max_buffered_bytes: int) -> None:
         self.owner = owner
@@ -173,7 +175,7 @@
         self._receiver = None
         upload, self._upload = self._upload, None
         if upload is not None and not self.written:
-            upload.give_up()
+            upload.discard()
         if self._streaming_timer is not None:
             self._streaming_timer.cancel()
             self._streaming_timer = None
@@ -234,9 +236,9 @@
         else:
             self._check_written()
 
-    def pass_on(self, data: bytes) -> None:
+    def forward(self, data: bytes) -> None:
         if self._upload is not None:
-            self.transport.write(data if self._upload.length is not None else frame(data))
+            self.transport.write(data if self._upload.length is not None else encode_chunk(data))
 
     def end_body(self) -> None:
         if self._upload is not None and self._upload.length is None:
@@ -245,7 +247,7 @@
 
     def _check_written(self) -> None:
         """Report the request as written once its last byte has been handed to the kernel."""
-        body_complete = self._upload is None or self._upload.whole
+        body_complete = self._upload is None or self._upload.complete
         if self.busy and body_complete and not self.congested and not self.written and not self.lost:
             self.written = True
             self._upload = None
@@ -255,17 +257,17 @@
         self.congested = True
         self.last_progress_us = now_us()
         if self._upload is not None:
-            self._upload.flow()
+            self._upload.update_flow_control()
 
     def resume_writing(self) -> None:
         self.congested = False
         if self._upload is not None:
-            self._upload.flow()
+            self._upload.update_flow_control()
         self._check_written()
 
     # --- streamed responses ---
 
-    def flow(self) -> None:
+    def update_flow_control(self) -> None:
         """Pause or resume reading according to the receiver's backpressure."""
         pause = self._receiver is not None and self._receiver.congested
         if pause != self._paused and not self.lost:
@@ -280,7 +282,7 @@
         """Whether a body transfer has waited too long on the endpoint."""
         waits_on_endpoint = self._upload is not None and self.congested
         waits_on_endpoint = waits_on_endpoint or (self._receiver is not None and not self._paused)
-        return waits_on_endpoint and now - self.last_progress_us > STALL_S * 1e6
+        return waits_on_endpoint and now - self.last_progress_us > STALL_TIMEOUT_S * 1e6
 
     def _stream_slow_response(self) -> None:
         self._streaming_timer = None
@@ -302,7 +304,7 @@
         self._receiver = receiver
         self._body = []
         if head.body:
-            receiver.pass_on(head.body)
+            receiver.forward(head.body)
         return True
 
     def _build_response(self) -> Response:
@@ -319,12 +321,12 @@
                 raise ValueError("response headers too large")
 
     def on_headers_complete(self) -> None:
-        self._framing = framing(self._headers)
+        self._framing = parse_framing(self._headers)
         self._received_bytes = 0
 
     def on_body(self, body: bytes) -> None:
         if self._receiver is not None:
-            self._receiver.pass_on(body)
+            self._receiver.forward(body)
             return
         self._received_bytes += len(body)
         length = self._framing.length if self._framing else None
@@ -392,9 +394,9 @@
         self.alarm = self.write_deadline = None  # breaks reference cycles
         self.on_end(self, outcome, response)
 
-    def flow(self) -> None:
+    def update_flow_control(self) -> None:
         if self.connection is not None:
-            self.connection.flow()
+            self.connection.update_flow_control()
 
     def set_write_deadline(self, deadline_us: int) -> None:
         """Abort the attempt, at whatever stage, if its last byte has not been written by `deadline_us`."""
@@ -464,7 +466,7 @@
                 found = connection
             else:
                 connection.close()
-                self.upstream.open -= 1
+                self.upstream.open_connections -= 1
         spare_count = len(settled)
         self._min_spare_count = (
             spare_count if self._min_spare_count is None else min(spare_count, self._min_spare_count)
@@ -492,13 +494,13 @@
             return
         for _ in range(min((self._min_spare_count or 0) - 1, len(self.idle))):
             self.idle.pop(0).close()
-            self.upstream.open -= 1
+            self.upstream.open_connections -= 1
         self._min_spare_count, self._period_start_us = None, now
 
     def close_idle(self, used_before_us: int | None = None) -> None:
         while self.idle and (used_before_us is None or self.idle[0].idle_since < used_before_us):
             self.idle.pop(0).close()
-            self.upstream.open -= 1
+            self.upstream.open_connections -= 1
             self._min_spare_count = (
                 max(0, self._min_spare_count - 1) if self._min_spare_count else self._min_spare_count
             )
@@ -521,17 +523,17 @@
         attempt = connection.attempt
         if attempt is None or head.status != 200:
             return None
-        self.upstream.streams.add(connection)
+        self.upstream.streaming_connections.add(connection)
         return attempt.on_stream_start(attempt, head)
 
     def on_response(self, connection: Connection, response: Response, reusable: bool) -> None:
         attempt, connection.attempt = connection.attempt, None
-        self.upstream.streams.discard(connection)
+        self.upstream.streaming_connections.discard(connection)
         connection.idle_since = now_us()
         if reusable:
             self.release(connection)
         else:
-            self.upstream.open -= 1
+            self.upstream.open_connections -= 1
         if attempt is not None:
             attempt.connection = None
             outcome = classify(response)
@@ -543,8 +545,8 @@
                 self.upstream.handling_response = False
 
     def on_lost(self, connection: Connection) -> None:
-        self.upstream.open -= 1
-        self.upstream.streams.discard(connection)
+        self.upstream.open_connections -= 1
+        self.upstream.streaming_connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
         attempt, connection.attempt = connection.attempt, None
@@ -563,7 +565,7 @@
             insort(self.idle, connection, key=lambda each: each.idle_since)
         else:
             connection.close()
-            self.upstream.open -= 1
+            self.upstream.open_connections -= 1
 
 
 def classify(response: Response) -> Outcome:
@@ -585,16 +587,18 @@
         idle_us: int,
         connect_timeout_us: int,
         max_connections: int,
-        figures: Figures,
-        max_buffered_bytes: int = MOST_KEPT,
+        figures: RequestMetrics,
+        max_buffered_bytes: int = MAX_BUFFERED_BYTES,
     ) -> None:
         self.idle_timeout_us = int(IDLE_TIMEOUT_FRACTION * (idle_us or DEFAULT_ENDPOINT_IDLE_US))
         self.connect_timeout_s = connect_timeout_us / 1e6
         self.max_connections = max_connections
         self.figures = figures
         self.max_buffered_bytes = max_buffered_bytes  # of a response body, per connection
-        self.streams: set[Connection] = set()  # connections that stream a body in either direction
-        self.open = 0  # connections that are open or being opened
+        self.streaming_connections: set[Connection] = (
+            set()
+        )  # connections that stream a body in either direction
+        self.open_connections = 0  # connections that are open or being opened
         self.handling_response = False  # a response is being handled; queued requests may be sent meanwhile
         self.pools: dict[str, Pool] = {}
         self._connecting: set[asyncio.Task[None]] = set()
@@ -604,10 +608,10 @@
     def count_event(self, event: str) -> None:
         self._event_counts[event] = self._event_counts.get(event, 0) + 1
 
-    async def report(self) -> None:
+    async def log_outcomes(self) -> None:
         """Periodically log the outcomes of attempts and how their connections were obtained."""
         while True:
-            await asyncio.sleep(TALLY_EVERY_S)
+            await asyncio.sleep(OUTCOME_LOG_INTERVAL_S)
             if self._event_counts:
                 idle_connections = sum(len(pool.idle) for pool in self.pools.values())
                 event_counts = dict(sorted(self._event_counts.items()))
@@ -615,7 +619,7 @@
                 log.info(
                     "attempts",
                     outcomes=event_counts,
-                    connections=self.open,
+                    connections=self.open_connections,
                     idle=idle_connections,
                     unsettled=unsettled,
                 )
@@ -632,14 +636,14 @@
             for pool in self.pools.values():
                 pool.close_idle(now - self.idle_timeout_us)
                 pool.trim(now, self.idle_timeout_us)
-            for connection in [c for c in self.streams if c.stalled(now)]:
+            for connection in [c for c in self.streaming_connections if c.stalled(now)]:
                 stalled_endpoint = connection.attempt.endpoint if connection.attempt is not None else None
                 log.warning(
                     "a body was broken off", reason="the endpoint made no progress", endpoint=stalled_endpoint
                 )
                 connection.fail()
 
-    def place(self, endpoint: str, host: str, port: int, launched_us: int) -> None:
+    def set_endpoint(self, endpoint: str, host: str, port: int, launched_us: int) -> None:
         """Add a ready endpoint, or replace its pool if its address or process has changed.
 
         Connections to the previous process then belong to a pool that is not ready, and are not reused.
@@ -677,19 +681,23 @@
             pool.settle_waits.append(SettleWait(attempt, connection, partial(self._on_settled, pool)))
             # Where requests queue, each response lets the next one be sent at once, when none is settled.
             # Opening a spare connection for those would cost a handshake each time.
-            if not self.handling_response and self.open < self.max_connections and pool.record_unsettled():
+            if (
+                not self.handling_response
+                and self.open_connections < self.max_connections
+                and pool.record_unsettled()
+            ):
                 pool.connecting_spare = True
                 self._start_connecting("prepared", self._connect_spare(pool))
-        elif self.open < self.max_connections or self._close_oldest_idle():
+        elif self.open_connections < self.max_connections or self._close_oldest_idle():
             self._start_connecting("opened", self._connect_and_write(attempt, pool))
         else:
             log.warning("no connection", reason="connection limit reached", endpoint=attempt.endpoint)
             loop.call_soon(attempt.end, Outcome.CONNECT_FAILED)
 
-    def limit(self, max_connections: int) -> None:
+    def set_max_connections(self, max_connections: int) -> None:
         """Change the connection limit. Excess idle connections are closed; busy ones stay until they end."""
         self.max_connections = max_connections
-        while self.open > max_connections and self._close_oldest_idle():
+        while self.open_connections > max_connections and self._close_oldest_idle():
             pass
 
     def _close_oldest_idle(self) -> bool:
@@ -699,11 +707,11 @@
             return False
         oldest = min(pools, key=lambda pool: pool.idle[0].idle_since)
         oldest.idle.pop(0).close()
-        self.open -= 1
+        self.open_connections -= 1
         return True
 
     def _start_connecting(self, event: str, coroutine: Coroutine[None, None, None]) -> None:
-        self.open += 1
+        self.open_connections += 1
         self.count_event(event)
         task = asyncio.get_running_loop().create_task(coroutine)
         self._connecting.add(task)
@@ -717,7 +725,7 @@
             async with asyncio.timeout(self.connect_timeout_s):
                 await asyncio.get_running_loop().create_connection(lambda: connection, pool.host, pool.port)
         except (OSError, TimeoutError, ValueError, OverflowError):  # the last two: invalid host or port
-            self.open -= 1
+            self.open_connections -= 1
             return None
         if connection.lost:  # `on_lost` has counted it
             return None
@@ -777,5 +785,5 @@
         connection.attempt = attempt
         attempt.connection = connection
         if attempt.upload is not None:
-            self.streams.add(connection)
+            self.streaming_connections.add(connection)
         connection.send(data, attempt.upload)
--- a/eiderhub/transport/control_session.py
+++ b/eiderhub/transport/control_session.py
@@ -85,7 +85,7 @@
     async def _run(self) -> None:
         while True:
             for target in self._ordered_targets():
-                host, port = address.parse(target)
+                host, port = address.parse_host_port(target)
                 connection = await connect(self, host, port)
                 while connection is not None:
                     connection, target = await self._run_session(connection, target)
@@ -214,7 +214,7 @@
         elif self._task is None and target and now >= self._next_attempt_at:
             self._next_attempt_at = now + SAME_ZONE_CHECK_INTERVAL_S
             self.target = target
-            host, port = address.parse(target)
+            host, port = address.parse_host_port(target)
             self._task = asyncio.get_running_loop().create_task(connect(self._session, host, port))
 
     def stop(self) -> None:
--- a/eiderhub/transport/group.py
+++ b/eiderhub/transport/group.py
@@ -45,7 +45,7 @@
         self.task = asyncio.get_running_loop().create_task(self._run())
 
     async def _run(self) -> None:
-        host, port = address.parse(self.target)
+        host, port = address.parse_host_port(self.target)
         while True:
             connection = await connect(self, host, port)
             if connection is not None:
--- a/eiderhub/transport/metrics.py
+++ b/eiderhub/transport/metrics.py
@@ -20,10 +20,10 @@
 
     def _answer(self, exchange: Exchange) -> None:
         if exchange.url.partition(b"?")[0] != METRICS_PATH:
-            exchange.answer(404)
+            exchange.respond(404)
             return
         body = "".join(f"{line}\n" for line in self._metric_lines())
-        exchange.answer(200, body.encode(), CONTENT_TYPE_HEADER)
+        exchange.respond(200, body.encode(), CONTENT_TYPE_HEADER)
 
 
 async def serve_metrics(metric_lines: Callable[[], list[str]], host: str, port: int) -> None:
--- a/eiderhub/world/scenario.py
+++ b/eiderhub/world/scenario.py
@@ -9,8 +9,8 @@
 
 from msgspec import Meta, Struct, field
 
+from eiderhub.documents import DocumentError, Fault, convert, load_document, suggest_name
 from eiderhub.interface import Effect, Group
-from eiderhub.reading import DocumentError, Fault, convert, nearest, parse
 
 Positive = Annotated[float, Meta(gt=0)]
 NotNegative = Annotated[float, Meta(ge=0)]
@@ -307,7 +307,7 @@
         placed = [zone for zones in self.regions.values() for zone in zones]
         for zone in placed:
             if zone not in self.zones:
-                raise ValueError(f"regions: no such zone: {zone!r}; {nearest(zone, self.zones)}")
+                raise ValueError(f"regions: no such zone: {zone!r}; {suggest_name(zone, self.zones)}")
             if placed.count(zone) > 1:
                 raise ValueError(f"regions: zone {zone} stands in more than one")
         if self.regions and (left := [zone for zone in self.zones if zone not in placed]):
@@ -317,9 +317,9 @@
         for i, trouble in enumerate(self.trouble):
             tiers = [t.name for t in self.tier]
             if trouble.tier is not None and trouble.tier not in tiers:
-                raise ValueError(f"trouble[{i}].tier: no such tier; {nearest(trouble.tier, tiers)}")
+                raise ValueError(f"trouble[{i}].tier: no such tier; {suggest_name(trouble.tier, tiers)}")
             if trouble.zone is not None and trouble.zone not in self.zones:
-                raise ValueError(f"trouble[{i}].zone: no such zone; {nearest(trouble.zone, self.zones)}")
+                raise ValueError(f"trouble[{i}].zone: no such zone; {suggest_name(trouble.zone, self.zones)}")
             hows = HOWS.get(trouble.kind)
             if trouble.how is not None and hows is None:
                 some = " and ".join(kind.value for kind in HOWS)
@@ -327,7 +327,7 @@
             if trouble.how is not None and hows is not None and trouble.how not in hows:
                 raise ValueError(f"trouble[{i}].how: must be one of {', '.join(hows)}")
             if trouble.region is not None and trouble.region not in self.regions:
-                why = nearest(trouble.region, self.regions) if self.regions else "there are no regions"
+                why = suggest_name(trouble.region, self.regions) if self.regions else "there are no regions"
                 raise ValueError(f"trouble[{i}].region: no such region; {why}")
             if trouble.kind in OF_REGIONS and not self.regions:
                 raise ValueError(f"trouble[{i}].kind: {trouble.kind.value} needs `regions`")
@@ -353,15 +353,15 @@
     if path is None:
         path = Path(name)
         if not path.exists() and path.suffix != SUFFIX and "/" not in name:
-            raise DocumentError(name, [Fault("", f"no such scenario; {nearest(name, known)}")])
-    return convert(_document(path, known, 0), Scenario, str(path), people=True)
+            raise DocumentError(name, [Fault("", f"no such scenario; {suggest_name(name, known)}")])
+    return convert(_document(path, known, 0), Scenario, str(path), human_format=True)
 
 
 def _document(path: Path, known: dict[str, Path], depth: int) -> dict[str, Any]:
     """A file's document over the one that it extends."""
     if path.suffix != SUFFIX:
         raise DocumentError(str(path), [Fault("", f"a scenario is a {SUFFIX} file")])
-    document, _ = parse(path)
+    document, _ = load_document(path)
     # `class` is a word of the language, so the attribute is `class_`; people write the plain word.
     if "class" in document:
         document["class_"] = document.pop("class")
@@ -369,7 +369,7 @@
     if base is None:
         return document  # type: ignore[no-any-return]
     if base not in known:
-        why = f"no such scenario: {base!r}; {nearest(str(base), known)}"
+        why = f"no such scenario: {base!r}; {suggest_name(str(base), known)}"
         raise DocumentError(str(path), [Fault("extends", why)])
     if depth >= MOST_EXTENDS:
         raise DocumentError(str(path), [Fault("extends", "goes round in a circle")])
--- a/tests/endpoint_support.py
+++ b/tests/endpoint_support.py
@@ -13,7 +13,7 @@
 from eiderhub.dataplane.events import Event
 from eiderhub.dataplane.frontend import request_head
 from eiderhub.dataplane.routes import Route
-from tests.http_reading import read_request
+from tests.http_requests import read_request
 
 TIMEOUT_S = 20.0
 SERVICE = "svc"
--- a/tests/registry_support.py
+++ b/tests/registry_support.py
@@ -15,7 +15,7 @@
 from eiderhub.address import Address
 from eiderhub.emulator.processes import Process, Usage, claim, environment
 from eiderhub.emulator.wires import Wire
-from eiderhub.http1 import Unanswered
+from eiderhub.http1 import NoReplyError
 from eiderhub.registry import calls
 from eiderhub.registry.belief import Verdict
 from eiderhub.registry.client import Line, Refused, Watch, read
@@ -90,7 +90,7 @@
     async def serves(self) -> bool:
         try:
             return bool((await self.state()).branch)
-        except (Unanswered, Refused):
+        except (NoReplyError, Refused):
             return False
 
     async def state(self) -> calls.Status:
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -17,9 +17,9 @@
 from eiderhub.settings import settings_from
 from eiderhub.sidecar import upstream
 from eiderhub.sidecar.config import Config
-from eiderhub.sidecar.discovery import read_listing
+from eiderhub.sidecar.discovery import parse_endpoint_list
 from eiderhub.sidecar.host import Host
-from eiderhub.sidecar.process import UPSTREAM_SHARE
+from eiderhub.sidecar.process import UPSTREAM_SOCKETS_FRACTION
 from eiderhub.sidecar.server import Server
 
 TEST_TIMEOUT_S = 10.0  # a test that takes longer has failed
@@ -78,13 +78,13 @@
     """A complete HTTP message."""
 
     def __init__(self, start_line: bytes, headers: dict[str, str], body: bytes) -> None:
-        self.first = start_line.decode()
+        self.start_line = start_line.decode()
         self.headers = headers
         self.body = body
 
     @property
     def status(self) -> int:
-        return int(self.first.split(" ")[1])
+        return int(self.start_line.split(" ")[1])
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
@@ -113,16 +113,18 @@
         self.writer.transport.abort()
 
 
-class Fake:
+class FakeServer:
     """A server that queues its requests until the test replies."""
 
     def __init__(self) -> None:
-        self.asked: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
+        self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.ends: asyncio.Queue[int] = asyncio.Queue()  # numbers of connections closed by the other side
+        self.disconnects: asyncio.Queue[int] = (
+            asyncio.Queue()
+        )  # numbers of connections closed by the other side
 
-    async def start(self, port: int = 0) -> Fake:
+    async def start(self, port: int = 0) -> FakeServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self
@@ -133,17 +135,19 @@
         self.writers.append(writer)
         try:
             while True:
-                self.asked.put_nowait(ReceivedRequest(await read_message(reader), writer, number))
+                self.requests.put_nowait(ReceivedRequest(await read_message(reader), writer, number))
         except (asyncio.IncompleteReadError, ConnectionError):
-            self.ends.put_nowait(number)
+            self.disconnects.put_nowait(number)
         finally:
             writer.close()
 
-    async def next(self) -> ReceivedRequest:
-        return await self.asked.get()
+    async def next_request(self) -> ReceivedRequest:
+        return await self.requests.get()
 
 
-def row(endpoint: str, address: str, lifecycle: str = "ready", started_ms: int = 0) -> dict[str, Any]:
+def instance_entry(
+    endpoint: str, address: str, lifecycle: str = "ready", started_ms: int = 0
+) -> dict[str, Any]:
     return {
         "instanceId": endpoint,
         "hostPort": address,
@@ -156,7 +160,7 @@
     }
 
 
-def listing(generation: int, reset: bool, *entries: dict[str, Any]) -> bytes:
+def discovery_response(generation: int, reset: bool, *entries: dict[str, Any]) -> bytes:
     return json.dumps({"generation": generation, "reset": reset, "instances": entries}).encode()
 
 
@@ -194,27 +198,29 @@
             "\r\n".join(lines).encode() + b"\r\n\r\n" + (body if request_class != "look" else b"")
         )
 
-    async def answer(self) -> Message:
+    async def read_answer(self) -> Message:
         return await read_message(self.reader)
 
-    async def ask(self, request_class: str = "pay", **values: Any) -> Message:
+    async def send_and_read(self, request_class: str = "pay", **values: Any) -> Message:
         self.send(request_class, **values)
-        return await self.answer()
+        return await self.read_answer()
 
 
 class Sidecar:
     """A host and a server on an ephemeral port, with fake endpoints and discovery."""
 
-    def __init__(self, endpoints: int = 1, sockets: int = 1024, callers: int = 500, **settings: Any) -> None:
+    def __init__(
+        self, endpoints: int = 1, sockets: int = 1024, max_callers: int = 500, **settings: Any
+    ) -> None:
         self.endpoint_count = endpoints
-        self.max_callers = callers
+        self.max_callers = max_callers
         self.sockets = sockets
         self.setup = {**SETUP, **settings}
 
     async def __aenter__(self) -> Sidecar:
-        self.discovery = await Fake().start()
-        self.endpoints = [await Fake().start() for _ in range(self.endpoint_count)]
-        entries = [row(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
+        self.discovery = await FakeServer().start()
+        self.endpoints = [await FakeServer().start() for _ in range(self.endpoint_count)]
+        entries = [instance_entry(f"s-{i}", fake.address) for i, fake in enumerate(self.endpoints)]
         host, _, port = self.discovery.address.rpartition(":")
         self.config = Config(
             name="n0",
@@ -222,10 +228,12 @@
             discovery=Address(host, int(port)),
             seed=7,
             sockets=self.sockets,
-            known=read_listing(listing(1, True, *entries)),
+            known=parse_endpoint_list(discovery_response(1, True, *entries)),
             settings=settings_from(self.setup),
         )
-        self.host = Host(self.config, max(1, int(UPSTREAM_SHARE * self.sockets)), self.config.memory_bytes)
+        self.host = Host(
+            self.config, max(1, int(UPSTREAM_SOCKETS_FRACTION * self.sockets)), self.config.memory_bytes
+        )
         self.sweep = asyncio.create_task(self.host.upstream.sweep())
         self.server = Server(self.host, self.max_callers)
         await self.server.bind("127.0.0.1", 0)
@@ -245,21 +253,21 @@
         return Client(*await asyncio.open_connection("127.0.0.1", self.port))
 
 
-async def first_asked(sidecar: Sidecar) -> ReceivedRequest:
+async def next_request_at_any(sidecar: Sidecar) -> ReceivedRequest:
     """Return the next request at any of the endpoints."""
-    tasks = [asyncio.create_task(fake.next()) for fake in sidecar.endpoints]
+    tasks = [asyncio.create_task(fake.next_request()) for fake in sidecar.endpoints]
     done, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
     for task in pending:
         task.cancel()
     return done.pop().result()
 
 
-async def settled() -> None:
+async def wait_until_settled() -> None:
     """Wait until a connection may be reused after its last answer."""
     await asyncio.sleep(2 * upstream.SETTLE_US / 1e6)  # timers may fire 1 ms early
 
 
-def started(tmp_path: Path, changes: dict[str, Any]) -> subprocess.Popen[str]:
+def start_process(tmp_path: Path, changes: dict[str, Any]) -> subprocess.Popen[str]:
     document = {"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f", **changes}
     path = tmp_path / "config.json"
     path.write_text(json.dumps(document), encoding="utf-8")
--- a/tests/soak/endpoints.py
+++ b/tests/soak/endpoints.py
@@ -6,7 +6,7 @@
 import random
 from collections import Counter
 
-from tests.http_reading import read_request
+from tests.http_requests import read_request
 
 EVENTS = 4
 EVENT_S = 0.01  # between events, on the mean
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,7 +11,7 @@
 import pytest
 
 from eiderhub.control.errors import ErrorKind
-from eiderhub.http1 import Pool, Reply
+from eiderhub.http1 import ConnectionPool, Reply
 from tests.endpoint_support import (
     AdmissionHarness,
     EndpointRequest,
@@ -321,9 +321,9 @@
         self.ended.set()
 
 
-async def ask_pool(pool: Pool, name: str) -> RecordingAsker:
+async def ask_pool(pool: ConnectionPool, name: str) -> RecordingAsker:
     asker = RecordingAsker()
-    pool.ask(f"POST / HTTP/1.1\r\nHost: h\r\nRequest-Id: {name}\r\n\r\n".encode(), asker)
+    pool.send(f"POST / HTTP/1.1\r\nHost: h\r\nRequest-Id: {name}\r\n\r\n".encode(), asker)
     await asker.ended.wait()
     return asker
 
@@ -340,7 +340,7 @@
         endpoint = ScriptedEndpoint("e1", respond_twice)
         await endpoint.start()
         host, port = endpoint.address.split(":")
-        pool = Pool(host, int(port))
+        pool = ConnectionPool(host, int(port))
         for number in range(4):
             made = await ask_pool(pool, f"q{number}")
             assert [reply.body for reply in made.replies] == [b"first"]
@@ -358,7 +358,7 @@
         endpoint = ScriptedEndpoint("e1", answer_ok)
         await endpoint.start()
         host, port = endpoint.address.split(":")
-        pool = Pool(host, int(port))
+        pool = ConnectionPool(host, int(port))
         for number in range(4):
             made = await ask_pool(pool, f"q{number}")
             assert [reply.status for reply in made.replies] == [200]
