--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -9,7 +9,14 @@
 
 from eiderhub.sidecar import caller as calling
 from eiderhub.sidecar import upstream
-from eiderhub.sidecar.bodies import MAX_BODY_BYTES, MOST_KEPT, READ_SIZE, FramingError, framing, most_kept
+from eiderhub.sidecar.bodies import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BYTES,
+    READ_BUFFER_BYTES,
+    FramingError,
+    buffer_limit,
+    parse_framing,
+)
 from tests.sidecar_support import Client, Sidecar, run
 
 LARGE_BODY = bytes(range(256)) * 4096  # 1 MiB: far above the buffer limit
@@ -94,7 +101,7 @@
                 await asyncio.sleep(0)
             assert sidecar.host.figures.backend_calls == 1
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-            answer = await client.answer()
+            answer = await client.read_answer()
             assert (answer.status, answer.body) == (200, b"ok")
             assert "connection" not in answer.headers
             assert (await call_counts(sidecar))["success"] == 1
@@ -132,16 +139,16 @@
             assert sent < size  # backpressure: the sidecar has not read the rest into memory
             (caller,) = sidecar.server.callers
             assert caller.transport.get_write_buffer_size() == 0
-            assert caller.due_us == 0  # and the caller is not timed out
+            assert caller.read_deadline_us == 0  # and the caller is not timed out
             writer.transport.abort()
-            assert (await client.answer()).status == 503  # not written completely, so it never ran
+            assert (await client.read_answer()).status == 503  # not written completely, so it never ran
 
     run(test())
 
 
 def test_stalled_or_truncated_body_ends_its_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(calling, "READ_S", 0.2)
-    monkeypatch.setattr(calling, "BODY_S", 0.2)
+    monkeypatch.setattr(calling, "READ_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(calling, "BODY_START_TIMEOUT_S", 0.2)
 
     async def test() -> None:
         async with Sidecar() as sidecar:
@@ -158,12 +165,12 @@
                 if damage == "close":
                     client.writer.transport.abort()
                 elif damage == "stall":
-                    while (caller := next(iter(sidecar.server.callers))).due_us == 0:
+                    while (caller := next(iter(sidecar.server.callers))).read_deadline_us == 0:
                         await asyncio.sleep(0.01)
-                    caller.look_after(caller.due_us)
-                    assert (await client.answer()).status == 408
+                    caller.check_timeouts(caller.read_deadline_us)
+                    assert (await client.read_answer()).status == 408
                 else:
-                    assert (await client.answer()).status == 400
+                    assert (await client.read_answer()).status == 400
                 with pytest.raises((asyncio.IncompleteReadError, ConnectionError)):
                     await reader.readexactly(2 * len(LARGE_BODY))
                 while sidecar.host.requests:
@@ -180,7 +187,7 @@
         async with Sidecar(endpoints=0) as sidecar:
             client = await sidecar.client()
             client.writer.write(post(b"1", LARGE_BODY)[:-10])
-            answer = await client.answer()
+            answer = await client.read_answer()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             client.writer.write(LARGE_BODY[-10:])
             assert await client.reader.read() == b""
@@ -198,7 +205,7 @@
             reader, writer, _ = await endpoint.next_request()
             await reader.readexactly(len(LARGE_BODY))
             writer.write(b"HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-            assert (await client.answer()).status == 503
+            assert (await client.read_answer()).status == 503
             assert endpoint.connections.empty()
 
     run(test())
@@ -222,9 +229,9 @@
             client.writer.write(
                 b"POST /pay HTTP/1.1\r\n" + REQUEST_HEADERS % b"1" + head + b"\r\n\r\n0\r\n\r\n"
             )
-            assert (await client.answer()).status == status
+            assert (await client.read_answer()).status == status
             assert await client.reader.read() == b""
-            assert sidecar.host.serial == 0
+            assert sidecar.host.last_serial == 0
 
     run(test())
 
@@ -260,15 +267,15 @@
                 client.writer.write(raw[split:])
                 bodies = [body] if form != "pipelined" else [b"one", b"two"]
                 for expected in bodies:
-                    request = await fake.next()
-                    assert request.message.first == "POST /pay/a?b=1 HTTP/1.1"
+                    request = await fake.next_request()
+                    assert request.message.start_line == "POST /pay/a?b=1 HTTP/1.1"
                     assert request.message.body == expected
                     assert "x" not in request.message.headers
                     assert request.message.headers["req-id"] in "12"
                     request.reply(200, expected)
-                    answer = await client.answer()
+                    answer = await client.read_answer()
                     if answer.status == 100:
-                        answer = await client.answer()
+                        answer = await client.read_answer()
                     assert (answer.status, answer.body) == (200, expected)
                 client.writer.close()
 
@@ -281,15 +288,15 @@
             raw_request = post(b"1", LARGE_BODY, b"Expect: 100-continue")
             client = await sidecar.client()
             client.writer.write(raw_request[: -len(LARGE_BODY)])
-            assert (await client.answer()).status == 100
+            assert (await client.read_answer()).status == 100
             client.writer.write(LARGE_BODY)
-            request = await sidecar.endpoints[0].next()
+            request = await sidecar.endpoints[0].next_request()
             assert request.message.body == LARGE_BODY
             request.reply()
-            assert (await client.answer()).status == 200
+            assert (await client.read_answer()).status == 200
             client = await sidecar.client()
             client.writer.write(raw_request[: -len(LARGE_BODY)].replace(b"acme", b"none"))
-            assert (await client.answer()).status == 400
+            assert (await client.read_answer()).status == 400
 
     run(test())
 
@@ -356,7 +363,7 @@
             else:
                 await reader.readuntil(b"\r\n\r\n")  # and so can the endpoint's
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-            assert (await client.answer()).status == 200
+            assert (await client.read_answer()).status == 200
 
     run(test())
 
@@ -407,12 +414,15 @@
             assert sent < MAX_BODY_BYTES
             (caller,) = sidecar.server.callers
             assert caller.congested
-            assert caller.transport.get_write_buffer_size() <= sidecar.server.most_kept + READ_SIZE + 20
+            assert (
+                caller.transport.get_write_buffer_size()
+                <= sidecar.server.buffer_limit + READ_BUFFER_BYTES + 20
+            )
             client.writer.transport.abort()
             while sidecar.host.requests:
                 await asyncio.sleep(0.01)
-            assert sidecar.host.upstream.open == 0
-            assert not sidecar.host.upstream.streams
+            assert sidecar.host.upstream.open_connections == 0
+            assert not sidecar.host.upstream.streaming_connections
 
     run(test())
 
@@ -426,7 +436,7 @@
             _, writer, _ = await endpoint.next_request()
             writer.write(b"HTTP/1.1 200 OK\r\n" + ANSWER_FORMS["length"][:-20])
             await client.reader.readuntil(b"\r\n\r\n")
-            monkeypatch.setattr(upstream, "STALL_S", 0.05)  # checked by the periodic sweep
+            monkeypatch.setattr(upstream, "STALL_TIMEOUT_S", 0.05)  # checked by the periodic sweep
             with pytest.raises(ConnectionResetError):
                 while await client.reader.read(1 << 16):
                     pass
@@ -444,7 +454,7 @@
             writer.write(
                 b"HTTP/1.1 500 X\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked(LARGE_BODY[:500_000], 9000)
             )
-            assert (await client.answer()).status == 502
+            assert (await client.read_answer()).status == 502
 
     run(test())
 
@@ -453,13 +463,13 @@
 
 
 def test_buffer_limit_is_a_fraction_of_the_memory() -> None:
-    assert most_kept(1 << 40, 10) == MOST_KEPT
-    assert 500 * most_kept(80 << 20, 500) <= 0.2 * (80 << 20)
+    assert buffer_limit(1 << 40, 10) == MAX_BUFFERED_BYTES
+    assert 500 * buffer_limit(80 << 20, 500) <= 0.2 * (80 << 20)
 
 
 def test_unknown_transfer_coding_is_a_framing_error() -> None:
-    assert framing([(b"Content-Length", b"7")]) == (7, False)
-    assert framing([(b"transfer-encoding", b"Chunked")]) == (None, True)
-    assert framing([]) == (None, False)
+    assert parse_framing([(b"Content-Length", b"7")]) == (7, False)
+    assert parse_framing([(b"transfer-encoding", b"Chunked")]) == (None, True)
+    assert parse_framing([]) == (None, False)
     with pytest.raises(FramingError):
-        framing([(b"Transfer-Encoding", b"gzip")])
+        parse_framing([(b"Transfer-Encoding", b"gzip")])
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -21,7 +21,7 @@
 from eiderhub.capacity.model import CORES, CUT_OFF, FOLLOWER, MAIN, MEMORY, PATH, SIDECAR
 from eiderhub.capacity.slopes import KNOWN, Slope, Slopes
 from eiderhub.cli.__main__ import main
-from eiderhub.reading import convert, parse
+from eiderhub.documents import convert, load_document
 from eiderhub.registry import belief, client, core, following, watches
 from eiderhub.registry.config import Limits
 from eiderhub.registry.settings import Follow, Register
@@ -72,7 +72,7 @@
 
 
 def stated() -> Fleet:
-    document, people = parse(FLEET)
+    document, people = load_document(FLEET)
     return convert(document, Fleet, str(FLEET), people)
 
 
--- a/tests/test_capacity_tier.py
+++ b/tests/test_capacity_tier.py
@@ -10,7 +10,7 @@
 from msgspec import structs
 
 from eiderhub.capacity.tier import DAY_S, TierFleet, TierSlopes, page, rows
-from eiderhub.reading import convert, parse
+from eiderhub.documents import convert, load_document
 
 REPOSITORY = Path(__file__).parents[1]
 FLEET = REPOSITORY / "deploy/tier-fleet.toml"
@@ -19,12 +19,12 @@
 
 @pytest.fixture
 def fleet() -> TierFleet:
-    return convert(parse(FLEET)[0], TierFleet, str(FLEET), people=True)
+    return convert(load_document(FLEET)[0], TierFleet, str(FLEET), human_format=True)
 
 
 @pytest.fixture
 def slopes() -> TierSlopes:
-    return convert(parse(SLOPES)[0], TierSlopes, str(SLOPES), people=True)
+    return convert(load_document(SLOPES)[0], TierSlopes, str(SLOPES), human_format=True)
 
 
 def test_the_stated_fleet_is_the_operators(fleet: TierFleet) -> None:
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -22,9 +22,9 @@
 from eiderhub.capacity.slopes import KNOWN, Slopes
 from eiderhub.cli import costs
 from eiderhub.cli.bench import command as bench
+from eiderhub.documents import DocumentError
 from eiderhub.emulator.processes import claim, new_folder
-from eiderhub.http1 import Pool, fetch
-from eiderhub.reading import DocumentError
+from eiderhub.http1 import ConnectionPool, fetch
 from eiderhub.scale import backends, decisions, fit, path, result
 from eiderhub.scale.alarms import Alarms
 from eiderhub.scale.fit import CONSTANT, Observation
@@ -449,7 +449,7 @@
     file.write_text(text, encoding="utf-8")
     with pytest.raises(DocumentError) as error:
         fit.read([file])
-    assert len(error.value.lines()) == 1 and str(file) in error.value.lines()[0]
+    assert len(error.value.fault_lines()) == 1 and str(file) in error.value.fault_lines()[0]
     done = run_command("slopes", str(file))
     assert done.returncode == 2 and str(file) in done.stderr and "Traceback" not in done.stderr
 
@@ -563,7 +563,7 @@
 
     async def figures(where: backends.Places) -> backends.Counts:
         assert where.figures is not None
-        pool = Pool(*where.figures)
+        pool = ConnectionPool(*where.figures)
         reply = await fetch(pool, b"GET / HTTP/1.1\r\nHost: figures\r\n\r\n", 10.0)
         pool.close()
         return msgspec.json.decode(reply.body, type=backends.Counts)
@@ -668,9 +668,9 @@
 
 
 def test_a_listed_endpoint_is_one_that_a_sidecar_reads() -> None:
-    from eiderhub.sidecar.discovery import read_listing
+    from eiderhub.sidecar.discovery import parse_endpoint_list
 
     addresses = [Address("127.0.0.1", 80 + n) for n in range(3)]
-    found = read_listing(json.dumps(backends.listing(addresses)).encode())
-    assert found.whole and found.generation == backends.GENERATION
+    found = parse_endpoint_list(json.dumps(backends.listing(addresses)).encode())
+    assert found.is_full and found.generation == backends.GENERATION
     assert [(each.host, each.port) for each in found.entries] == [tuple(each) for each in addresses]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,8 +15,8 @@
 from eiderhub.interface import ListForm, Readiness
 from eiderhub.sidecar import discovery
 from eiderhub.sidecar.config import load
-from eiderhub.sidecar.discovery import Listed, Watcher, read_listing
-from tests.sidecar_support import SETUP, Fake, Sidecar, listing, row, run
+from eiderhub.sidecar.discovery import DiscoveryWatcher, ListedEndpoint, parse_endpoint_list
+from tests.sidecar_support import SETUP, FakeServer, Sidecar, discovery_response, instance_entry, run
 
 
 class WatcherFixture:
@@ -25,15 +25,15 @@
     def __init__(self, retry_forever: bool = False, ask_interval_us: int = 60_000_000) -> None:
         self.retry_forever = retry_forever
         self.ask_interval_us = ask_interval_us
-        self.deliveries: asyncio.Queue[tuple[ListForm, list[Listed]]] = asyncio.Queue()
-        self.on_list: Callable[[ListForm, list[Listed]], None] = lambda form, rows: (
+        self.deliveries: asyncio.Queue[tuple[ListForm, list[ListedEndpoint]]] = asyncio.Queue()
+        self.on_list: Callable[[ListForm, list[ListedEndpoint]], None] = lambda form, rows: (
             self.deliveries.put_nowait((form, rows))
         )
 
     async def __aenter__(self) -> WatcherFixture:
-        self.fake = await Fake().start()
+        self.fake = await FakeServer().start()
         host, _, port = self.fake.address.rpartition(":")
-        self.watcher = Watcher(
+        self.watcher = DiscoveryWatcher(
             host,
             int(port),
             1,
@@ -41,18 +41,18 @@
             self.ask_interval_us,
             lambda form, rows: self.on_list(form, rows),
         )
-        self.watcher.turn(True)
+        self.watcher.set_enabled(True)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        self.watcher.turn(False)
+        self.watcher.set_enabled(False)
         self.fake.server.close()
 
     async def next_form(self) -> ListForm:
         return (await self.deliveries.get())[0]
 
 
-READY_ENTRY = row("s-0", "127.0.0.1:80")
+READY_ENTRY = instance_entry("s-0", "127.0.0.1:80")
 
 
 def after_parameter(asked: Any) -> str:
@@ -62,17 +62,17 @@
 def test_poll_racing_with_close_of_reused_connection_is_retried() -> None:
     async def test() -> None:
         async with WatcherFixture() as watched:
-            asked = await watched.fake.next()
-            asked.reply(200, listing(2, False, READY_ENTRY))
+            asked = await watched.fake.next_request()
+            asked.reply(200, discovery_response(2, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA
             # The reset races with the next poll, which the watcher sends on receiving this response.
-            again = await watched.fake.next()
+            again = await watched.fake.next_request()
             again.reset()
-            third = await watched.fake.next()
+            third = await watched.fake.next_request()
             assert (again.connection, third.connection) == (0, 1)
-            third.reply(200, listing(3, False, READY_ENTRY))
+            third.reply(200, discovery_response(3, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA  # without a failure in between
-            await watched.fake.next()
+            await watched.fake.next_request()
 
     run(test())
 
@@ -81,28 +81,28 @@
 def test_poll_without_response_is_retried_on_new_connection(
     persist: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery, "PATIENCE_S", 0.05)
+    monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.05)
 
     async def test() -> None:
         async with WatcherFixture(persist, ask_interval_us=100_000) as watched:
-            silent = await watched.fake.next()
-            again = await watched.fake.next()
+            silent = await watched.fake.next_request()
+            again = await watched.fake.next_request()
             assert again.connection != silent.connection
             assert after_parameter(again) == "after=1"
-            assert await watched.fake.ends.get() == silent.connection
-            again.reply(200, listing(2, False, READY_ENTRY))
+            assert await watched.fake.disconnects.get() == silent.connection
+            again.reply(200, discovery_response(2, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA
 
     run(test())
 
 
 def test_second_poll_without_response_is_reported_as_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(discovery, "PATIENCE_S", 0.05)
+    monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.05)
 
     async def test() -> None:
         async with WatcherFixture(ask_interval_us=100_000) as watched:
             for _ in range(2):
-                await watched.fake.next()
+                await watched.fake.next_request()
             assert await watched.next_form() is ListForm.FAILED
 
     run(test())
@@ -113,15 +113,15 @@
         async with WatcherFixture(retry_forever=True) as watched:
             deliver = watched.on_list
 
-            def broken(form: ListForm, rows: list[Listed]) -> None:
+            def broken(form: ListForm, rows: list[ListedEndpoint]) -> None:
                 watched.on_list = deliver
                 raise RuntimeError("broken on purpose")
 
             watched.on_list = broken
-            (await watched.fake.next()).reply(200, listing(2, False, READY_ENTRY))
-            again = await watched.fake.next()
+            (await watched.fake.next_request()).reply(200, discovery_response(2, False, READY_ENTRY))
+            again = await watched.fake.next_request()
             assert after_parameter(again) == "after=1"  # a list that was not applied is requested again
-            again.reply(200, listing(2, False, READY_ENTRY))
+            again.reply(200, discovery_response(2, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA
 
     run(test())
@@ -131,12 +131,12 @@
 def test_address_change_at_any_stage_leaves_one_client_at_new_address(stage: str) -> None:
     async def test() -> None:
         async with WatcherFixture(retry_forever=True) as watched:
-            after = await Fake().start()
+            after = await FakeServer().start()
             host, _, port = after.address.rpartition(":")
-            whole = listing(7, True, READY_ENTRY)
+            whole = discovery_response(7, True, READY_ENTRY)
             asked = None
             if stage != "a connect":
-                asked = await watched.fake.next()
+                asked = await watched.fake.next_request()
             if asked is not None and stage == "a list":
                 asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(whole))
                 asked.writer.write(whole[:20])
@@ -144,14 +144,14 @@
             elif asked is not None and stage == "a backoff":
                 asked.reset()
                 await asyncio.sleep(0.01)
-            watched.watcher.move(host, int(port))
+            watched.watcher.set_address(host, int(port))
             if asked is not None and stage != "a backoff":
                 asked.writer.write(whole[20:] if stage == "a list" else b"HTTP/1.1 200 OK\r\n")
-            moved = await after.next()
+            moved = await after.next_request()
             assert after_parameter(moved) == "after=1"
-            moved.reply(200, listing(2, False, READY_ENTRY))
+            moved.reply(200, discovery_response(2, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA
-            assert after_parameter(await after.next()) == "after=2"
+            assert after_parameter(await after.next_request()) == "after=2"
             assert watched.deliveries.empty()
             assert after.connections == 1
 
@@ -161,16 +161,16 @@
 def test_off_and_on_in_one_loop_iteration_leaves_one_client() -> None:
     async def test() -> None:
         async with WatcherFixture(retry_forever=True) as watched:
-            before = await watched.fake.next()
-            watched.watcher.turn(False)
-            watched.watcher.turn(True)
-            asked = await watched.fake.next()
-            assert await watched.fake.ends.get() == before.connection
+            before = await watched.fake.next_request()
+            watched.watcher.set_enabled(False)
+            watched.watcher.set_enabled(True)
+            asked = await watched.fake.next_request()
+            assert await watched.fake.disconnects.get() == before.connection
             asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
             again = (
-                await watched.fake.next()
+                await watched.fake.next_request()
             )  # its gap timer still runs: the old poll's end has not cancelled it
-            again.reply(200, listing(2, False, READY_ENTRY))
+            again.reply(200, discovery_response(2, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA
 
     run(test())
@@ -180,14 +180,18 @@
 def test_older_list_is_not_applied_and_full_list_is_requested(whole: bool) -> None:
     async def test() -> None:
         async with WatcherFixture() as watched:
-            (await watched.fake.next()).reply(200, listing(5, False, READY_ENTRY))
+            (await watched.fake.next_request()).reply(200, discovery_response(5, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA
-            (await watched.fake.next()).reply(200, listing(3, whole, row("s-1", "127.0.0.1:81")))
-            asked = await watched.fake.next()
-            assert asked.message.first == "GET /discovery/hosts HTTP/1.1"
-            asked.reply(200, listing(4, True, READY_ENTRY))  # discovery has restarted its numbering
+            (await watched.fake.next_request()).reply(
+                200, discovery_response(3, whole, instance_entry("s-1", "127.0.0.1:81"))
+            )
+            asked = await watched.fake.next_request()
+            assert asked.message.start_line == "GET /discovery/hosts HTTP/1.1"
+            asked.reply(
+                200, discovery_response(4, True, READY_ENTRY)
+            )  # discovery has restarted its numbering
             assert await watched.next_form() is ListForm.FULL
-            assert after_parameter(await watched.fake.next()) == "after=4"
+            assert after_parameter(await watched.fake.next_request()) == "after=4"
             assert watched.deliveries.empty()
 
     run(test())
@@ -196,8 +200,8 @@
 def test_list_may_be_indented_and_chunked() -> None:
     async def test() -> None:
         async with WatcherFixture() as watched:
-            asked = await watched.fake.next()
-            body = json.dumps(json.loads(listing(2, True, READY_ENTRY)), indent=4).encode()
+            asked = await watched.fake.next_request()
+            body = json.dumps(json.loads(discovery_response(2, True, READY_ENTRY)), indent=4).encode()
             asked.writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for start in range(0, len(body), 50):
                 piece = body[start : start + 50]
@@ -211,17 +215,17 @@
 
 
 UNREADABLE_ENTRIES = [
-    {**row("s-1", "127.0.0.1:81"), "lifecycle": "warming"},
-    {**row("s-1", "127.0.0.1:81"), "weight": "heavy"},
-    row("s-1", "nowhere"),
-    row("s-1", "127.0.0.1:99999"),
+    {**instance_entry("s-1", "127.0.0.1:81"), "lifecycle": "warming"},
+    {**instance_entry("s-1", "127.0.0.1:81"), "weight": "heavy"},
+    instance_entry("s-1", "nowhere"),
+    instance_entry("s-1", "127.0.0.1:99999"),
 ]
 
 
 @pytest.mark.parametrize("bad", UNREADABLE_ENTRIES)
 def test_unreadable_entry_is_draining_and_others_are_kept(bad: dict[str, Any]) -> None:
     with capture_logs() as logs:
-        found = read_listing(listing(2, True, READY_ENTRY, bad))
+        found = parse_endpoint_list(discovery_response(2, True, READY_ENTRY, bad))
     assert [(e.endpoint.id, e.endpoint.readiness, e.endpoint.zone) for e in found.entries] == [
         ("s-0", Readiness.READY, "a"),
         ("s-1", Readiness.DRAINING, "a"),
@@ -230,31 +234,31 @@
 
 
 def test_entry_without_id_is_skipped_and_fully_unreadable_list_is_rejected() -> None:
-    assert len(read_listing(listing(2, True, READY_ENTRY, {"zone": "a"})).entries) == 1
+    assert len(parse_endpoint_list(discovery_response(2, True, READY_ENTRY, {"zone": "a"})).entries) == 1
     assert (
         len(
-            read_listing(
+            parse_endpoint_list(
                 b'{"generation": 2, "reset": true, "instances": [3, %s]}' % json.dumps(READY_ENTRY).encode()
             ).entries
         )
         == 1
     )
     with pytest.raises(ValueError, match="no entry can be read"):
-        read_listing(listing(2, True, *UNREADABLE_ENTRIES))
+        parse_endpoint_list(discovery_response(2, True, *UNREADABLE_ENTRIES))
 
 
 def test_unreadable_entry_of_a_known_endpoint_takes_it_out_of_use() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             stays, goes = sidecar.endpoints
-            bad = {**row("s-1", goes.address), "lifecycle": "leaving"}
-            (await sidecar.discovery.next()).reply(200, listing(2, False, bad))
-            await sidecar.discovery.next()
+            bad = {**instance_entry("s-1", goes.address), "lifecycle": "leaving"}
+            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, False, bad))
+            await sidecar.discovery.next_request()
             for _ in range(6):
                 client = await sidecar.client()
                 client.send()
-                (await stays.next()).reply()
-                assert (await client.answer()).status == 200
+                (await stays.next_request()).reply()
+                assert (await client.read_answer()).status == 200
             assert goes.connections == 0
 
     run(test())
@@ -264,17 +268,19 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             begun = time.monotonic()
-            (await sidecar.discovery.next()).reply(200, listing(2, True, *UNREADABLE_ENTRIES))
-            assert after_parameter(await sidecar.discovery.next()) == "after=1"
+            (await sidecar.discovery.next_request()).reply(
+                200, discovery_response(2, True, *UNREADABLE_ENTRIES)
+            )
+            assert after_parameter(await sidecar.discovery.next_request()) == "after=1"
             assert time.monotonic() - begun > 0.2
-            assert sidecar.host.listed == {"s-0"}
+            assert sidecar.host.listed_endpoints == {"s-0"}
 
     run(test())
 
 
 def test_unreadable_entry_of_known_list_does_not_prevent_start(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    known = json.loads(listing(4, True, READY_ENTRY, UNREADABLE_ENTRIES[0]))
+    known = json.loads(discovery_response(4, True, READY_ENTRY, UNREADABLE_ENTRIES[0]))
     document = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETUP, "known": known}
     path.write_text(json.dumps(document), encoding="utf-8")
     found = load({"GW_CONFIG": str(path)}).known
@@ -287,8 +293,8 @@
     async def test() -> None:
         async with WatcherFixture(retry_forever=True) as watched:
             for _ in range(20):
-                (await watched.fake.next()).reply(503, b"")
-            (await watched.fake.next()).reply(200, listing(2, False, READY_ENTRY))
+                (await watched.fake.next_request()).reply(503, b"")
+            (await watched.fake.next_request()).reply(200, discovery_response(2, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA
 
     run(test())
--- a/tests/test_reading.py
+++ b/tests/test_documents.py
@@ -12,7 +12,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from eiderhub.reading import DocumentError, convert
+from eiderhub.documents import DocumentError, convert
 from eiderhub.registry.settings import Follow, Register
 from eiderhub.sidecar.config import Document, load, read_document
 from tests.sidecar_support import SETUP
@@ -83,7 +83,7 @@
     for human_format in (False, True):
         with pytest.raises(DocumentError) as caught:
             convert(arbitrary, Document, "FILE", human_format)
-        assert all(line.startswith("FILE: ") for line in caught.value.lines())
+        assert all(line.startswith("FILE: ") for line in caught.value.fault_lines())
 
 
 def test_example_file_is_valid_and_lists_existing_options_with_their_defaults(tmp_path: Path) -> None:
@@ -111,4 +111,7 @@
     path.write_text(text.replace("aim_us", "aim_su", 1), encoding="utf-8")
     with pytest.raises(DocumentError) as caught:
         read_document(str(path))
-    assert f"{path}: settings.categories[0].aim_su: unknown key; did you mean aim_us?" in caught.value.lines()
+    assert (
+        f"{path}: settings.categories[0].aim_su: unknown key; did you mean aim_us?"
+        in caught.value.fault_lines()
+    )
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -19,17 +19,17 @@
 from hypothesis import strategies as st
 
 from eiderhub.address import Address
+from eiderhub.documents import DocumentError
 from eiderhub.emulator.deployment import Deployment, DeploymentError, Result
 from eiderhub.emulator.doors import Door
 from eiderhub.emulator.load import Load, Mix, Pattern, Shape, loopback, recorded, schedule
 from eiderhub.emulator.processes import environment
 from eiderhub.emulator.wires import How, Wire
 from eiderhub.interface import Effect
-from eiderhub.reading import DocumentError
 from eiderhub.world.clients import End
 from eiderhub.world.day import draw
 from eiderhub.world.scenario import load as load_scenario
-from tests.sidecar_support import Fake, run
+from tests.sidecar_support import FakeServer, run
 
 SMALL = """
 about = "two tiers, one sidecar at the front, and everything that can befall it within seconds"
@@ -297,13 +297,13 @@
 
 def test_latency_runs_from_the_due_time_and_every_request_has_one_end() -> None:
     async def test() -> None:
-        fake = await Fake().start()
+        fake = await FakeServer().start()
         host, _, port = fake.address.rpartition(":")
         mix = Mix((Shape("look", Effect.IDEMPOTENT, deadline_ms=5000),))
         due = np.arange(20) / 1000  # all due within 20 ms
         load = Load([(host, int(port))], due, mix, 1)
         running = asyncio.create_task(load.run())
-        asked = [await fake.next() for _ in due]
+        asked = [await fake.next_request() for _ in due]
         begun = time.monotonic()
         await asyncio.sleep(0.2)  # the target stands still for all of them
         stood_ms = (time.monotonic() - begun) * 1000
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -25,7 +25,7 @@
     read_memory,
     write_memory,
 )
-from tests.sidecar_support import SETUP, Client, Fake, listing, row, run
+from tests.sidecar_support import SETUP, Client, FakeServer, discovery_response, instance_entry, run
 
 
 def test_only_a_listening_socket_is_inherited(tmp_path: Path) -> None:
@@ -142,8 +142,8 @@
 
 def test_successor_takes_over_the_socket_and_no_request_is_refused(tmp_path: Path) -> None:
     async def test() -> None:
-        fake = await Fake().start()
-        known_list = listing(1, True, row("s-0", fake.address))
+        fake = await FakeServer().start()
+        known_list = discovery_response(1, True, instance_entry("s-0", fake.address))
         ports = [free_port(), free_port()]
         with socket.create_server(("127.0.0.1", 0), backlog=128) as listener:
             address = listener.getsockname()
@@ -155,10 +155,10 @@
                 idle = Client(*await asyncio.open_connection(*address))
                 for client in (waiting, idle):
                     client.send()
-                    (await fake.next()).reply()
-                    assert (await client.answer()).status == 200
+                    (await fake.next_request()).reply()
+                    assert (await client.read_answer()).status == 200
                 waiting.send(deadline_ms=60_000)
-                request = await fake.next()
+                request = await fake.next_request()
                 new = start_process(tmp_path, listener, ports[1], known_list)
                 await wait_until_serving(new)
                 assert await status(ports[1]) == b"OK serving\n"
@@ -169,19 +169,19 @@
                 for client in (waiting, idle):  # the last answer of each connection has `Connection: close`
                     if client is idle:
                         client.send()
-                        (await fake.next()).reply()
-                    answer = await client.answer()
+                        (await fake.next_request()).reply()
+                    answer = await client.read_answer()
                     assert (answer.status, answer.headers["connection"]) == (200, "close")
                 for _ in range(20):  # all are accepted by the successor
                     fresh = Client(*await asyncio.open_connection(*address))
                     fresh.send()
-                    (await fake.next()).reply()
-                    answer = await fresh.answer()
+                    (await fake.next_request()).reply()
+                    answer = await fresh.read_answer()
                     assert (answer.status, "connection" in answer.headers) == (200, False)
                 assert await asyncio.to_thread(old.wait) == 0
                 fresh.send()
-                (await fake.next()).reply()
-                assert (await fresh.answer()).status == 200
+                (await fake.next_request()).reply()
+                assert (await fresh.read_answer()).status == 200
                 fresh.writer.close()
                 new.send_signal(signal.SIGTERM)
                 while await status(ports[1]) != b"ERR stopping\n":
@@ -189,8 +189,8 @@
                 # There is no other process to accept this connection.
                 late = Client(*await asyncio.open_connection(*address))
                 late.send()
-                (await fake.next()).reply()
-                assert (await late.answer()).status == 200
+                (await fake.next_request()).reply()
+                assert (await late.read_answer()).status == 200
                 late.writer.close()
                 assert await asyncio.to_thread(new.wait) == 0
             finally:
--- a/tests/test_management.py
+++ b/tests/test_management.py
@@ -10,7 +10,7 @@
 from eiderhub.sidecar import management as managing
 from eiderhub.sidecar import process as program
 from eiderhub.sidecar.management import MAX_CONNECTIONS, MAX_LINE_BYTES, ManagementServer
-from tests.sidecar_support import Client, Sidecar, listing, row, run
+from tests.sidecar_support import Client, Sidecar, discovery_response, instance_entry, run
 
 
 class ManagedSidecar(Sidecar):
@@ -18,7 +18,7 @@
 
     async def __aenter__(self) -> ManagedSidecar:
         await super().__aenter__()
-        self.management = ManagementServer(self.server.lifecycle, self.host.figure_lines)
+        self.management = ManagementServer(self.server.lifecycle, self.host.metric_lines)
         await self.management.bind("127.0.0.1", 0)
         return self
 
@@ -121,7 +121,7 @@
 
 def test_metrics_match_what_clients_received() -> None:
     async def test() -> None:
-        async with ManagedSidecar(callers=2) as sidecar:
+        async with ManagedSidecar(max_callers=2) as sidecar:
             initial = await sidecar.stats()
             assert initial.pop("svc.hosts_listed") == 1
             assert set(initial.values()) == {0}
@@ -131,29 +131,31 @@
             client = await sidecar.client()
 
             client.send("pay")
-            request = await sidecar.endpoints[0].next()
+            request = await sidecar.endpoints[0].next_request()
             during = await sidecar.stats()
             assert (during["svc.inflight"], during["svc.backend_calls"]) == (1, 1)
             request.reply()
-            assert (await client.answer()).status == 200
+            assert (await client.read_answer()).status == 200
 
             client.send("pay")
-            (await sidecar.endpoints[0].next()).reply(500)
-            assert (await client.answer()).status == 502
+            (await sidecar.endpoints[0].next_request()).reply(500)
+            assert (await client.read_answer()).status == 502
 
             other = await sidecar.client()
             other.send("look")
-            request = await sidecar.endpoints[0].next()
+            request = await sidecar.endpoints[0].next_request()
             client.send("hold")
-            other_request = await sidecar.endpoints[0].next()
+            other_request = await sidecar.endpoints[0].next_request()
             extra = await sidecar.client()  # one above the limit
-            assert (await extra.ask("look")).status == 503
+            assert (await extra.send_and_read("look")).status == 503
             request.reply()
-            assert (await other.answer()).status == 200
+            assert (await other.read_answer()).status == 200
             other_request.reply()
-            assert (await client.answer()).status == 200
+            assert (await client.read_answer()).status == 200
 
-            assert (await client.ask("pay", Req_Id="a b")).status == 400  # not a valid request: not counted
+            assert (
+                await client.send_and_read("pay", Req_Id="a b")
+            ).status == 400  # not a valid request: not counted
 
             final = await sidecar.stats()
             expected = {
@@ -177,18 +179,18 @@
     async def test() -> None:
         async with ManagedSidecar(endpoints=0) as sidecar:
             client = await sidecar.client()
-            assert (await client.ask("look", deadline_ms=300)).status == 503
+            assert (await client.send_and_read("look", deadline_ms=300)).status == 503
             metrics = await sidecar.stats()
             assert (metrics["svc.calls.look.busy"], metrics["svc.inflight"]) == (1, 0)
         async with ManagedSidecar() as sidecar:
             client = await sidecar.client()
             client.send("pay", deadline_ms=800)
-            await sidecar.endpoints[0].next()
-            assert (await client.answer()).status == 504
+            await sidecar.endpoints[0].next_request()
+            assert (await client.read_answer()).status == 504
             metrics = await sidecar.stats()
             assert (metrics["svc.calls.pay.failure"], metrics["svc.backend_calls"]) == (1, 1)
             client.send("pay", deadline_ms=9000)
-            await sidecar.endpoints[0].next()
+            await sidecar.endpoints[0].next_request()
             client.writer.close()
             while (await sidecar.stats())["svc.inflight"]:
                 await asyncio.sleep(0.01)
@@ -199,23 +201,23 @@
 def test_metrics_count_requests_that_end_during_a_drain_and_listed_hosts(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(lifecycle, "ACCEPT_S", 0.02)
-    monkeypatch.setattr(program, "LONGEST_S", 0.1)
-    monkeypatch.setattr(program, "AFTER_LONGEST_S", 0.1)
+    monkeypatch.setattr(lifecycle, "ACCEPT_GRACE_S", 0.02)
+    monkeypatch.setattr(program, "MAX_DEADLINE_S", 0.1)
+    monkeypatch.setattr(program, "DRAIN_MARGIN_S", 0.1)
 
     async def test() -> None:
         async with ManagedSidecar(endpoints=3) as sidecar:
-            entries = [row(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
+            entries = [instance_entry(f"s-{i}", fake.address) for i, fake in enumerate(sidecar.endpoints)]
             entries[1]["lifecycle"], entries[2]["lifecycle"] = "draining", "gone"
-            (await sidecar.discovery.next()).reply(200, listing(2, False, *entries))
-            await sidecar.discovery.next()
+            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, False, *entries))
+            await sidecar.discovery.next_request()
             metrics = await sidecar.stats()
             assert (metrics["svc.hosts_listed"], metrics["svc.hosts_down"]) == (2, 1)
             client = await sidecar.client()
             client.send("pay", deadline_ms=60_000)
-            await sidecar.endpoints[0].next()
+            await sidecar.endpoints[0].next_request()
             await program.drain(sidecar.server.lifecycle, sidecar.server, sidecar.host)
-            assert (await client.answer()).status == 504
+            assert (await client.read_answer()).status == 504
             metrics = await sidecar.stats()
             assert (metrics["svc.calls.pay.failure"], metrics["svc.inflight"]) == (1, 0)
 
@@ -224,12 +226,12 @@
 
 async def check_readiness(client: Client) -> tuple[int, bool]:
     client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-    answer = await client.answer()
+    answer = await client.read_answer()
     return answer.status, answer.headers.get("connection") == "close"
 
 
 def test_standby_drains_the_sidecar_and_active_reopens_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lifecycle, "ACCEPT_S", 0.05)
+    monkeypatch.setattr(lifecycle, "ACCEPT_GRACE_S", 0.05)
     monkeypatch.setattr(lifecycle, "IDLE_CLOSE_DELAY_S", 0.1)
 
     async def test() -> None:
@@ -237,17 +239,17 @@
             idle, busy = await sidecar.client(), await sidecar.client()
             assert await check_readiness(idle) == (200, False)
             busy.send()
-            request = await sidecar.endpoints[0].next()
+            request = await sidecar.endpoints[0].next_request()
             assert await sidecar.execute(b"standby\n") == "OK standby\n"
             assert await sidecar.execute(b"standby\n") == "OK standby\n"
             assert await sidecar.execute(b"status\n") == "ERR standby\n"
             late = await sidecar.client()  # the front has not seen the 503 of `/up` yet
             late.send()
-            (await sidecar.endpoints[0].next()).reply()
-            assert (await late.answer()).status == 200
+            (await sidecar.endpoints[0].next_request()).reply()
+            assert (await late.read_answer()).status == 200
             assert await idle.reader.read() == b""
             request.reply()
-            answer = await busy.answer()
+            answer = await busy.read_answer()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
             assert await busy.reader.read() == b""
             again = await sidecar.client()
@@ -261,7 +263,7 @@
 
 
 def test_active_during_a_drain_and_sigterm_during_standby(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lifecycle, "ACCEPT_S", 0.02)
+    monkeypatch.setattr(lifecycle, "ACCEPT_GRACE_S", 0.02)
 
     async def test() -> None:
         async with ManagedSidecar() as sidecar:
--- a/tests/test_other_customers.py
+++ b/tests/test_other_customers.py
@@ -11,7 +11,7 @@
 from eiderhub.balancer import Balancer
 from eiderhub.interface import ListForm, Outcome
 from eiderhub.sidecar.config import Config, ConfigError, load
-from tests.sidecar_support import SETUP, row
+from tests.sidecar_support import SETUP, instance_entry
 
 
 class Recorder:
@@ -79,7 +79,7 @@
 
 def test_any_configuration_is_served_or_rejected_in_one_line(tmp_path: Path) -> None:
     """Each key of a complete configuration is missing, empty, extreme or of another type."""
-    rows = [row("s-0", "127.0.0.1:80"), row("s-1", "127.0.0.1:81")]
+    rows = [instance_entry("s-0", "127.0.0.1:80"), instance_entry("s-1", "127.0.0.1:81")]
     known = {"generation": 1, "reset": True, "instances": rows}
     document = {
         "name": "n0",
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -21,11 +21,11 @@
 import msgspec
 import pytest
 
-from eiderhub.address import parse
+from eiderhub.address import parse_host_port
 from eiderhub.emulator import operators
 from eiderhub.emulator.processes import Process, Usage, claim, environment
 from eiderhub.emulator.wires import How
-from eiderhub.http1 import Pool, Unanswered, fetch
+from eiderhub.http1 import ConnectionPool, NoReplyError, fetch
 from eiderhub.registry import calls, kept
 from eiderhub.registry.belief import BELIEVE_US, CALLS_PER_S, Belief, Claim, Pace, S, Steering
 from eiderhub.registry.client import Refused, Registration, Watch
@@ -34,7 +34,7 @@
 from eiderhub.registry.server import Service, new_core
 from eiderhub.registry.settings import Follow
 from eiderhub.registry.store import Store
-from eiderhub.sidecar.discovery import read_listing
+from eiderhub.sidecar.discovery import parse_endpoint_list
 from tests.registry_support import Fleet, Node, Watcher, record, run, until, until_true
 from tests.test_registry_store import Memory
 
@@ -81,7 +81,7 @@
                             acknowledged, await main.put(record(name, started=time.time_ns() // 1000))
                         )
                         truth[name] = "ready"
-                    except Unanswered:
+                    except NoReplyError:
                         unsure[name] = truth[name]
                         break
                 await main.kill()
@@ -97,7 +97,7 @@
                 assert ages[1] <= (time.monotonic() - asked) * 1000 + 5000
                 await main.start()
                 assert await main.version() >= acknowledged
-                listing = read_listing((await main.line.get(calls.LIST, {}, 2.0)).body)
+                listing = parse_endpoint_list((await main.line.get(calls.LIST, {}, 2.0)).body)
                 found = {one.endpoint.id: one.endpoint.readiness.value for one in listing.entries}
                 assert {n: s for n, s in found.items() if n not in unsure} == {
                     n: s for n, s in truth.items() if n not in unsure
@@ -221,7 +221,8 @@
             state = await main.state()
             assert (state.records, state.store_failing) == (1, "File too large")
             assert (
-                read_listing((await main.line.get(calls.LIST, {}, 2.0)).body).entries[0].endpoint.id == "e0"
+                parse_endpoint_list((await main.line.get(calls.LIST, {}, 2.0)).body).entries[0].endpoint.id
+                == "e0"
             )
             unlimited = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
             resource.prlimit(main.process.pid, resource.RLIMIT_FSIZE, unlimited)
@@ -230,7 +231,7 @@
             await main.kill()
             await main.start()
             assert await main.version() == version + 1  # one more opening, and nothing of what was refused
-            listing = read_listing((await main.line.get(calls.LIST, {}, 2.0)).body)
+            listing = parse_endpoint_list((await main.line.get(calls.LIST, {}, 2.0)).body)
             assert {one.endpoint.id for one in listing.entries} == {"e0", "e3"}
 
     run(test())
@@ -302,7 +303,7 @@
 
             await until_true(caught_up)
             reply = await follower.line.get(calls.LIST, {}, 2.0)
-            assert len(read_listing(reply.body).entries) == 6
+            assert len(parse_endpoint_list(reply.body).entries) == 6
             with pytest.raises(Refused, match="this is a follower") as refused:
                 await follower.put(record("x"))
             assert refused.value.status == 421
@@ -415,7 +416,7 @@
         config = Document(listen=f"127.0.0.1:{port}", store="none")
         service = Service(config, new_core(config), Store(Memory(1 << 40)))
         await service.open()
-        pool = Pool("127.0.0.1", port)
+        pool = ConnectionPool("127.0.0.1", port)
         data = f"POST {calls.PUT} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
         reply = await fetch(pool, data, 5.0)
         assert reply.status == 400 and said in msgspec.json.decode(reply.body)["why"]
@@ -559,7 +560,7 @@
                 await until(lambda: watcher.listed.get("beside") == "ready")
                 started = watcher.started["beside"]
                 # It follows the list that it is on itself.
-                where = parse(management)
+                where = parse_host_port(management)
 
                 async def hosts() -> int:
                     answer = await operators.call(where.host, where.port, "stats")
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -14,7 +14,7 @@
 from eiderhub.address import Address
 from eiderhub.emulator.processes import claim
 from eiderhub.emulator.wires import Wire
-from tests.sidecar_support import SETUP, Client, read_message, row, run, started
+from tests.sidecar_support import SETUP, Client, instance_entry, read_message, run, start_process
 
 CALLERS, CALLS = 4, 300
 TWICE = 40  # of so many requests, one is answered twice
@@ -60,11 +60,11 @@
         wires = [Wire("127.0.0.1", partial(Address, "127.0.0.1", echo.port)) for echo in echoes]
         for wire in wires:
             await wire.open()
-        rows = [row(f"e{i}", str(wire.address)) for i, wire in enumerate(wires)]
+        rows = [instance_entry(f"e{i}", str(wire.address)) for i, wire in enumerate(wires)]
         known = {"generation": 1, "reset": True, "instances": rows}
         held = claim("127.0.0.1")
         port = held.getsockname()[1]
-        process = started(tmp_path, {"listen": f"127.0.0.1:{port}", "settings": SETUP, "known": known})
+        process = start_process(tmp_path, {"listen": f"127.0.0.1:{port}", "settings": SETUP, "known": known})
         assert process.stderr is not None
         lines = process.stderr
         loop = asyncio.get_running_loop()
@@ -84,7 +84,7 @@
             client = Client(*await asyncio.open_connection("127.0.0.1", port))
             for turn in range(CALLS):
                 name = f"c{number}-{turn}"
-                answer = await client.ask("look", request_id=name)
+                answer = await client.send_and_read("look", request_id=name)
                 if answer.status == 200:
                     bodies.append((name, answer.body.decode()))
                 if number == 0 and turn % RESET == RESET - 1:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -26,22 +26,22 @@
 from eiderhub.sidecar.bodies import Source
 from eiderhub.sidecar.clock import Alarm, now_us
 from eiderhub.sidecar.config import load
-from eiderhub.sidecar.discovery import read_listing
-from eiderhub.sidecar.figures import Figures
+from eiderhub.sidecar.discovery import parse_endpoint_list
 from eiderhub.sidecar.host import Request
 from eiderhub.sidecar.lifecycle import Intake
-from eiderhub.sidecar.logs import Bounded, Form, configure
+from eiderhub.sidecar.logs import Form, RateLimiter, configure
+from eiderhub.sidecar.metrics import RequestMetrics
 from eiderhub.sidecar.upstream import Attempt, Receiver, Response, Upstream
 from tests.sidecar_support import (
     SETUP,
     Client,
-    Fake,
+    FakeServer,
     Sidecar,
-    first_asked,
-    listing,
-    row,
+    discovery_response,
+    instance_entry,
+    next_request_at_any,
     run,
-    started,
+    start_process,
 )
 
 
@@ -54,12 +54,12 @@
     def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         self.all.put_nowait(status)
 
-    def begin(self, head: Response, source: Source) -> Receiver:
+    def start_streaming(self, head: Response, source: Source) -> Receiver:
         raise AssertionError("no long answer is expected here")
 
-    finish = break_off = lambda self: None
+    finish = abort_answer = lambda self: None
 
-    def left_unread(self) -> bool:
+    def has_disconnected(self) -> bool:
         return False
 
 
@@ -77,15 +77,15 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send("hold", deadline_ms=900, body=b"\x00\x01two", request_id="00aa")
-            asked = await sidecar.endpoints[0].next()
-            assert asked.message.first == "POST /hold/a?b=1 HTTP/1.1"
+            asked = await sidecar.endpoints[0].next_request()
+            assert asked.message.start_line == "POST /hold/a?b=1 HTTP/1.1"
             assert asked.message.headers["host"] == "service.internal"
             assert asked.message.headers["req-id"] == "00aa"
             assert asked.message.headers["idempotency-key"] == "k1"
             assert 500 < int(asked.message.headers["req-deadline-ms"]) <= 860
             assert asked.message.body == b"\x00\x01two"
             asked.reply(200, b"\x00answer", "Content-Type: a/b")
-            answer = await client.answer()
+            answer = await client.read_answer()
             assert (answer.status, answer.body) == (200, b"\x00answer")
             assert answer.headers["content-type"] == "a/b"
 
@@ -100,9 +100,9 @@
             client = await sidecar.client()
             for _ in range(3):
                 client.send()
-                asked = await sidecar.endpoints[0].next()
+                asked = await sidecar.endpoints[0].next_request()
                 asked.reply()
-                assert (await client.answer()).status == 200
+                assert (await client.read_answer()).status == 200
             assert sidecar.endpoints[0].connections == 1
 
     run(test())
@@ -115,9 +115,9 @@
             for i in range(3):
                 client.send(body=b"%d" % i)
             for _ in range(3):
-                asked = await sidecar.endpoints[0].next()
+                asked = await sidecar.endpoints[0].next_request()
                 asked.reply(200, asked.message.body)
-            assert [(await client.answer()).body for _ in range(3)] == [b"0", b"1", b"2"]
+            assert [(await client.read_answer()).body for _ in range(3)] == [b"0", b"1", b"2"]
 
     run(test())
 
@@ -128,12 +128,12 @@
             client = await sidecar.client()
             client.send(body=b"0")
             client.send(body=b"1")
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             sidecar.server.intake = Intake.LAST
             asked.reply(200, asked.message.body)
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             asked.reply(200, asked.message.body)
-            assert [(await client.answer()).body for _ in range(2)] == [b"0", b"1"]
+            assert [(await client.read_answer()).body for _ in range(2)] == [b"0", b"1"]
             assert await client.reader.read() == b""
 
     run(test())
@@ -144,10 +144,10 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send("look", Connection="Upgrade", Upgrade="websocket")
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             assert "upgrade" not in asked.message.headers
             asked.reply()
-            answer = await client.answer()
+            answer = await client.read_answer()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
             assert await client.reader.read() == b""
 
@@ -161,7 +161,7 @@
     """Send one request and return the endpoint's side of it, wherever it went, and the client."""
     client = await sidecar.client()
     client.send(grade)
-    return await first_asked(sidecar), client
+    return await next_request_at_any(sidecar), client
 
 
 @pytest.mark.parametrize("status", [500, 503, 504, 429, 404])
@@ -173,7 +173,7 @@
             asked, client = await one_attempt(sidecar)
             asked.reply(status, b"")
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -184,7 +184,7 @@
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
             asked.reply(status, b"", "Srv-Declined: 1")
-            (await first_asked(sidecar)).reply()
+            (await next_request_at_any(sidecar)).reply()
             assert (await client.answer()).status == 200
 
     run(test())
@@ -198,8 +198,8 @@
             for _ in range(8):  # each draws its endpoint at random
                 client = await sidecar.client()
                 client.send()
-                (await sidecar.endpoints[1].next()).reply()
-                assert (await client.answer()).status == 200
+                (await sidecar.endpoints[1].next_request()).reply()
+                assert (await client.read_answer()).status == 200
 
     run(test())
 
@@ -215,7 +215,7 @@
                 asked.writer.write(b"\r\nhalf")
             asked.writer.close()
             assert (await client.answer()).status == 502
-            assert all(fake.asked.empty() for fake in sidecar.endpoints)
+            assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
@@ -229,16 +229,16 @@
             client = await sidecar.client()
             begun = time.monotonic()
             client.send(deadline_ms=2000)
-            asked = await sidecar.endpoints[0].next()
-            answer = await client.answer()
+            asked = await sidecar.endpoints[0].next_request()
+            answer = await client.read_answer()
             assert answer.status == 504
             assert time.monotonic() - begun < 1.5
             asked.reply(200, b"late")
             client.send(deadline_ms=8000)
-            fresh = await sidecar.endpoints[0].next()
+            fresh = await sidecar.endpoints[0].next_request()
             assert fresh.connection != asked.connection
             fresh.reply(200, b"fresh")
-            assert (await client.answer()).body == b"fresh"
+            assert (await client.read_answer()).body == b"fresh"
 
     run(test())
 
@@ -249,8 +249,8 @@
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
             ended: asyncio.Queue[Outcome] = asyncio.Queue()
-            upstream = Upstream(0, 1_000_000, 4, Figures(()))
-            upstream.place("e", "127.0.0.1", listener.getsockname()[1], 0)
+            upstream = Upstream(0, 1_000_000, 4, RequestMetrics(()))
+            upstream.set_endpoint("e", "127.0.0.1", listener.getsockname()[1], 0)
 
             def on_end(
                 _: Attempt, outcome: Outcome, __: Response | None, ended: asyncio.Queue[Outcome] = ended
@@ -263,7 +263,7 @@
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             peer.close()
             assert await ended.get() is expected
-            assert upstream.open == 0
+            assert upstream.open_connections == 0
             listener.close()
 
     run(test())
@@ -276,8 +276,8 @@
         for filler in fillers:  # take what the backlog holds: the next handshake gets no answer
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
-        upstream = Upstream(0, 100_000, 4, Figures(()))
-        upstream.place("e", "127.0.0.1", full.getsockname()[1], 0)
+        upstream = Upstream(0, 100_000, 4, RequestMetrics(()))
+        upstream.set_endpoint("e", "127.0.0.1", full.getsockname()[1], 0)
         ended: asyncio.Queue[Outcome] = asyncio.Queue()
         upstream.send(Attempt(0, "e", lambda *_: b"x", lambda _, outcome, __: ended.put_nowait(outcome)))
         assert await ended.get() is Outcome.CONNECT_FAILED
@@ -294,8 +294,8 @@
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         loop = asyncio.get_running_loop()
-        upstream = Upstream(0, 1_000_000, 4, Figures(()))
-        upstream.place("e", "127.0.0.1", listener.getsockname()[1], 0)
+        upstream = Upstream(0, 1_000_000, 4, RequestMetrics(()))
+        upstream.set_endpoint("e", "127.0.0.1", listener.getsockname()[1], 0)
         ended: asyncio.Queue[Outcome] = asyncio.Queue()
 
         def send() -> None:
@@ -324,10 +324,10 @@
         async with Sidecar(Allowed={**SETUP["Allowed"], "ConnIdleUs": 300_000}) as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
-            await client.answer()
-            assert await sidecar.endpoints[0].ends.get() == 0
-            assert sidecar.host.upstream.open == 0
+            (await sidecar.endpoints[0].next_request()).reply()
+            await client.read_answer()
+            assert await sidecar.endpoints[0].disconnects.get() == 0
+            assert sidecar.host.upstream.open_connections == 0
 
     run(test())
 
@@ -339,11 +339,11 @@
             seen: set[int] = set()
             while len(seen) < 2:
                 client.send()
-                asked = await first_asked(sidecar)
+                asked = await next_request_at_any(sidecar)
                 asked.reply()
-                await client.answer()
+                await client.read_answer()
                 seen.add(next(i for i, f in enumerate(sidecar.endpoints) if asked.writer in f.writers))
-                assert sidecar.host.upstream.open == 1
+                assert sidecar.host.upstream.open_connections == 1
 
     run(test())
 
@@ -356,9 +356,9 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send(deadline_ms=3_000_000)  # so that no attempt ends by time within the test
-            await sidecar.endpoints[0].next()
+            await sidecar.endpoints[0].next_request()
             client.writer.close()
-            assert await sidecar.endpoints[0].ends.get() == 0
+            assert await sidecar.endpoints[0].disconnects.get() == 0
             assert not sidecar.host.requests
             assert not sidecar.host.balancer.calls
 
@@ -369,7 +369,7 @@
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
             begun = time.monotonic()
-            answer = await (await sidecar.client()).ask("look", deadline_ms=3000)
+            answer = await (await sidecar.client()).send_and_read("look", deadline_ms=3000)
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
             assert time.monotonic() - begun < 2.0
@@ -395,29 +395,29 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.writer.write(raw.encode())
-            assert (await client.answer()).status == status
+            assert (await client.read_answer()).status == status
             if closes:
                 assert await client.reader.read() == b""
             else:
                 client.send()
-                (await sidecar.endpoints[0].next()).reply()
-                assert (await client.answer()).status == 200
-            assert sidecar.host.serial == (0 if closes else 1)
-            assert sidecar.endpoints[0].asked.empty()
+                (await sidecar.endpoints[0].next_request()).reply()
+                assert (await client.read_answer()).status == 200
+            assert sidecar.host.last_serial == (0 if closes else 1)
+            assert sidecar.endpoints[0].requests.empty()
 
     run(test())
 
 
 def test_request_that_never_comes_whole_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(calling, "READ_S", 0.05)
-        monkeypatch.setattr(server, "READ_CHECK_S", 0.02)
+        monkeypatch.setattr(calling, "READ_TIMEOUT_S", 0.05)
+        monkeypatch.setattr(server, "TIMEOUT_CHECK_INTERVAL_S", 0.02)
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             assert await ready(client) == 200
-            watch = asyncio.create_task(sidecar.server.watch_callers())
+            watch = asyncio.create_task(sidecar.server.watch_timeouts())
             client.writer.write(HEAD.encode())
-            assert (await client.answer()).status == 408
+            assert (await client.read_answer()).status == 408
             assert await client.reader.read() == b""
             watch.cancel()
 
@@ -444,8 +444,8 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            assert (await client.ask(grade, **changes)).status == status
-            assert sidecar.host.serial == 0
+            assert (await client.send_and_read(grade, **changes)).status == status
+            assert sidecar.host.last_serial == 0
             assert sidecar.endpoints[0].connections == 0
 
     run(test())
@@ -458,8 +458,8 @@
             client.writer.write(
                 b"GET /pay HTTP/1.1\r\nReq-Id: 1\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9\r\n\r\n"
             )
-            assert (await client.answer()).status == 405
-            assert sidecar.host.serial == 0
+            assert (await client.read_answer()).status == 405
+            assert sidecar.host.last_serial == 0
 
     run(test())
 
@@ -469,13 +469,13 @@
         async with Sidecar() as sidecar:
             first, second = await sidecar.client(), await sidecar.client()
             first.send(request_id="0a")
-            asked = await sidecar.endpoints[0].next()
-            assert (await second.ask(request_id="0a")).status == 409
+            asked = await sidecar.endpoints[0].next_request()
+            assert (await second.send_and_read(request_id="0a")).status == 409
             asked.reply()
-            assert (await first.answer()).status == 200
+            assert (await first.read_answer()).status == 200
             second.send(request_id="0a")
-            (await sidecar.endpoints[0].next()).reply()
-            assert (await second.answer()).status == 200
+            (await sidecar.endpoints[0].next_request()).reply()
+            assert (await second.read_answer()).status == 200
 
     run(test())
 
@@ -484,23 +484,23 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """TERMS: who sends no request is owed an end within 3 s. Seen on case9367: it kept its place."""
-    assert calling.READ_S + server.READ_CHECK_S < 3.0
+    assert calling.READ_TIMEOUT_S + server.TIMEOUT_CHECK_INTERVAL_S < 3.0
 
     async def test() -> None:
-        monkeypatch.setattr(calling, "READ_S", 0.3)
-        monkeypatch.setattr(server, "READ_CHECK_S", 0.01)
+        monkeypatch.setattr(calling, "READ_TIMEOUT_S", 0.3)
+        monkeypatch.setattr(server, "TIMEOUT_CHECK_INTERVAL_S", 0.01)
         async with Sidecar() as sidecar:
             kept = await sidecar.client()
             kept.send()
-            (await sidecar.endpoints[0].next()).reply()
-            assert (await kept.answer()).status == 200
+            (await sidecar.endpoints[0].next_request()).reply()
+            assert (await kept.read_answer()).status == 200
             silent = await sidecar.client()
-            watch = asyncio.create_task(sidecar.server.watch_callers())
+            watch = asyncio.create_task(sidecar.server.watch_timeouts())
             assert await silent.reader.read() == b""
-            monkeypatch.setattr(calling, "READ_S", 10.0)
+            monkeypatch.setattr(calling, "READ_TIMEOUT_S", 10.0)
             kept.send()
-            (await sidecar.endpoints[0].next()).reply()
-            assert (await kept.answer()).status == 200
+            (await sidecar.endpoints[0].next_request()).reply()
+            assert (await kept.read_answer()).status == 200
             watch.cancel()
 
     run(test())
@@ -508,28 +508,28 @@
 
 def test_callers_past_the_bound_close_the_idle_and_are_refused_while_all_are_busy() -> None:
     async def test() -> None:
-        async with Sidecar(callers=1) as sidecar:
+        async with Sidecar(max_callers=1) as sidecar:
             idle = await sidecar.client()
             await ready(idle)
             busy = await sidecar.client()
             assert await idle.reader.read() == b""
             busy.send()
-            asked = await sidecar.endpoints[0].next()
+            asked = await sidecar.endpoints[0].next_request()
             extra = await sidecar.client()
-            answer = await extra.ask()
+            answer = await extra.send_and_read()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
             asked.reply()
-            assert (await busy.answer()).status == 200
+            assert (await busy.read_answer()).status == 200
 
     run(test())
 
 
 def test_crowd_of_callers_that_stay_makes_room_for_those_that_ask(monkeypatch: pytest.MonkeyPatch) -> None:
     """Found on the operators' days: hundreds were refused while most connections stood idle."""
-    monkeypatch.setattr(server, "UNHEARD_S", 0.0)
+    monkeypatch.setattr(server, "FIRST_REQUEST_GRACE_S", 0.0)
 
     async def test() -> None:
-        async with Sidecar(callers=4) as sidecar:
+        async with Sidecar(max_callers=4) as sidecar:
             active = await sidecar.client()
             crowd = [await sidecar.client() for _ in range(3)]
             for client in crowd:
@@ -541,7 +541,7 @@
                 sock.sendall(b"GET /look/a HTTP/1.1\r\nReq-Id: %d\r\n" % sock.fileno())
                 sock.sendall(b"Req-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n\r\n")
             for _ in fresh:
-                (await sidecar.endpoints[0].next()).reply()
+                (await sidecar.endpoints[0].next_request()).reply()
             for sock in fresh:
                 sock.setblocking(False)
                 answer = await asyncio.get_running_loop().sock_recv(sock, 100)
@@ -553,11 +553,11 @@
                 client.writer.write(HEAD.encode())
             while sum(caller.receiving for caller in sidecar.server.callers) < 4:
                 await asyncio.sleep(0.01)
-            assert len(sidecar.server.callers) <= 4 + server.EXCESS
+            assert len(sidecar.server.callers) <= 4 + server.EXTRA_CONNECTIONS
             late = await sidecar.client()
             late.send("look")
-            (await sidecar.endpoints[0].next()).reply()
-            assert (await late.answer()).status == 200
+            (await sidecar.endpoints[0].next_request()).reply()
+            assert (await late.read_answer()).status == 200
             for sock in fresh:
                 sock.close()
 
@@ -566,7 +566,7 @@
 
 async def ready(client: Client) -> int:
     client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-    return (await client.answer()).status
+    return (await client.read_answer()).status
 
 
 # --- the module fails ---
@@ -586,11 +586,11 @@
                 patch.setattr(sidecar.host.balancer, event, broken)
                 client.send()
                 if event == "reply":
-                    (await sidecar.endpoints[0].next()).reply(500)
-                assert (await client.answer()).status == 500
+                    (await sidecar.endpoints[0].next_request()).reply(500)
+                assert (await client.read_answer()).status == 500
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
-            assert (await client.answer()).status == 200
+            (await sidecar.endpoints[0].next_request()).reply()
+            assert (await client.read_answer()).status == 200
             assert not sidecar.host.requests
 
     run(test())
@@ -604,7 +604,7 @@
             monkeypatch.setattr(hosting, "ANSWER_MARGIN_US", 1_800_000)
             monkeypatch.setattr(sidecar.host.balancer, "order", lambda *_: None)
             begun = time.monotonic()
-            assert (await (await sidecar.client()).ask(deadline_ms=2000)).status == 504
+            assert (await (await sidecar.client()).send_and_read(deadline_ms=2000)).status == 504
             assert time.monotonic() - begun < 1.5
 
     run(test())
@@ -617,11 +617,11 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             assert await ready(await sidecar.client()) == 200
-            asked = await sidecar.discovery.next()
-            assert asked.message.first.startswith("GET /discovery/hosts?after=1&wait_ms=")
-            asked.reply(200, listing(4, False))
-            again = await sidecar.discovery.next()
-            assert again.message.first.startswith("GET /discovery/hosts?after=4&")
+            asked = await sidecar.discovery.next_request()
+            assert asked.message.start_line.startswith("GET /discovery/hosts?after=1&wait_ms=")
+            asked.reply(200, discovery_response(4, False))
+            again = await sidecar.discovery.next_request()
+            assert again.message.start_line.startswith("GET /discovery/hosts?after=4&")
             assert again.connection == asked.connection
 
     run(test())
@@ -630,11 +630,13 @@
 def test_not_ready_before_any_endpoint_is_known() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
-            fake = await Fake().start()
+            fake = await FakeServer().start()
             client = await sidecar.client()
             assert await ready(client) == 503
-            (await sidecar.discovery.next()).reply(200, listing(2, True, row("s-9", fake.address)))
-            await sidecar.discovery.next()
+            (await sidecar.discovery.next_request()).reply(
+                200, discovery_response(2, True, instance_entry("s-9", fake.address))
+            )
+            await sidecar.discovery.next_request()
             assert await ready(client) == 200
 
     run(test())
@@ -644,7 +646,7 @@
 def test_failed_watch_keeps_the_list_and_is_asked_again(bad: str) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked = await sidecar.discovery.next()
+            asked = await sidecar.discovery.next_request()
             if bad == "503":
                 asked.reply(503, b"")
             elif bad == "reset":
@@ -652,13 +654,13 @@
             else:
                 asked.reply(200, b'{"instances": [{}]}')
             begun = time.monotonic()
-            again = await sidecar.discovery.next()
+            again = await sidecar.discovery.next_request()
             assert time.monotonic() - begun > 0.2  # no tight loop
-            assert again.message.first.startswith("GET /discovery/hosts?after=1&")
+            assert again.message.start_line.startswith("GET /discovery/hosts?after=1&")
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
-            assert (await client.answer()).status == 200
+            (await sidecar.endpoints[0].next_request()).reply()
+            assert (await client.read_answer()).status == 200
 
     run(test())
 
@@ -667,18 +669,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Found on days of the large fleet: a third of all copies never heard of a release."""
-    monkeypatch.setattr(discovery, "PATIENCE_S", 0.05)
+    monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.05)
 
     async def test() -> None:
         async with Sidecar(Rules={"AskEveryUs": 200_000}) as sidecar:
-            first = await sidecar.discovery.next()
-            assert "wait_ms=0 " in first.message.first  # who starts asks for what there is
-            first.reply(200, listing(1, False))
-            silent = await sidecar.discovery.next()
-            assert 80 <= int(silent.message.first.split("wait_ms=")[1].split(" ")[0]) <= 100
-            again = await sidecar.discovery.next()
+            first = await sidecar.discovery.next_request()
+            assert "wait_ms=0 " in first.message.start_line  # who starts asks for what there is
+            first.reply(200, discovery_response(1, False))
+            silent = await sidecar.discovery.next_request()
+            assert 80 <= int(silent.message.start_line.split("wait_ms=")[1].split(" ")[0]) <= 100
+            again = await sidecar.discovery.next_request()
             assert again.connection != silent.connection
-            assert again.message.first.startswith("GET /discovery/hosts?after=1&")
+            assert again.message.start_line.startswith("GET /discovery/hosts?after=1&")
 
     run(test())
 
@@ -687,27 +689,29 @@
 def test_list_that_does_not_come_whole_is_not_applied_and_asked_for_again(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(discovery, "GAP_S", 0.1)
+    monkeypatch.setattr(discovery, "READ_GAP_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with Sidecar(endpoints=2, Rules={"AskEveryUs": 60_000_000}) as sidecar:
-            asked = await sidecar.discovery.next()
-            body = listing(2, True, row("s-0", sidecar.endpoints[0].address))
+            asked = await sidecar.discovery.next_request()
+            body = discovery_response(2, True, instance_entry("s-0", sidecar.endpoints[0].address))
             asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
             asked.writer.write(body[:-1])
             if end == "breaks off":
                 asked.writer.close()
-            again = await sidecar.discovery.next()  # long before the wait that was asked for has passed
-            assert again.message.first.startswith("GET /discovery/hosts?after=1&")
+            again = (
+                await sidecar.discovery.next_request()
+            )  # long before the wait that was asked for has passed
+            assert again.message.start_line.startswith("GET /discovery/hosts?after=1&")
             assert again.connection != asked.connection
-            assert sidecar.host.listed == {"s-0", "s-1"}
+            assert sidecar.host.listed_endpoints == {"s-0", "s-1"}
             again.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
-            monkeypatch.setattr(discovery, "GAP_S", 5.0)
+            monkeypatch.setattr(discovery, "READ_GAP_TIMEOUT_S", 5.0)
             for piece in (body[:10], body[10:20], body[20:]):  # one that is slow, but goes on
                 again.writer.write(piece)
                 await asyncio.sleep(0.02)
-            await sidecar.discovery.next()
-            assert sidecar.host.listed == {"s-0"}
+            await sidecar.discovery.next_request()
+            assert sidecar.host.listed_endpoints == {"s-0"}
 
     run(test())
 
@@ -715,9 +719,11 @@
 def test_pushed_lists_are_watched_without_the_module_asking() -> None:
     async def test() -> None:
         async with Sidecar(Discovery="push") as sidecar:
-            (await sidecar.discovery.next()).reply(503, b"")
-            (await sidecar.discovery.next()).reply(200, listing(2, False))
-            assert (await sidecar.discovery.next()).message.first.startswith("GET /discovery/hosts?after=2&")
+            (await sidecar.discovery.next_request()).reply(503, b"")
+            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, False))
+            assert (await sidecar.discovery.next_request()).message.start_line.startswith(
+                "GET /discovery/hosts?after=2&"
+            )
 
     run(test())
 
@@ -727,14 +733,18 @@
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             stays, goes = sidecar.endpoints
-            rows = [row("s-0", stays.address)] if reset else [row("s-1", goes.address, "draining")]
-            (await sidecar.discovery.next()).reply(200, listing(2, reset, *rows))
-            await sidecar.discovery.next()
+            rows = (
+                [instance_entry("s-0", stays.address)]
+                if reset
+                else [instance_entry("s-1", goes.address, "draining")]
+            )
+            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, reset, *rows))
+            await sidecar.discovery.next_request()
             for _ in range(8):
                 client = await sidecar.client()
                 client.send()
-                (await stays.next()).reply()
-                assert (await client.answer()).status == 200
+                (await stays.next_request()).reply()
+                assert (await client.read_answer()).status == 200
             assert goes.connections == 0
 
     run(test())
@@ -746,12 +756,12 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
-            await client.answer()
+            (await sidecar.endpoints[0].next_request()).reply()
+            await client.read_answer()
             begun = time.monotonic()
-            rows = [] if reset else [row("s-0", sidecar.endpoints[0].address, "gone")]
-            (await sidecar.discovery.next()).reply(200, listing(2, reset, *rows))
-            assert await sidecar.endpoints[0].ends.get() == 0
+            rows = [] if reset else [instance_entry("s-0", sidecar.endpoints[0].address, "gone")]
+            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, reset, *rows))
+            assert await sidecar.endpoints[0].disconnects.get() == 0
             assert time.monotonic() - begun < 2.0  # long before it would have been closed as idle
 
     run(test())
@@ -761,24 +771,26 @@
     async def test() -> None:
         async with Sidecar() as sidecar:
             caller = Answers()
-            sidecar.host.take(direct(caller))
-            listed = read_listing(listing(2, False, row("s-0", "127.0.0.1:1", "draining")))
+            sidecar.host.accept_request(direct(caller))
+            listed = parse_endpoint_list(
+                discovery_response(2, False, instance_entry("s-0", "127.0.0.1:1", "draining"))
+            )
             sidecar.host.on_list(ListForm.DELTA, listed.entries)
             assert await caller.all.get() == 503
-            assert sidecar.endpoints[0].asked.empty()
+            assert sidecar.endpoints[0].requests.empty()
 
     run(test())
 
 
 def test_start_of_an_endpoint_is_told_on_the_monotonic_clock() -> None:
     started_ms = time.time_ns() // 1_000_000 - 2000
-    document = listing(1, True, row("s-0", "127.0.0.1:80", started_ms=started_ms))
-    first, second = (read_listing(document).entries[0].endpoint for _ in range(2))
+    document = discovery_response(1, True, instance_entry("s-0", "127.0.0.1:80", started_ms=started_ms))
+    first, second = (parse_endpoint_list(document).entries[0].endpoint for _ in range(2))
     assert first.launched_us == second.launched_us  # a change would look like another restart
     assert abs(now_us() - first.launched_us - 2_000_000) < 1_000_000
     assert first.readiness is Readiness.READY
-    long_ago = listing(1, True, row("s-0", "127.0.0.1:80"))
-    assert read_listing(long_ago).entries[0].endpoint.launched_us == 0
+    long_ago = discovery_response(1, True, instance_entry("s-0", "127.0.0.1:80"))
+    assert parse_endpoint_list(long_ago).entries[0].endpoint.launched_us == 0
 
 
 def test_alarms_never_ring_early() -> None:
@@ -794,8 +806,8 @@
 
 def test_lag_of_the_loop_is_logged(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
-        monkeypatch.setattr(program, "LAG_EVERY_S", 0.01)
-        monkeypatch.setattr(program, "LAG_LOG_S", 0.02)
+        monkeypatch.setattr(program, "LAG_SAMPLE_INTERVAL_S", 0.01)
+        monkeypatch.setattr(program, "LAG_LOG_INTERVAL_S", 0.02)
         watch = asyncio.create_task(program.watch_lag())
         await asyncio.sleep(0)
         time.sleep(0.1)  # what a slow handler does to all requests
@@ -814,13 +826,13 @@
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
-            (await sidecar.endpoints[0].next()).reply()
-            assert (await client.answer()).status == 200
+            (await sidecar.endpoints[0].next_request()).reply()
+            assert (await client.read_answer()).status == 200
             client.send()
-            (await sidecar.endpoints[0].next()).reset()
-            assert (await client.answer()).status == 502
-            monkeypatch.setattr(upstream, "TALLY_EVERY_S", 0.01)
-            report = asyncio.create_task(sidecar.host.upstream.report())
+            (await sidecar.endpoints[0].next_request()).reset()
+            assert (await client.read_answer()).status == 502
+            monkeypatch.setattr(upstream, "OUTCOME_LOG_INTERVAL_S", 0.01)
+            report = asyncio.create_task(sidecar.host.upstream.log_outcomes())
             while not logs:
                 await asyncio.sleep(0.01)
             report.cancel()
@@ -834,7 +846,7 @@
 
 def test_log_is_bounded_lines_of_json_that_tell_what_was_dropped() -> None:
     second = iter([7.0] * 30 + [8.0])
-    bounded = Bounded(20, lambda: next(second))
+    bounded = RateLimiter(20, lambda: next(second))
     stream = io.StringIO()
     try:
         configure({"name": "n0", "tier": "one"}, Form.JSON, stream=stream)
@@ -859,16 +871,16 @@
 
     async def test() -> None:
         async with Sidecar() as sidecar:
-            await sidecar.discovery.next()
+            await sidecar.discovery.next_request()
             gc.collect()
             before = alive()
             for _ in range(3):
                 client = await sidecar.client()
                 client.send()
-                asked = await sidecar.endpoints[0].next()
+                asked = await sidecar.endpoints[0].next_request()
                 assert alive() >= before + 3  # the caller's connection, its request and the endpoint's
                 asked.reply(200, b"done", "Connection: close")
-                assert (await client.answer()).status == 200
+                assert (await client.read_answer()).status == 200
                 client.writer.close()
             while alive() > before:
                 await asyncio.sleep(0.01)
@@ -884,7 +896,7 @@
     """Seen in a rolling restart: callers turned away at once had no other sidecar, and a third failed."""
 
     async def test() -> None:
-        monkeypatch.setattr(program, "AFTER_LONGEST_S", 1000.0)
+        monkeypatch.setattr(program, "DRAIN_MARGIN_S", 1000.0)
         async with Sidecar() as sidecar:
             held = await sidecar.client()
             assert await ready(held) == 200
@@ -893,8 +905,8 @@
                 pass
             for _ in range(2):
                 held.send()
-                (await sidecar.endpoints[0].next()).reply()
-                answer = await held.answer()
+                (await sidecar.endpoints[0].next_request()).reply()
+                answer = await held.read_answer()
                 assert (answer.status, "connection" in answer.headers) == (200, False)
             drain.cancel()
 
@@ -919,7 +931,7 @@
 def test_bad_configuration_ends_with_one_plain_line(
     tmp_path: Path, changes: dict[str, Any], reason: str, status: int = 2
 ) -> None:
-    process = started(tmp_path, changes)
+    process = start_process(tmp_path, changes)
     _, said = process.communicate(timeout=20)
     assert process.returncode == status
     assert len(said.splitlines()) == 1
@@ -948,11 +960,13 @@
 
 def test_sigterm_answers_what_was_taken_still_accepts_and_exits_with_0(tmp_path: Path) -> None:
     async def test() -> None:
-        fake = await Fake().start()
+        fake = await FakeServer().start()
         with socket.create_server(("127.0.0.1", 0)) as free:
             address = free.getsockname()
-        known = json.loads(listing(1, True, row("s-0", fake.address)))
-        process = started(tmp_path, {"listen": f"127.0.0.1:{address[1]}", "settings": SETUP, "known": known})
+        known = json.loads(discovery_response(1, True, instance_entry("s-0", fake.address)))
+        process = start_process(
+            tmp_path, {"listen": f"127.0.0.1:{address[1]}", "settings": SETUP, "known": known}
+        )
         try:
             assert process.stderr is not None
             while '"serves"' not in await asyncio.to_thread(process.stderr.readline):
@@ -960,14 +974,14 @@
             idle, busy = [Client(*await asyncio.open_connection(*address)) for _ in range(2)]
             assert await ready(idle) == 200
             busy.send()
-            asked = await fake.next()
+            asked = await fake.next_request()
             process.send_signal(signal.SIGTERM)
             late = Client(*await asyncio.open_connection(*address))
             late.send()
-            (await fake.next()).reply()
-            assert (await late.answer()).status == 200
+            (await fake.next_request()).reply()
+            assert (await late.read_answer()).status == 200
             asked.reply()
-            assert (await busy.answer()).status == 200
+            assert (await busy.read_answer()).status == 200
             for client in (idle, busy, late):
                 assert await client.reader.read() == b""
             assert await asyncio.to_thread(process.wait) == 0
@@ -982,15 +996,17 @@
     """TERMS: a reload names another discovery; a sidecar that ends on the signal has crashed."""
 
     async def test() -> None:
-        before, after = await Fake().start(), await Fake().start()
+        before, after = await FakeServer().start(), await FakeServer().start()
         changes = {"settings": SETUP, "discovery": before.address}
-        process = started(tmp_path, changes)
+        process = start_process(tmp_path, changes)
         try:
             assert process.stderr is not None
-            (await before.next()).reply(200, listing(40, True, row("s-0", "127.0.0.1:1")))
+            (await before.next_request()).reply(
+                200, discovery_response(40, True, instance_entry("s-0", "127.0.0.1:1"))
+            )
             while '"serves"' not in await asyncio.to_thread(process.stderr.readline):
                 pass
-            asked = await before.next()
+            asked = await before.next_request()
             path = tmp_path / "config.json"
             whole = path.read_text(encoding="utf-8")
             path.write_text("{", encoding="utf-8")
@@ -998,12 +1014,12 @@
             while "was not reloaded" not in await asyncio.to_thread(process.stderr.readline):
                 pass
             path.write_text(whole.replace(before.address, after.address), encoding="utf-8")
-            asked.reply(200, listing(41, True, row("s-0", "127.0.0.1:1")))
-            await before.next()
+            asked.reply(200, discovery_response(41, True, instance_entry("s-0", "127.0.0.1:1")))
+            await before.next_request()
             process.send_signal(signal.SIGHUP)
-            moved = await after.next()
-            assert moved.message.first.startswith("GET /discovery/hosts?after=41&")
-            assert await before.ends.get() == 0
+            moved = await after.next_request()
+            assert moved.message.start_line.startswith("GET /discovery/hosts?after=41&")
+            assert await before.disconnects.get() == 0
             assert process.poll() is None
         finally:
             process.kill()
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -31,16 +31,26 @@
 from eiderhub.settings import settings_from
 from eiderhub.sidecar import clock
 from eiderhub.sidecar.config import Config
-from eiderhub.sidecar.discovery import Listed, read_listing
+from eiderhub.sidecar.discovery import ListedEndpoint, parse_endpoint_list
 from eiderhub.sidecar.host import Host, Request
-from eiderhub.sidecar.management import OWN_DESCRIPTORS
-from eiderhub.sidecar.process import UPSTREAM_SHARE
+from eiderhub.sidecar.management import RESERVED_DESCRIPTORS
+from eiderhub.sidecar.process import UPSTREAM_SOCKETS_FRACTION
 from eiderhub.sidecar.upstream import Attempt, Connection
 from tests import support
-from tests.sidecar_support import SETUP, Fake, Sidecar, first_asked, listing, row, run, settled, started
+from tests.sidecar_support import (
+    SETUP,
+    FakeServer,
+    Sidecar,
+    discovery_response,
+    instance_entry,
+    next_request_at_any,
+    run,
+    start_process,
+    wait_until_settled,
+)
 from tests.support import MS, S
-from tests.test_crossings import Raw, connected, request, until
-from tests.test_shutdown import Process, answer_all, process
+from tests.test_races import RawPeer, accepted_callers, http_request, wait_until
+from tests.test_shutdown import SidecarProcess, answer_all, running_process
 
 # --- 1: a change counts as told 6 s after discovery had it and could be reached ---
 
@@ -146,8 +156,8 @@
         if self.down or (self.trouble is Trouble.SILENT and self._swallowed(wire)):
             return
         changed = self.time() >= self.change_s
-        rows = [row("s-1", "127.0.0.1:81", "draining")] if changed and after < 2 else []
-        body = listing(2 if changed else 1, False, *rows)
+        rows = [instance_entry("s-1", "127.0.0.1:81", "draining")] if changed and after < 2 else []
+        body = discovery_response(2 if changed else 1, False, *rows)
         wire.answer(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def _swallowed(self, wire: Wire) -> bool:
@@ -194,14 +204,14 @@
 def sidecar_at(machine: Machine, mode: str, ask_every_us: int, seed: int) -> Host:
     """A sidecar whose clock and discovery are the machine's; it has a list, and is still to start."""
     setup = {**SETUP, "Discovery": mode, "Rules": {"AskEveryUs": ask_every_us} if mode == "ask" else {}}
-    rows = [row(f"s-{i}", f"127.0.0.1:{80 + i}") for i in range(2)]
+    rows = [instance_entry(f"s-{i}", f"127.0.0.1:{80 + i}") for i in range(2)]
     config = Config(
         name="n0",
         listen=Address("127.0.0.1", 0),
         discovery=Address("127.0.0.1", 1),
         seed=seed,
         sockets=256,
-        known=read_listing(listing(1, True, *rows)),
+        known=parse_endpoint_list(discovery_response(1, True, *rows)),
         settings=settings_from(setup),
     )
     return Host(config, 100, 128 << 20)
@@ -233,14 +243,14 @@
     host = sidecar_at(machine, mode, ask_every_us, seed)
     told = asyncio.Event()
     watcher = cast(Any, host.watcher)
-    deliver = watcher.deliver
+    deliver = watcher.on_list
 
-    def delivered(form: ListForm, entries: list[Listed]) -> None:
+    def delivered(form: ListForm, entries: list[ListedEndpoint]) -> None:
         deliver(form, entries)
         if entries:
             told.set()
 
-    watcher.deliver = delivered
+    watcher.on_list = delivered
     host.start()
     await told.wait()
     assert not host.upstream.pools["s-1"].ready
@@ -314,14 +324,14 @@
         return sock.connect_ex(address) != 0
 
 
-async def restarted(tmp_path: Path, discovery: Fake, endpoint: Fake) -> Process:
+async def restarted(tmp_path: Path, discovery: FakeServer, endpoint: FakeServer) -> SidecarProcess:
     """A process that begins with an old list; its first call to discovery has not been answered."""
     with socket.create_server(("127.0.0.1", 0)) as free:
         address = free.getsockname()
-    known = json.loads(listing(1, True, row("s-0", endpoint.address)))
+    known = json.loads(discovery_response(1, True, instance_entry("s-0", endpoint.address)))
     changes = {"listen": f"127.0.0.1:{address[1]}", "settings": SETUP, "known": known}
-    popen = started(tmp_path, {**changes, "discovery": discovery.address})
-    return Process(popen, address, tmp_path / "config.json")
+    popen = start_process(tmp_path, {**changes, "discovery": discovery.address})
+    return SidecarProcess(popen, address, tmp_path / "config.json")
 
 
 @pytest.mark.parametrize("found", ["a list", "refused for good", "told to end"])
@@ -331,35 +341,37 @@
     """What changed since its list was written counts as told soon after the start, and calls are refused."""
 
     async def test() -> None:
-        discovery, endpoint = await Fake().start(), await Fake().start()
+        discovery, endpoint = await FakeServer().start(), await FakeServer().start()
         sidecar = await restarted(tmp_path, discovery, endpoint)
         try:
-            first = await discovery.next()
-            assert "wait_ms=0" in first.message.first  # it asks for what there is, not for news
+            first = await discovery.next_request()
+            assert "wait_ms=0" in first.message.start_line  # it asks for what there is, not for news
             assert refusing(sidecar.address)
             first.reply(503, b"")
-            second = await discovery.next()
+            second = await discovery.next_request()
             assert refusing(sidecar.address)
             if found == "told to end":
                 sidecar.signal(signal.SIGTERM)
                 assert await sidecar.exit() == 0
                 return
             if found == "a list":
-                second.reply(200, listing(2, False, row("s-0", endpoint.address, "draining")))
-                await sidecar.said('"serves"')
+                second.reply(
+                    200, discovery_response(2, False, instance_entry("s-0", endpoint.address, "draining"))
+                )
+                await sidecar.wait_for_log('"serves"')
             else:
                 second.reply(503, b"")
                 refusals = answer_all(discovery, 503)
-                await sidecar.said('"serves"')
+                await sidecar.wait_for_log('"serves"')
                 refusals.cancel()
             client = await sidecar.client()
             client.send()
             if found == "a list":
-                assert (await client.answer()).status == 503  # the one endpoint drains: nothing is sent
+                assert (await client.read_answer()).status == 503  # the one endpoint drains: nothing is sent
                 assert endpoint.connections == 0
             else:
-                (await endpoint.next()).reply()
-                assert (await client.answer()).status == 200
+                (await endpoint.next_request()).reply()
+                assert (await client.read_answer()).status == 200
         finally:
             sidecar.popen.kill()
             sidecar.popen.communicate()
@@ -369,12 +381,12 @@
 
 def test_process_that_cannot_reach_discovery_serves_at_once(tmp_path: Path) -> None:
     async def test() -> None:
-        discovery, endpoint = await Fake().start(), await Fake().start()
+        discovery, endpoint = await FakeServer().start(), await FakeServer().start()
         sidecar = await restarted(tmp_path, discovery, endpoint)
         try:
-            (await discovery.next()).reset()
-            await sidecar.said('"serves"')
-            assert discovery.asked.empty()  # one call, and it did not wait for a second
+            (await discovery.next_request()).reset()
+            await sidecar.wait_for_log('"serves"')
+            assert discovery.requests.empty()  # one call, and it did not wait for a second
         finally:
             sidecar.popen.kill()
             sidecar.popen.communicate()
@@ -393,11 +405,11 @@
     pool = sidecar.host.balancer.placement["look"].pools[0]
     while not pool.limit.median or not all(each.idle for each in sidecar.host.upstream.pools.values()):
         client.send("look")
-        (await first_asked(sidecar)).reply()
-        assert (await client.answer()).status == 200
+        (await next_request_at_any(sidecar)).reply()
+        assert (await client.read_answer()).status == 200
     client.writer.close()
-    await until(lambda: not sidecar.server.callers)
-    await settled()
+    await wait_until(lambda: not sidecar.server.callers)
+    await wait_until_settled()
 
 
 @pytest.mark.parametrize("loop", ["in time", "held up"])
@@ -415,19 +427,19 @@
             if what in ("further attempt", "second copy"):
                 await serve_some(sidecar)
 
-            stays: list[Raw] = []
+            stays: list[RawPeer] = []
             while True:
-                leaver = Raw.of(sidecar)
-                (*_, caller) = await connected(sidecar, len(stays) + 1)
+                leaver = RawPeer.connect(sidecar)
+                (*_, caller) = await accepted_callers(sidecar, len(stays) + 1)
                 if what == "connection that comes up":
                     break
-                leaver.send(request(len(stays), "look"))
-                await until(lambda caller=caller: caller.current is not None)
+                leaver.send(http_request(len(stays), "look"))
+                await wait_until(lambda caller=caller: caller.current is not None)
                 if what != "held call" or balancer.queue.count:
                     break
                 stays.append(leaver)  # more than the one endpoint may have
             sent: list[bytes] = []
-            data = host._data
+            data = host._build_request
 
             def leaves(request: Request, attempt: Attempt, now: int) -> bytes | None:
                 found = data(request, attempt, now)
@@ -435,7 +447,7 @@
                     sent.append(request.id)
                 return found
 
-            monkeypatch.setattr(host, "_data", leaves)
+            monkeypatch.setattr(host, "_build_request", leaves)
             if what == "connection that comes up":
                 order = balancer.order
 
@@ -446,18 +458,20 @@
                         time.sleep(LATE_S)
 
                 monkeypatch.setattr(balancer, "order", ordered)
-                leaver.send(request(0, "look") + (request(99, "look") if reading == "paused" else b""))
-                await until(lambda: host.serial)
+                leaver.send(
+                    http_request(0, "look") + (http_request(99, "look") if reading == "paused" else b"")
+                )
+                await wait_until(lambda: host.last_serial)
             else:
                 if reading == "paused":
-                    leaver.send(request(99, "look"))
-                    await until(lambda: caller.waiting)
-                asked = await first_asked(sidecar)
+                    leaver.send(http_request(99, "look"))
+                    await wait_until(lambda: caller.pipelined)
+                asked = await next_request_at_any(sidecar)
                 at = asked.writer.get_extra_info("socket").dup()  # what is done to it happens at once
                 call = caller.current.call if caller.current is not None else ""
                 if loop == "in time":
                     leaver.sock.close()
-                    await until(lambda: reading == "paused" or caller not in sidecar.server.callers)
+                    await wait_until(lambda: reading == "paused" or caller not in sidecar.server.callers)
                 if what == "held call":
                     assert loop == "in time" or balancer.calls[call].held_until
                     at.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -469,9 +483,9 @@
                     leaver.sock.close()
                     time.sleep(LATE_S)
                     if what == "second copy":  # timers go before what is to be read
-                        host._tell(balancer.wake, SWEEP_TIMER)
-            await until(lambda: caller not in sidecar.server.callers)
-            await until(lambda: all(each.caller is not caller for each in host.requests.values()))
+                        host._notify_balancer(balancer.wake, SWEEP_TIMER)
+            await wait_until(lambda: caller not in sidecar.server.callers)
+            await wait_until(lambda: all(each.caller is not caller for each in host.requests.values()))
             assert sent == []
             for other in stays:
                 other.sock.close()
@@ -609,7 +623,7 @@
 DESCRIPTORS = 256
 
 
-def held(sidecar: Process) -> int:
+def held(sidecar: SidecarProcess) -> int:
     return len(list(Path(f"/proc/{sidecar.popen.pid}/fd").iterdir()))
 
 
@@ -621,33 +635,39 @@
     """The process has just as many as it was told of; those for endpoints may be in use as well."""
 
     async def test() -> None:
-        fake, leaving = await Fake().start(), await Fake().start()
+        fake, leaving = await FakeServer().start(), await FakeServer().start()
         with socket.create_server(("127.0.0.1", 0)) as free:
             port = free.getsockname()[1]
         allowed = {**SETUP["Allowed"], "ConnIdleUs": 600_000_000}
         settings = {**SETUP, "Discovery": mode, "Allowed": allowed}
-        rows = [row(f"s-{i}", fake.address) for i in range(40)] + [row("leaving", leaving.address)]
+        rows = [instance_entry(f"s-{i}", fake.address) for i in range(40)] + [
+            instance_entry("leaving", leaving.address)
+        ]
         limits = {"cores": 1.0, "memory_mb": 128, "sockets": DESCRIPTORS}
         changes = {"settings": settings, "discovery": f"127.0.0.1:{port}", "limits": limits}
-        async with process(tmp_path, *rows, **changes) as sidecar:
+        async with running_process(tmp_path, *rows, **changes) as sidecar:
             resource.prlimit(sidecar.popen.pid, resource.RLIMIT_NOFILE, (DESCRIPTORS, DESCRIPTORS))
             clients = []
             if connections != "none":
-                most = int(UPSTREAM_SHARE * (DESCRIPTORS - OWN_DESCRIPTORS))
+                most = int(UPSTREAM_SOCKETS_FRACTION * (DESCRIPTORS - RESERVED_DESCRIPTORS))
                 clients = [await sidecar.client() for _ in range(most + 10)]
                 for client in clients:
                     client.send("look", deadline_ms=60_000)
-                await until(lambda: fake.connections + leaving.connections >= most)
+                await wait_until(lambda: fake.connections + leaving.connections >= most)
             answering = [answer_all(fake), answer_all(leaving)]
             clients += [await sidecar.client() for _ in range(DESCRIPTORS + 50)]
             assert held(sidecar) < DESCRIPTORS  # one is left
-            finding = await Fake().start(port)
-            (await finding.next()).reply(200, listing(2, False, row("leaving", leaving.address, "draining")))
-            assert (await finding.next()).message.first.startswith("GET /discovery/hosts?after=2&")
+            finding = await FakeServer().start(port)
+            (await finding.next_request()).reply(
+                200, discovery_response(2, False, instance_entry("leaving", leaving.address, "draining"))
+            )
+            assert (await finding.next_request()).message.start_line.startswith(
+                "GET /discovery/hosts?after=2&"
+            )
             before = leaving.connections
             for _ in range(12):
                 client = await sidecar.client()
-                assert (await client.ask("look")).status == 200
+                assert (await client.send_and_read("look")).status == 200
                 client.writer.close()
             assert leaving.connections == before
             for client in clients:
@@ -668,17 +688,17 @@
     """Ready as the platform sees it: `/up` says 200; from a list of some hundred, with discovery silent."""
 
     async def test() -> None:
-        finding = await Fake().start()  # it takes connections and says nothing
-        rows = [row(f"s-{i}", f"127.0.0.1:{10_000 + i}") for i in range(200)]
+        finding = await FakeServer().start()  # it takes connections and says nothing
+        rows = [instance_entry(f"s-{i}", f"127.0.0.1:{10_000 + i}") for i in range(200)]
         begun = time.monotonic()
 
         async def ready(number: int) -> float:
             place = tmp_path / str(number)
             place.mkdir()
-            async with process(place, *rows, discovery=finding.address) as sidecar:
+            async with running_process(place, *rows, discovery=finding.address) as sidecar:
                 client = await sidecar.client()
                 client.writer.write(b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n")
-                assert (await client.answer()).status == 200
+                assert (await client.read_answer()).status == 200
                 took_s = time.monotonic() - begun
                 client.writer.close()
             return took_s
--- a/tests/test_tier_settings.py
+++ b/tests/test_tier_settings.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from eiderhub.documents import DocumentError
 from eiderhub.programs.settings import ENVIRONMENT_VARIABLE, load
-from eiderhub.reading import DocumentError
 
 VALID_SETTINGS = {
     "node_name": "edge-z-1", "ip": "10.0.0.1", "zone": "z", "region": "r", "zones.z": "r", "zones.y": "r",
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -11,8 +11,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from eiderhub.documents import DocumentError
 from eiderhub.interface import Readiness
-from eiderhub.reading import DocumentError
 from eiderhub.world import scenario as scenarios
 from eiderhub.world.clients import End, Errand, arrivals, patience_us, retry_us
 from eiderhub.world.day import Day, S, draw
@@ -389,4 +389,4 @@
     path.write_text(text, encoding="utf-8")
     with pytest.raises(DocumentError) as caught:
         scenarios.load(str(path))
-    assert caught.value.lines() == [f"{path}: {fault}" for fault in faults]
+    assert caught.value.fault_lines() == [f"{path}: {fault}" for fault in faults]
--- a/tests/test_zone_orders.py
+++ b/tests/test_zone_orders.py
@@ -17,7 +17,7 @@
 from eiderhub.address import Address
 from eiderhub.emulator.processes import Process, Usage, claim, environment
 from eiderhub.emulator.wires import How, Wire
-from eiderhub.http1 import Exchange, Pool, ServerConnection, Unanswered, fetch
+from eiderhub.http1 import ConnectionPool, Exchange, NoReplyError, ServerConnection, fetch
 from eiderhub.registry import calls
 from eiderhub.registry.core import Core, Decision
 from eiderhub.registry.records import Entry, Image, Order, Record
@@ -115,7 +115,7 @@
 
     async def start(self) -> Address:
         def came(exchange: Exchange) -> None:
-            exchange.answer(200, self.name.encode())
+            exchange.respond(200, self.name.encode())
 
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -142,7 +142,7 @@
         self._config.write_text(head + EXAMPLE.read_text(encoding="utf-8"), encoding="utf-8")
         told = {"GW_CONFIG": self._config, "GW_LISTEN": listen, "GW_MANAGEMENT": management}
         self._environ = environment() | {name: str(value) for name, value in told.items()}
-        self._pool = Pool(listen.host, listen.port)
+        self._pool = ConnectionPool(listen.host, listen.port)
         self.process: Process | None = None
 
     def start(self) -> None:
@@ -162,7 +162,7 @@
         head += f"Req-Deadline-Ms: 2000\r\nIdempotency-Key: {key}\r\nContent-Length: 1\r\n\r\nx"
         try:
             reply = await fetch(self._pool, head.encode(), 3.0)
-        except Unanswered:
+        except NoReplyError:
             return ""
         return reply.body.decode() if reply.status == 200 else ""
 
