--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -88,7 +88,7 @@
 
 # --- endpoints ---
 BUSY_USAGE, USAGE_MARGIN = 0.5, 0.125  # above it, a farther endpoint must be emptier by the margin
-SENT_WORK_DECAY = 0.95  # kept per refill window: a memory of ten seconds
+SENT_WORK_DECAY = 0.95  # retained per refill window: a memory of ten seconds
 MIN_SPARE_SHARE = 0.1  # share of an even load that other classes keep at endpoints a constrained class fills
 SUBSET_MIN, SUBSET_PER_CALL = 5, 2.0  # subset size: minimum, and per call of the cap; small ones learn faster
 DRAWS_PER_CANDIDATE = 4
@@ -621,9 +621,9 @@
             self.watch_backoff = WATCH_BACKOFF_US
         if form is not ListForm.DELTA:
             listed = {e.id for e in entries}
-            for known in self.endpoints.values():
-                if known.id not in listed:
-                    known.ready = False
+            for endpoint in self.endpoints.values():
+                if endpoint.id not in listed:
+                    endpoint.ready = False
         for entry in entries:
             if entry.id in self.endpoints:
                 self.endpoints[entry.id].update(entry)
@@ -719,19 +719,21 @@
 
     def hosts_down(self, now_us: int) -> list[str]:
         """Ids of endpoints that get no calls or single trials: draining, backed off or ejected."""
-        known = self.endpoints.values()
-        out = [e for e in known if not e.ready or e.on_trial or now_us < max(e.backoff_end, e.ejected_until)]
-        return [e.id for e in out]
+        endpoints = self.endpoints.values()
+        down = [
+            e for e in endpoints if not e.ready or e.on_trial or now_us < max(e.backoff_end, e.ejected_until)
+        ]
+        return [e.id for e in down]
 
     def _limits(self) -> list[ConcurrencyLimit]:
         return [pool.limit for placement in self.placements for pool in placement.pools]
 
     def learned_state(self, now_us: int) -> Memory:
         """State for a successor process; changes nothing."""
-        known = [e for e in self.endpoints.values() if e.ready and (e.on_trial or e.slowness or e.failing)]
-        ejected = [(e.ejected_until - now_us or -1) if e.on_trial else 0 for e in known]
+        learned = [e for e in self.endpoints.values() if e.ready and (e.on_trial or e.slowness or e.failing)]
+        ejected = [(e.ejected_until - now_us or -1) if e.on_trial else 0 for e in learned]
         pools = [PoolMemory(limit.size, limit.cap, limit.baseline, limit.median) for limit in self._limits()]
-        pairs = zip(known, ejected, strict=True)
+        pairs = zip(learned, ejected, strict=True)
         return Memory(
             pools, [EndpointMemory(e.id, e.launched_at, e.failing, e.slowness, left) for e, left in pairs]
         )
@@ -1158,7 +1160,7 @@
     def _log_state(self, now: int) -> None:
         """Log why calls were refused, with queue, pools and stress."""
         self.next_state_log = now + STATE_LOG_INTERVAL_US
-        reasons = ", ".join(f"{why} {n}" for why, n in sorted(self.given_up.items())) or "none"
+        reasons = ", ".join(f"{reason} {n}" for reason, n in sorted(self.given_up.items())) or "none"
         self.given_up.clear()
         pools = "; ".join(
             f"{name} {len(pool.subset.members)} endpoints, cap {pool.limit.cap:.1f}, "
@@ -1167,8 +1169,8 @@
             for name, pool in zip(("near", "far", "farther"), placement.pools, strict=True)
             if pool.subset.members
         )
-        figures = {"ratio": round(self.ratio.value, 2), "scarcity": round(self.scarcity, 2)}
-        self.actions.write_log("state", given_up=reasons, held=self.queue.count, pools=pools, **figures)
+        ratios = {"ratio": round(self.ratio.value, 2), "scarcity": round(self.scarcity, 2)}
+        self.actions.write_log("state", given_up=reasons, held=self.queue.count, pools=pools, **ratios)
 
     def expired(self, now_us: int, call: str) -> None:
         found = self.calls.get(call)
--- a/eiderhub/batch/dispatch.py
+++ b/eiderhub/batch/dispatch.py
@@ -1,9 +1,9 @@
 """Assigns items to sidecars, and reconciles the job table with the items that the sidecars report.
 
-No I/O: callers pass the time and messages, and send what is put in `outbox`. Every check is repeated: a
-disconnected sidecar is tracked until its items have been reclaimed, and each report of a sidecar is compared
-with the table. So within the bounds of docs/control-guarantees.md each item of a committed job is held by a
-sidecar that reports it, or waits to be assigned.
+Performs no I/O: callers pass the time and messages, and send what is put in `outbox`. Every check is
+repeated: a disconnected sidecar is tracked until its items have been reclaimed, and each report of a sidecar
+is compared with the table. So within the bounds of docs/control-guarantees.md each item of a committed job is
+held by a sidecar that reports it, or waits to be assigned.
 """
 
 from __future__ import annotations
@@ -134,8 +134,10 @@
     def _reconcile(self, session: WorkerSession, received: int, announced: list[ItemKey]) -> None:
         """Make the table and the sidecar agree, except for orders that it had not yet received."""
         held = set(announced)
-        read = [item for item in self.table.running_at(session.node) if item.order_number <= received]
-        self._reclaim(session.node, ReclaimReason.NOT_HELD, [item for item in read if item.key not in held])
+        expected = [item for item in self.table.running_at(session.node) if item.order_number <= received]
+        self._reclaim(
+            session.node, ReclaimReason.NOT_HELD, [item for item in expected if item.key not in held]
+        )
         for key in announced:
             if not self.table.confirm_running(session.node, key):
                 self._send(session, CancelItem(key))
@@ -149,7 +151,7 @@
         for node in self.table.running_nodes():
             if node not in self._sessions:
                 self._disconnected.setdefault(node, now + RECONNECT_GRACE_S)
-        for node in [node for node, until in self._disconnected.items() if now >= until]:
+        for node in [node for node, reclaim_at in self._disconnected.items() if now >= reclaim_at]:
             del self._disconnected[node]
             self._reclaim(node, ReclaimReason.DISCONNECTED, self.table.running_at(node))
         if now >= self._next_probe_at:
--- a/eiderhub/batch/item_tracker.py
+++ b/eiderhub/batch/item_tracker.py
@@ -1,8 +1,8 @@
 """The items that a sidecar holds for the storage primary, and their outcomes that are still to be reported.
 
-No I/O: callers pass the time and events, and send the returned messages. An item is removed only once its
-outcome has been sent in a session that the primary has accepted. An outcome that arises without a session, or
-while one is opening, is sent as soon as the session is accepted.
+Performs no I/O: callers pass the time and events, and send the returned messages. An item is removed only
+once its outcome has been sent in a session that the primary has accepted. An outcome that arises without a
+session, or while one is opening, is sent as soon as the session is accepted.
 """
 
 from __future__ import annotations
--- a/eiderhub/batch/job_order.py
+++ b/eiderhub/batch/job_order.py
@@ -1,9 +1,11 @@
-"""The order in which jobs get their items assigned. No I/O; one `JobOrder` serves one assignment round.
+"""The order in which jobs get their items assigned.
 
-Jobs that can still meet their deadline come first, by earliest deadline; late jobs follow. Danger: if late
-jobs ran first, all jobs after them would become late too. That order alone would starve a late job for as
-long as the others fill the windows. So each job without recent progress first gets one item assigned ahead of
-all others, the longest idle first; late jobs may use only a part of all starts in this way.
+Performs no I/O; one `JobOrder` serves one assignment round.
+
+Jobs that can still meet their deadline come first, by earliest deadline; late jobs follow: if late jobs ran
+first, all jobs after them would become late too. That order alone would starve a late job for as long as the
+others fill the windows. So each job without recent progress first gets one item assigned ahead of all others,
+the longest idle first; late jobs may use only a part of all starts in this way.
 """
 
 from __future__ import annotations
@@ -29,7 +31,7 @@
 
 
 class LateStartBudget:
-    """How many items of idle late jobs may be assigned ahead of jobs in time; kept across rounds."""
+    """How many items of idle late jobs may be assigned ahead of jobs in time; retained across rounds."""
 
     def __init__(self) -> None:
         self._credit = MAX_LATE_STARTS
--- a/eiderhub/batch/jobs.py
+++ b/eiderhub/batch/jobs.py
@@ -1,8 +1,8 @@
 """The job table of the storage group's primary: jobs, items, results and their positions, and token quotas.
 
-No I/O except reads of the store: callers pass the time of day and events, and apply the returned writes.
-Bodies and result texts stay in the store; memory holds what decisions need. The position of a result is
-assigned when it is written and never changes; readers see the result once the write is committed.
+Performs no I/O except reads of the store: callers pass the time of day and events, and apply the returned
+writes. Bodies and result texts stay in the store; memory holds what decisions need. The position of a result
+is assigned when it is written and never changes; readers see the result once the write is committed.
 """
 
 from __future__ import annotations
@@ -212,9 +212,9 @@
     def _set_state(self, item: Item, state: ItemState, node: str = "", order_number: int = 0) -> None:
         """Change the state and node of an item; the only place that does."""
         if item.node:
-            held = self._running[item.node]
-            del held[item.key]
-            if not held:
+            running = self._running[item.node]
+            del running[item.key]
+            if not running:
                 del self._running[item.node]
         item.job.waiting_count += (state is ItemState.WAITING) - (item.state is ItemState.WAITING)
         item.state, item.node, item.order_number = state, node, order_number
@@ -317,9 +317,9 @@
         """
         for job in self.jobs.values():
             record = job.record
-            kept_s = max(status_ttl_s, record.retention_s) + PURGE_SLACK_S
+            retention_s = max(status_ttl_s, record.retention_s) + PURGE_SLACK_S
             finished = record.ended or job.committed_positions == len(job.items)
-            if finished and wall_time > record.accepted_at + kept_s:
+            if finished and wall_time > record.accepted_at + retention_s:
                 self.jobs.pop(record.id)
                 self._submitted_items.pop(record.id, None)
                 results = [_result_key(record.id, position) for position in range(job.assigned_positions)]
@@ -402,7 +402,7 @@
         """Open jobs in the order in which their items are to be run.
 
         First those that can still finish an item in time if it takes `mean_run_s`, by earliest deadline; then
-        the others. Danger: if late jobs ran first, all jobs after them would become late too.
+        the others: if late jobs ran first, all jobs after them would become late too.
         """
         return sorted(self.open_jobs(), key=lambda job: (job.due_at - mean_run_s < wall_time, job.due_at))
 
@@ -441,7 +441,7 @@
         return True
 
     def requeue(self, item: Item) -> None:
-        """Put the item back into the waiting state."""
+        """Return the item to the waiting state."""
         self._set_state(item, ItemState.WAITING)
 
     def item_returned(self, node: str, key: ItemKey, errors: int, progress: Progress | None) -> Item | None:
--- a/eiderhub/batch/progress.py
+++ b/eiderhub/batch/progress.py
@@ -1,6 +1,6 @@
 """Tracks how long items and jobs have made no progress, for logs and metrics on jobs that do not finish.
 
-No I/O; reads the job table and never changes it.
+Performs no I/O; reads the job table and never changes it.
 """
 
 from __future__ import annotations
@@ -73,10 +73,10 @@
                     waiting += 1
                     out_of_attempts += item.errors >= job.record.max_attempts
                 elif item.state is ItemState.RUNNING:
-                    known = self._running.get(item.key)
-                    if known is None or known.node != item.node:
-                        known = RunningItemStatus(item.key, item.node, now)
-                    running[item.key] = known
+                    status = self._running.get(item.key)
+                    if status is None or status.node != item.node:
+                        status = RunningItemStatus(item.key, item.node, now)
+                    running[item.key] = status
         self._running, self._uncommitted, self.waiting = running, uncommitted, waiting
         self.out_of_attempts = out_of_attempts
 
@@ -84,8 +84,10 @@
         jobs: dict[str, IdleJob] = {}
         for job in table.open_jobs():
             name, progress_count = job.record.id, job.starts + job.assigned_positions
-            known = self._jobs.get(name)
-            since = known.since if known is not None and known.progress_count == progress_count else now
+            previous = self._jobs.get(name)
+            since = (
+                previous.since if previous is not None and previous.progress_count == progress_count else now
+            )
             jobs[name] = IdleJob(name, progress_count, since, wall_time > job.due_at)
         self._jobs = jobs
 
--- a/eiderhub/batch/scheduler.py
+++ b/eiderhub/batch/scheduler.py
@@ -1,8 +1,8 @@
 """Chooses the sidecar for each item, and bounds the items per sidecar and the items that are starting.
 
-No I/O; callers pass the time. The number of items that a sidecar runs is not counted here but read from the
-job table. Items that wait for their first event are bounded over all sidecars: an endpoint that reads many
-prompts at once pauses every stream that it serves.
+Performs no I/O; callers pass the time. The number of items that a sidecar runs is not counted here but read
+from the job table. Items that wait for their first event are bounded over all sidecars: an endpoint that
+reads many prompts at once pauses every stream that it serves.
 
 Free slots alone do not show whether a sidecar reaches endpoints: one that makes no progress has the most free
 slots. So sidecars are ranked by their health first (workers.py). Two rules keep an item from being passed
@@ -196,7 +196,7 @@
         self._capacity = capacity
 
     def update_load(self, now: float, calls: int) -> None:
-        """Set the number of calls, items included, that all sidecars have open at the endpoints for items."""
+        """Set the calls in flight of all sidecars to the endpoints for items, items included."""
         live = max(0.0, float(calls - self._items_at_endpoints()))
         decreased = live < self._live_calls and now - self._live_calls_at <= LOAD_VALID_S
         self._live_calls += (LIVE_DECREASE_WEIGHT if decreased else 1.0) * (live - self._live_calls)
--- a/eiderhub/batch/workers.py
+++ b/eiderhub/batch/workers.py
@@ -1,8 +1,8 @@
 """The storage primary's view of each sidecar that runs items: its concurrency window and its health.
 
-No I/O; callers pass the time. The window grows as the sidecar finishes items and shrinks when it refuses
-them. Health follows the latest evidence, an item that started there or one that was returned, and does not
-recover with time alone: any sign that endpoints answer the sidecar clears earlier failures.
+Performs no I/O; callers pass the time. The window grows as the sidecar finishes items and shrinks when it
+refuses them. Health follows the latest evidence, an item that started there or one that was returned, and
+does not recover with time alone: any sign that endpoints answer the sidecar clears earlier failures.
 """
 
 from __future__ import annotations
--- a/eiderhub/control/change_processor.py
+++ b/eiderhub/control/change_processor.py
@@ -1,7 +1,6 @@
 """Processes configuration changes on the primary: one at a time, with exactly one result each.
 
-This module does no I/O: callers pass the time, and collect results after each step of the replica. It
-guarantees:
+Performs no I/O: callers pass the time, and collect results after each step of the replica. It guarantees:
 
 * a change is acknowledged only once it is committed in the epoch of the primary that acknowledges it;
 * of two changes to the same generation only one is accepted; an accepted change that is sent again is
@@ -106,7 +105,7 @@
     # --- committed state ---
 
     def _enter_epoch(self, now: float) -> None:
-        """On a new epoch, read the state once it is settled, when all of it is committed."""
+        """On a new epoch, read the state once all of it is committed."""
         if not self._is_current() and self._replica.all_committed(now):
             self._epoch = self._replica.epoch
             self._read_newest()
@@ -170,12 +169,12 @@
         return ChangeResult(pending.caller, outcome, refusal)
 
     def _collect_results(self) -> list[ChangeResult[T]]:
-        """Results of changes that are committed, or whose fate is unknown because the epoch has ended."""
-        return [self._complete(pending, fate) for pending, fate in self._commits.take_resolved()]
+        """Results of changes that are committed, or whose outcome is unknown because the epoch has ended."""
+        return [self._complete(pending, outcome) for pending, outcome in self._commits.take_resolved()]
 
-    def _complete(self, pending: _PendingChange[T], fate: CommitOutcome) -> ChangeResult[T]:
+    def _complete(self, pending: _PendingChange[T], outcome: CommitOutcome) -> ChangeResult[T]:
         self._in_progress = None
-        if fate is not CommitOutcome.COMMITTED:
+        if outcome is not CommitOutcome.COMMITTED:
             return ChangeResult(pending.caller, ChangeOutcome.UNKNOWN)
         previous = self._newest
         self._read_newest()
--- a/eiderhub/control/configuration.py
+++ b/eiderhub/control/configuration.py
@@ -1,7 +1,7 @@
 """The operator's configuration: parsing, validation, patches, and optimistic concurrency control of changes.
 
-This module does no I/O. A configuration is stored as the JSON document that the operator sent, including
-unknown keys, because it must be returned as it was sent.
+Performs no I/O. A configuration is stored as the JSON document that the operator sent, including unknown
+keys, because it must be returned as it was sent.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 CURRENT_KEY = "config/current"
 CHANGE_DIGEST_PREFIX = "config/taken/"  # digest of the change that created a generation
 LAST_PURGED_KEY = "config/forgotten"  # the last generation whose digest was purged
-RETAINED_CHANGES = 20_000  # digests kept to recognise a change that is sent again
+RETAINED_CHANGES = 20_000  # digests retained to recognise a change that is sent again
 PURGE_BATCH = 500  # digests deleted at once
 NAMED_LISTS = ("routes", "backends", "tenants")
 MAX_GENERATION = (1 << 63) - 1
--- a/eiderhub/control/distribution.py
+++ b/eiderhub/control/distribution.py
@@ -1,7 +1,7 @@
 """Distribution of the control plane's tables: what to send to a subscriber, and how a subscriber applies it.
 
-This module does no I/O. Each table has a version that only increases at a reader. A subscriber whose version
-is recent is sent deltas since then, any other the full table. A subscriber's version is the one that it
+Performs no I/O. Each table has a version that only increases at a reader. A subscriber whose version is
+recent is sent deltas since then, any other the full table. A subscriber's version is the one that it
 acknowledged as applied.
 """
 
@@ -30,7 +30,7 @@
 
 INITIAL_VERSION = TableVersion(0, 0)
 MAX_DELTAS = 64  # a subscriber that lags by more changes is sent the full table
-MAX_DELTA_RATIO = 0.5  # deltas larger than this fraction of their table are not kept
+MAX_DELTA_RATIO = 0.5  # deltas larger than this fraction of their table are not retained
 
 
 class Configuration:
--- a/eiderhub/control/load.py
+++ b/eiderhub/control/load.py
@@ -1,9 +1,9 @@
 """Calls in flight to each endpoint, summed over all sidecars.
 
-This module does no I/O and holds the state of one control node. Each sidecar reports its calls in flight with
-its pings and receives the sum of all others. Control nodes do the same: a backup reports the sum of its
-sessions to the primary and receives the sum of all other nodes. Reports expire: without recent ones a node
-uses only the calls of its own sessions.
+Performs no I/O; holds the state of one control node. Each sidecar reports its calls in flight with its pings
+and receives the sum of all others. Control nodes do the same: a backup reports the sum of its sessions to the
+primary and receives the sum of all other nodes. Reports expire: without recent ones a node uses only the
+calls of its own sessions.
 """
 
 from __future__ import annotations
--- a/eiderhub/control/publication.py
+++ b/eiderhub/control/publication.py
@@ -1,8 +1,8 @@
 """What a control node sends to its sessions, and when it may send it.
 
-This module does no I/O. The primary sends its tables while it leads; a backup relays the tables that it
-received from the primary while they are fresh. A node without recent contact to a majority, or to a primary
-with such contact, sends nothing.
+Performs no I/O. The primary sends its tables while it leads; a backup relays the tables that it received from
+the primary while they are fresh. A node without recent contact to a majority, or to a primary with such
+contact, sends nothing.
 """
 
 from __future__ import annotations
--- a/eiderhub/control/retirement.py
+++ b/eiderhub/control/retirement.py
@@ -1,9 +1,9 @@
 """Retirement of storage nodes: retire orders, and when a machine and its disk may be removed.
 
-This module does no I/O. An order names a machine and lists the identities of its replica: the one at the time
-of the order, and any that replaces it because the disk is lost before the order is done. An order is done
-once the storage group has committed that all these identities are barred, no member runs on the machine, and
-all members have all committed writes. Barring is permanent: no later primary of the group can admit a barred
+Performs no I/O. An order names a machine and lists the identities of its replica: the one at the time of the
+order, and any that replaces it because the disk is lost before the order is done. An order is done once the
+storage group has committed that all these identities are barred, no member runs on the machine, and all
+members have all committed writes. Barring is permanent: no later primary of the group can admit a barred
 identity again.
 """
 
--- a/eiderhub/control/sessions.py
+++ b/eiderhub/control/sessions.py
@@ -1,6 +1,6 @@
 """The session table: the running processes, known by their sessions with control nodes.
 
-This module does no I/O. The primary merges its own sessions with those that other control nodes report.
+Performs no I/O. The primary merges its own sessions with those that other control nodes report.
 """
 
 from __future__ import annotations
--- a/eiderhub/control/spending.py
+++ b/eiderhub/control/spending.py
@@ -1,8 +1,8 @@
 """Spending caps of tenants: tokens are leased to the processes that accept work, never more than the cap.
 
-This module does no I/O. A lease is written to the control state before it is granted, so that a later primary
-never grants the same tokens again. A process charges work to its leases when it accepts it; accepted work is
-paid for and completes even if the cap is exhausted meanwhile.
+Performs no I/O. A lease is written to the control state before it is granted, so that a later primary never
+grants the same tokens again. A process charges work to its leases when it accepts it; accepted work is paid
+for and completes even if the cap is exhausted meanwhile.
 """
 
 from __future__ import annotations
--- a/eiderhub/coordination/catch_up.py
+++ b/eiderhub/coordination/catch_up.py
@@ -14,7 +14,7 @@
 from eiderhub.coordination.messages import Position, Replicated, Staged, Update
 from eiderhub.coordination.store import Chunk
 
-HISTORY_UPDATES = 512  # recent updates kept in memory for replicas that are slightly behind
+HISTORY_UPDATES = 512  # recent updates retained in memory for replicas that are slightly behind
 CHUNK_BYTES = 512 << 10  # of snapshot data in one message
 MAX_UNACKNOWLEDGED_CHUNKS = 4  # in flight to one replica
 
@@ -31,7 +31,7 @@
         self._updates.append(update)
 
     def contains(self, position: Position) -> bool:
-        """Whether the primary has been at this position, as far as the kept updates show."""
+        """Whether the primary has been at this position, as far as the retained updates show."""
         return self._index_of(position) is not None
 
     def since(self, position: Position) -> list[Update] | None:
@@ -101,7 +101,7 @@
         self.snapshot_transfer: SnapshotTransfer | None = None
 
     def reset_connection(self) -> None:
-        """Forget what was sent on the previous connection: it may be lost."""
+        """Discard what was recorded as sent on the previous connection: it may be lost."""
         self.sent_position = None
         self.snapshot_transfer = None
         self.readable_format = FIRST_FORMAT  # a different program version may be running there now
--- a/eiderhub/coordination/forms.py
+++ b/eiderhub/coordination/forms.py
@@ -1,6 +1,6 @@
 """Record formats of the replicated state: which ones a program reads, and which one a group may write.
 
-A format is a whole number; messages, the store and logs call it `form`. A program reads all formats up to its
+A format is an integer; messages, the store and logs call it `form`. A program reads all formats up to its
 newest; a group writes one that every member reads. A release that adds a format only reads it, and the next
 release writes it, so that a member rolled back by one release can still read what the group has written. See
 docs/upgrades.md.
--- a/eiderhub/coordination/messages.py
+++ b/eiderhub/coordination/messages.py
@@ -82,7 +82,7 @@
     position: Position
     trial: bool
     transfer: bool = False  # the current primary is handing over its leadership
-    unled: bool = False  # every member has said that it follows no primary: no lease can be valid
+    unled: bool = False  # every member has reported that it follows no primary: no lease can be valid
 
 
 class EpochAnswer(Struct, tag=True, frozen=True):
--- a/eiderhub/coordination/recent_changes.py
+++ b/eiderhub/coordination/recent_changes.py
@@ -1,8 +1,8 @@
-"""The keys changed by the most recent updates, kept in the store of a replica across restarts.
+"""The keys changed by the most recent updates, stored by a replica so that they survive restarts.
 
 A replica at a position that this one has recently passed lacks only the current values of the keys changed
 since. So after a power failure of all machines, a backup that is one update behind is sent that update
-instead of the whole state. A position identifies a state: two replicas at the same position have the same
+instead of the full state. A position identifies a state: two replicas at the same position have the same
 state.
 """
 
@@ -15,7 +15,7 @@
 from eiderhub.coordination.messages import Position, Update
 
 RETAINED_ENTRIES = 24  # so few that they share a store page with data that each update writes anyway
-MAX_KEYS_PER_ENTRY = 40  # no entry is kept for an update that changes more
+MAX_KEYS_PER_ENTRY = 40  # no entry is stored for an update that changes more
 MAX_CHANGED_BYTES = 4 << 20  # of values sent instead of a snapshot
 
 
--- a/eiderhub/coordination/repair.py
+++ b/eiderhub/coordination/repair.py
@@ -1,7 +1,7 @@
 """Estimates how long a group takes to replace a lost member, against the time that its deployment allows.
 
 A replacement machine is expected to count as a member `catch_up_s` after its start. By then it must have
-joined with all of the state and the lost member must have been removed; otherwise the next loss would leave
+joined with the full state and the lost member must have been removed; otherwise the next loss would leave
 no majority.
 """
 
@@ -12,7 +12,7 @@
 from eiderhub.coordination.timing import Timing
 
 SILENCE_FRACTION = 0.32  # of the allowed time that a member may be silent before it is replaced
-MIN_SILENT_ELECTIONS = 2.0  # a member may stay silent through a whole election without being lost
+MIN_SILENT_ELECTIONS = 2.0  # a member may stay silent through an entire election without being lost
 PROCESS_START_S = 0.5  # from the start of a process until it replies
 RECONNECT_S = 0.3  # until the primary has retried the connection
 MEMBERSHIP_CHECK_S = 0.05  # interval between checks of the members
@@ -31,12 +31,12 @@
 class RepairTime(NamedTuple):
     """Durations in seconds, from the start of the machine that replaces a lost one."""
 
-    detection_s: float  # until the lost member counts as gone
+    detection_s: float  # until the loss of the member is detected
     arrival_s: float  # until the replacement is connected
     changes_s: float  # to commit the membership changes
 
     def total_s(self, state_bytes: float, bytes_per_s: float) -> float:
-        """The whole repair time for a state of this size."""
+        """The total repair time for a state of this size."""
         return max(self.detection_s, self.arrival_s + state_bytes / bytes_per_s) + self.changes_s
 
     def max_state_bytes(self, allowed_s: float, bytes_per_s: float) -> float:
--- a/eiderhub/coordination/replication.py
+++ b/eiderhub/coordination/replication.py
@@ -1,8 +1,8 @@
 """Primary-backup replication of a key-value state, with epochs granted by a majority of witnesses.
 
-A pure state machine: callers pass in the time and received messages, and send what it leaves in `outbox`. The
-witness of a replica stores only the epoch that it granted last; the replica stores the state and its
-position. There is no log: a replica that is too far behind is sent the whole state.
+Performs no I/O: callers pass the time and received messages, and send what is put in `outbox`. The witness of
+a replica stores only the epoch that it granted last; the replica stores the state and its position. There is
+no log: a replica that is too far behind is sent the full state.
 
 Guarantees, each checked by tests/test_replication.py and the injected faults of tests/test_planted_faults.py:
 
@@ -97,7 +97,7 @@
         self._size = size or GroupSize()
         self._rng = rng
         self._load_group()
-        self._primary_heard_at = now
+        self._primary_message_at = now
         self._started_at = now
         self._election_due_at = now + self._election_timeout(now)
         # while a candidate
@@ -274,7 +274,7 @@
         return peer.synced_position.version if peer is not None and peer.synced_position is not None else 0
 
     def _notify_successor(self) -> None:
-        """Ask the successor to take over once it has the whole state."""
+        """Ask the successor to take over once it has the full state."""
         if self._successor is not None and self._peers[self._successor].synced_position == self.position:
             self._send(self._successor, TakeOver(self.epoch))
             self._successor = None
@@ -337,7 +337,7 @@
         if self.role is not Role.BACKUP:
             self._step_down(now)
         self.primary = sender
-        self._primary_heard_at = now
+        self._primary_message_at = now
         self._election_due_at = now + self._election_timeout(now)
         if isinstance(message, SnapshotChunk):
             accepted = self._stage_chunk(message)
@@ -453,13 +453,13 @@
         return self.timing.election_timeout_min + self.timing.election_timeout_spread * self._rng.random()
 
     def _witness_view(self, now: float) -> WitnessView:
-        since_primary_heard_s = None if self.primary is None else now - self._primary_heard_at
+        since_primary_message_s = None if self.primary is None else now - self._primary_message_at
         leads = (
             self.role is Role.PRIMARY
             and now < self._lease.expires_at(self._members)
             and self._transfer_deadline is None
         )
-        return WitnessView(self.epoch, self.position, since_primary_heard_s, leads, now - self._started_at)
+        return WitnessView(self.epoch, self.position, since_primary_message_s, leads, now - self._started_at)
 
     def _recently_started(self, now: float) -> bool:
         return now - self._started_at < self.timing.lease
@@ -531,7 +531,7 @@
             self._become_primary(now)
 
     def _no_member_has_leader(self, now: float) -> bool:
-        """Whether no lease can be valid, because every member has said that it follows no primary."""
+        """Whether no lease can be valid, because every member has reported that it follows no primary."""
         lease_wait_applies = self._recently_started(now) or bool(self._members_without_leader)
         return lease_wait_applies and self._members <= self._votes | self._members_without_leader
 
@@ -604,7 +604,7 @@
     def _is_known_state(self, position: Position) -> bool:
         """Whether this primary has itself been at the position that a replica reports.
 
-        Under many writes, a reply may be older than the updates kept in memory, but every update of this
+        Under many writes, a reply may be older than the updates retained in memory, but every update of this
         epoch was made by this primary itself.
         """
         from_own_epoch = position.epoch == self.epoch and position.version <= self.position.version
--- a/eiderhub/coordination/roster.py
+++ b/eiderhub/coordination/roster.py
@@ -1,6 +1,6 @@
 """The replicas that may form a group: which are connected, which replace another, and which must leave.
 
-Pure state without I/O. A replica is identified by `name@host:port`, generated when its disk is initialized. A
+Performs no I/O. A replica is identified by `name@host:port`, generated when its disk is initialized. A
 replica that lost its disk comes back at the same address with a new identity.
 """
 
--- a/eiderhub/coordination/timing.py
+++ b/eiderhub/coordination/timing.py
@@ -1,4 +1,4 @@
-"""Time-outs and size of a group."""
+"""Timeouts and size of a group."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Timing(NamedTuple):
-    """Durations in seconds. The lease must be shorter than the minimum election time-out."""
+    """Durations in seconds. The lease must be shorter than the minimum election timeout."""
 
     heartbeat: float = 0.1
     lease: float = 0.35
--- a/eiderhub/coordination/witness.py
+++ b/eiderhub/coordination/witness.py
@@ -6,7 +6,7 @@
 * it is not granted while this replica follows a primary or is one itself, because a lease that it has
   confirmed may still be valid;
 * it is not granted within one lease time of the replica's start, because the replica does not know what it
-  confirmed before, unless every member has said that it follows no primary.
+  confirmed before, unless every member has reported that it follows no primary.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
     epoch: int
     position: Position
-    since_primary_heard_s: float | None  # None: it follows no primary
+    since_primary_message_s: float | None  # None: it follows no primary
     leads: bool
     uptime_s: float  # since the replica's start
 
@@ -48,10 +48,11 @@
 
 def has_live_primary(view: WitnessView, timing: Timing) -> bool:
     """Whether this replica leads, or a lease that it has confirmed may still be valid."""
-    hears_primary = (
-        view.since_primary_heard_s is not None and view.since_primary_heard_s < timing.election_timeout_min
+    follows_live_primary = (
+        view.since_primary_message_s is not None
+        and view.since_primary_message_s < timing.election_timeout_min
     )
-    return hears_primary or view.leads
+    return follows_live_primary or view.leads
 
 
 def decide(view: WitnessView, request: RequestEpoch, timing: Timing) -> Decision:
--- a/eiderhub/dataplane/drain.py
+++ b/eiderhub/dataplane/drain.py
@@ -1,7 +1,7 @@
 """Decides which requests a draining sidecar still accepts: those that can finish before the process exits.
 
-Free of I/O: callers pass the time in. Clients keep using their open connections until the process exits, so
-requests arrive during the whole drain.
+Performs no I/O; callers pass the time. Clients keep using their open connections until the process exits, so
+requests arrive throughout the drain.
 """
 
 from __future__ import annotations
--- a/eiderhub/dataplane/early_requests.py
+++ b/eiderhub/dataplane/early_requests.py
@@ -1,6 +1,6 @@
 """Buffer for requests that arrive before the first configuration, bounded in time, count and size.
 
-Free of I/O: callers pass the time in. Requests are processed as soon as the first configuration and endpoint
+Performs no I/O; callers pass the time. Requests are processed as soon as the first configuration and endpoint
 list have arrived. A request held longer than its limit is refused as not executed, so that clients can retry.
 """
 
--- a/eiderhub/dataplane/items.py
+++ b/eiderhub/dataplane/items.py
@@ -194,7 +194,7 @@
         self._candidates = candidates
         self._zone_of = zone_of  # of a node, by its address
         self._items: dict[ItemKey, RunningItem] = {}  # running here
-        self._ledger = ItemTracker(node, zone)
+        self._tracker = ItemTracker(node, zone)
         self._connection: Connection | None = None
         self._primary_hint = ""
         self._session_changed = asyncio.Event()
@@ -221,8 +221,8 @@
         """One metric per line: the items held here, and each item without progress for a long time."""
         now = self.now()
         lines = [
-            f"session {self._ledger.accepted:d}",
-            f"items_held {len(self._ledger)}",
+            f"session {self._tracker.accepted:d}",
+            f"items_held {len(self._tracker)}",
             f"items_running {len(self._items)}",
         ]
         for item in self._items.values():
@@ -260,13 +260,13 @@
     async def _run_session(self, connection: Connection) -> None:
         self._connection = connection
         self._session_changed.clear()
-        connection.send(self._ledger.open_session())
+        connection.send(self._tracker.open_session())
         try:
             async with asyncio.timeout(ACCEPT_TIMEOUT_S):
                 await self._session_changed.wait()
         except TimeoutError:
             pass
-        if self._ledger.accepted and not connection.closed:
+        if self._tracker.accepted and not connection.closed:
             await self._until_closed(connection)
         self._connection = None
         connection.close()
@@ -283,7 +283,7 @@
     def on_message(self, connection: Connection, message: Message) -> None:
         if connection is not self._connection:
             return
-        self._ledger.message_received(self.now())
+        self._tracker.message_received(self.now())
         if isinstance(message, WorkerAccepted):
             connection.peer_support = message.support
             self._on_accepted()
@@ -295,7 +295,7 @@
         elif isinstance(message, CancelItem):
             self._cancel_item(message.key)
         elif isinstance(message, ItemStored):
-            self._ledger.remove_item(message.key)
+            self._tracker.remove_item(message.key)
         elif isinstance(message, ProbeEndpoints):
             if not self._probes:
                 self._probes.start(self._probe(), lambda: None)
@@ -308,13 +308,13 @@
 
     def _on_accepted(self) -> None:
         """The primary has accepted the session."""
-        self._send(self._ledger.accept_session(self.now()))
+        self._send(self._tracker.accept_session(self.now()))
         self._session_ready.set()
         self._session_changed.set()
 
     def on_closed(self, connection: Connection) -> None:
         if connection is self._connection:
-            self._ledger.end_session()
+            self._tracker.end_session()
             self._session_ready.clear()
             self._session_changed.set()
 
@@ -337,12 +337,12 @@
         responses = self._router.response_count()
         no_data, self._last_response_count = responses == self._last_response_count, responses
         if not no_data:
-            self._ledger.endpoint_answered()
+            self._tracker.endpoint_answered()
         if self._connection is not None:
-            if self._ledger.is_silent(now):
+            if self._tracker.is_silent(now):
                 self._connection.close()
             else:
-                self._send(self._ledger.tick(now))
+                self._send(self._tracker.tick(now))
         for item in list(self._items.values()):
             reason = self._return_reason(now, item, no_data)
             if reason is not None:
@@ -356,7 +356,7 @@
     async def _probe(self) -> None:
         """Check whether an endpoint can be reached, and report it if so."""
         if await self._router.reaches_endpoint():
-            self._send(self._ledger.probe_answered(self.now()))
+            self._send(self._tracker.probe_answered(self.now()))
 
     @staticmethod
     def _return_reason(now: float, item: RunningItem, no_data: bool) -> ReturnReason | None:
@@ -373,7 +373,7 @@
 
         An item that an endpoint has already finishes its attempt there, but gets no further one.
         """
-        self._send(self._ledger.routes_changed(self.now(), generation))
+        self._send(self._tracker.routes_changed(self.now(), generation))
         for item in list(self._items.values()):
             if item.call is None or item.admission is None:
                 continue
@@ -386,7 +386,7 @@
                 self.return_item(item, ReturnReason.ROUTE_MOVED)
 
     def _start_item(self, order: RunItem) -> None:
-        if self._ledger.receive_order(order.key) is OrderResult.ALREADY_HELD:
+        if self._tracker.receive_order(order.key) is OrderResult.ALREADY_HELD:
             return  # the next report lists the item, or its end is sent again
         item = RunningItem(self, order)
         self._items[order.key] = item
@@ -416,18 +416,18 @@
         admission.submit(call)
 
     def _cancel_item(self, key: ItemKey) -> None:
-        self._ledger.remove_item(key)
+        self._tracker.remove_item(key)
         item = self._items.pop(key, None)
         if item is not None and item.call is not None and item.admission is not None:
             item.admission.abandon(item.call)
 
     def on_item_started(self, item: RunningItem) -> None:
-        self._send(self._ledger.mark_started(item.key))
+        self._send(self._tracker.mark_started(item.key))
 
     def on_item_ended(self, outcome: ItemFinished | ItemReturned) -> None:
         """Record and report that an item has finished or is returned."""
         if self._items.pop(outcome.key, None) is not None:
-            self._send(self._ledger.mark_ended(self.now(), outcome))
+            self._send(self._tracker.mark_ended(self.now(), outcome))
 
     def return_item(self, item: RunningItem, reason: ReturnReason) -> None:
         self.on_item_ended(item.return_message(reason))
@@ -443,7 +443,7 @@
     @property
     def unstored(self) -> int:
         """Number of items whose end the primary has not stored."""
-        return len(self._ledger)
+        return len(self._tracker)
 
     # --- calls to the primary ---
 
--- a/eiderhub/dataplane/routes.py
+++ b/eiderhub/dataplane/routes.py
@@ -1,4 +1,4 @@
-"""The active routes: an immutable snapshot of one configuration, replaced as a whole on each change."""
+"""The active routes: an immutable snapshot of one configuration, replaced on each change."""
 
 from __future__ import annotations
 
--- a/eiderhub/programs/batch_calls.py
+++ b/eiderhub/programs/batch_calls.py
@@ -20,8 +20,8 @@
 class BatchCalls:
     """Handles batch requests at one storage node.
 
-    `terms_for` returns the terms of a batch route by route name. `has_space` tells whether the store has room
-    for a body of the given size in bytes and for the expected results of all jobs in the table.
+    `limits_for` returns the limits of a batch route by its name. `has_space` returns whether the store has
+    room for a body of the given size in bytes and for the expected results of all jobs in the table.
     `on_job_accepted` is called once a job is committed, `on_job_ended` once the end of a job is committed.
     """
 
@@ -30,7 +30,7 @@
         jobs: JobTable,
         group: GroupDriver,
         spending: SpendingClient,
-        terms_for: Callable[[str], BatchLimits | None],
+        limits_for: Callable[[str], BatchLimits | None],
         has_space: Callable[[int], bool],
         on_job_accepted: Callable[[], None],
         on_job_ended: Callable[[str], None],
@@ -38,7 +38,7 @@
         self._jobs = jobs
         self._group = group
         self._spending = spending
-        self._terms_for = terms_for
+        self._limits_for = limits_for
         self._has_space = has_space
         self._on_job_accepted = on_job_accepted
         self._on_job_ended = on_job_ended
@@ -99,10 +99,10 @@
             del self._submissions[job]
 
     async def _submit_once(self, message: Submit) -> Answer:
-        terms, epoch = self._terms_for(message.route), self._epoch
-        if terms is None:
+        limits, epoch = self._limits_for(message.route), self._epoch
+        if limits is None:
             return Answer(message.call, HTTP_STATUS[ErrorKind.NOT_READY])
-        submitted = self._jobs.submit(time.time(), message.job, terms, message.body)
+        submitted = self._jobs.submit(time.time(), message.job, limits, message.body)
         if isinstance(submitted, Refusal):
             return self._refusal_answer(message.call, submitted)
         if not submitted:
--- a/eiderhub/programs/edge_service.py
+++ b/eiderhub/programs/edge_service.py
@@ -36,12 +36,12 @@
 
 LOTS_PATH, ITEMS_PATH = "/lots/", "/items/"
 MAX_RESULT_WAIT_MS = 1000  # for a read of results to wait for new ones
-TIMEOUT_MARGIN_S = 0.025  # time for the answer to reach the client before its time-out
+TIMEOUT_MARGIN_S = 0.025  # time for the answer to reach the client before its timeout
 MAX_BATCH_CALL_S = 2 * CALL_TIMEOUT_S + MAX_RESULT_WAIT_MS / 1000  # for a batch request to be answered
 STOPPING_RETRY_AFTER_US = 50_000  # clients may retry at another sidecar at once
 EXHAUSTED_RETRY_AFTER_US = 60_000_000  # caps are rarely raised sooner
 STARTING_RETRY_AFTER_US = 600_000  # a configuration has usually arrived by then
-DEFAULT_TIMEOUT_MS = 2_000.0  # without a client time-out, while no route is known
+DEFAULT_TIMEOUT_MS = 2_000.0  # without a client timeout, while no route is known
 EARLY_CHECK_INTERVAL_S = 0.02  # between checks for expired early requests
 JSON_HEADER = (b"Content-Type", b"application/json")
 
@@ -357,7 +357,7 @@
         ]
         lines += [f"generation {self.tables.configuration.generation}"]
         for name, admission in self._admissions.items():
-            lines += [f'{figure}{{service="{name}"}} {value}' for figure, value in admission.metrics()]
+            lines += [f'{metric}{{service="{name}"}} {value}' for metric, value in admission.metrics()]
         return lines + self._item_runner.metrics() + TRAFFIC.metric_lines() + WIRE_COUNTS.metric_lines()
 
     # --- shutdown ---
@@ -373,7 +373,7 @@
         )
 
     def time_out_pending(self) -> None:
-        """Answer all pending calls with a time-out; the process exits next."""
+        """Answer all pending calls with a timeout; the process exits next."""
         for admission in self._admissions.values():
             admission.time_out_all()
 
@@ -389,7 +389,7 @@
 
 
 def time_left_s(exchange: ClientExchange, route: Route) -> float:
-    """Remaining time of a request: the lesser of route and client time-out, less the time it was held."""
+    """Remaining time of a request: the lesser of route and client timeout, less the time it was held."""
     client_timeout_ms = _parse_number(exchange.headers.get(b"timeout-ms"), route.timeout_ms)
     return min(client_timeout_ms, route.timeout_ms) / 1000 - exchange.held_s
 
--- a/eiderhub/programs/storage_group.py
+++ b/eiderhub/programs/storage_group.py
@@ -69,7 +69,7 @@
         `nodes` are the storage nodes that have sessions.
 
         Raises:
-            NotPrimary, CommitUnknown: to be retried by the current primary.
+            NotPrimary, CommitOutcomeUnknown: to be retried by the current primary.
         """
         await self._record_identities(nodes)
         if not self.founding_members():
--- a/eiderhub/programs/storage_service.py
+++ b/eiderhub/programs/storage_service.py
@@ -73,7 +73,7 @@
         self.group.roster.prefers_same_zones = not settings.zone_fault_tolerance
         self._jobs = JobTable(store)
         self._dispatcher = Dispatcher(self._jobs)
-        self._progress_watch = ProgressMonitor()
+        self._progress_monitor = ProgressMonitor()
         self._next_progress_check = 0.0
         self._batch_endpoints: frozenset[str] = frozenset()  # of services of batch routes
         self._next_stuck_log = 0.0
@@ -95,7 +95,7 @@
             self._jobs,
             self.group,
             self._spending,
-            self._terms_for,
+            self._limits_for,
             self._has_space,
             self._assign_items,
             self._on_job_ended,
@@ -212,15 +212,15 @@
             self._dispatcher.session_closed(self._now(), session)
 
     def _send_outbox(self) -> None:
-        """Send the dispatcher's pending messages and log the inconsistencies that it has repaired."""
+        """Send the dispatcher's pending messages and log the items that it has reclaimed."""
         outbox, self._dispatcher.outbox = self._dispatcher.outbox, []
         for session, message in outbox:
             connection = self._connections.get(session)
             if connection is not None:
                 connection.send(message)
-        repairs, self._dispatcher.reclaimed = self._dispatcher.reclaimed, []
-        for node, why, items in repairs:
-            log.info("%s %s %d items; queued again: %s ...", node, why.value, len(items), items[0])
+        reclaimed, self._dispatcher.reclaimed = self._dispatcher.reclaimed, []
+        for node, reason, items in reclaimed:
+            log.info("%s %s %d items; queued again: %s ...", node, reason.value, len(items), items[0])
 
     # --- primary ---
 
@@ -242,7 +242,7 @@
     async def _answer_call(self, connection: Connection, message: BatchCall) -> None:
         connection.send(await self._batch_calls.handle(message))
 
-    def _terms_for(self, name: str) -> BatchLimits | None:
+    def _limits_for(self, name: str) -> BatchLimits | None:
         route = self._routes.by_name.get(name) if self._routes else None
         if route is None:
             return None
@@ -310,8 +310,8 @@
         if now < self._next_progress_check:
             return
         self._next_progress_check = now + PROGRESS_CHECK_INTERVAL_S
-        self._progress_watch.refresh(now, time.time(), self._jobs)
-        summary = self._progress_watch.summary(now)
+        self._progress_monitor.refresh(now, time.time(), self._jobs)
+        summary = self._progress_monitor.summary(now)
         if summary and now >= self._next_stuck_log:
             self._next_stuck_log = now + STUCK_LOG_INTERVAL_S
             log.warning("%s; %s", summary, self._dispatcher.scheduler.status(now))
@@ -334,16 +334,16 @@
         if not self.group.leads():
             return lines
         lines += [f"jobs {len(self._jobs.jobs)}", f"sessions {len(self._connections)}"]
-        placement = self._dispatcher.scheduler.status(self._now())
+        scheduler_status = self._dispatcher.scheduler.status(self._now())
         lines += [
-            f"sidecars_paused {placement.paused}",
-            f"sidecars_full {placement.full}",
-            f"sidecars_stuck {placement.stuck}",
+            f"sidecars_paused {scheduler_status.paused}",
+            f"sidecars_full {scheduler_status.full}",
+            f"sidecars_stuck {scheduler_status.stuck}",
         ]
-        lines += [f'items_returned{{reason="{r.value}"}} {n}' for r, n in placement.returns.items()]
+        lines += [f'items_returned{{reason="{r.value}"}} {n}' for r, n in scheduler_status.returns.items()]
         for worker in self._dispatcher.scheduler.workers.values():
             lines.append(f'window{{node="{worker.node}"}} {worker.window:.1f}')
-        return lines + self._progress_watch.metric_lines(self._now())
+        return lines + self._progress_monitor.metric_lines(self._now())
 
     def _assign_items(self) -> None:
         if self.group.leads():
--- a/eiderhub/transport/group.py
+++ b/eiderhub/transport/group.py
@@ -201,8 +201,8 @@
     # --- connections ---
 
     def on_link_open(self, link: OutboundLink) -> None:
-        known = self.replica.members | set(self._incoming)
-        for identity in sorted(known):
+        identities = self.replica.members | set(self._incoming)
+        for identity in sorted(identities):
             if address_of(identity) == link.target:
                 self.replica.on_connected(self.now(), identity)
         self._process_changes()
@@ -261,11 +261,11 @@
             self._process_changes()
 
     def _log_unreadable_format(self) -> None:
-        form = self.replica.unreadable_format
-        if form is not None and not self._unreadable_logged:
+        record_format = self.replica.unreadable_format
+        if record_format is not None and not self._unreadable_logged:
             self._unreadable_logged = True
             log.error("the group writes records of form %d, which this program does not read: start a newer "
-                      "program", form)  # fmt: skip
+                      "program", record_format)  # fmt: skip
 
     def _send_outbox(self) -> None:
         outbox, self.replica.outbox = self.replica.outbox, []
--- a/eiderhub/zones.py
+++ b/eiderhub/zones.py
@@ -12,7 +12,7 @@
 from eiderhub.interface import Actions, Ring
 
 REVIEW_INTERVAL_US = 250_000
-EVIDENCE_DECAY = 0.94  # kept per review: a memory of four seconds, which instances with few calls need
+EVIDENCE_DECAY = 0.94  # retained per review: a memory of four seconds, which instances with few calls need
 MIN_CALLS = 4.0  # weighted calls needed for a verdict on a zone
 IGNORED_SHARE = 1 / 3  # of the endpoints tried, the worst ones: a few bad endpoints are no zone failure
 EXCESS = 0.1  # failure share above that of other zones from which a zone counts as degraded
@@ -52,8 +52,10 @@
 
     def is_silent(self, now: int, failure_share: float) -> bool:
         """Whether the run of failures is too long and too improbable at this failure share to be chance."""
-        wide = 2 * len(self.streak) >= max(4, len(self.counts)) and now - self.answered_at >= MIN_SILENCE_US
-        return wide and failure_share ** sum(self.streak.values()) < MIN_PROBABILITY
+        widespread = (
+            2 * len(self.streak) >= max(4, len(self.counts)) and now - self.answered_at >= MIN_SILENCE_US
+        )
+        return widespread and failure_share ** sum(self.streak.values()) < MIN_PROBABILITY
 
 
 class Zones:
@@ -79,8 +81,8 @@
         return self.zones.get(zone) or self.zones.setdefault(zone, Zone(zone))
 
     def share(self, zone: str) -> float:
-        known = self.zones.get(zone) if self.any_reduced else None
-        return min(known.share, known.bound) if known else 1.0
+        found = self.zones.get(zone) if self.any_reduced else None
+        return min(found.share, found.bound) if found else 1.0
 
     def set_operator_shares(self, now: int, shares: Mapping[str, float]) -> None:
         """Apply the operators' bounds; a zone without one gets 1."""
@@ -149,8 +151,8 @@
             elif z.share == 1.0 and now - z.grown_at >= RELAPSE_MEMORY_BACKOFFS * z.backoff_us:
                 z.relapses, z.backoff_us = 0, BACKOFF_US
             # Failures under overload are due to load and are no evidence against the zone.
-            kept = () if overloaded else z.counts.items()
-            z.counts = {e: [EVIDENCE_DECAY * r[0], EVIDENCE_DECAY * r[1]] for e, r in kept if r[0] >= 0.6}
+            retained = () if overloaded else z.counts.items()
+            z.counts = {e: [EVIDENCE_DECAY * r[0], EVIDENCE_DECAY * r[1]] for e, r in retained if r[0] >= 0.6}
         self._update_any_reduced()
         return before != [z.share for z in self.zones.values()], evacuated
 
