--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -54,7 +54,7 @@
 SHORT_WINDOW_US, LONG_WINDOW_US = 1_500_000, 20_000_000  # a p95 covers between one and two windows
 RATIO_INTERVAL_US = 250_000
 RATIO_MIN_SAMPLES = 12  # with fewer short-term samples a few long calls would swing the p95
-MAX_NORMAL = 0.5  # fraction of the aim; a long-term p95 above it never counts as normal
+MAX_NORMAL_LATENCY = 0.5  # fraction of the aim; a long-term p95 above it never counts as normal
 STRESS_THRESHOLD = 0.7  # below this ratio calls of low worth are charged more
 MAX_STRESS_PENALTY = 3.0  # at full stress a worthless call costs 1 + this times its price
 
@@ -69,7 +69,7 @@
 BURST_FACTOR_INNER, BURST_FACTOR_OUTER = 2.0, 0.5  # calls above the cap, as a multiple of its square root
 TARGET_FACTOR = 2.0  # target of the median latency, as a multiple of the uncongested median
 MIN_TARGET_FACTOR = 1.3  # lower bound of that, where the uncongested median is near the maximum target
-MAX_TARGET = 0.3  # maximum target, as a fraction of the aim, divided by layer + 1
+MAX_TARGET_LATENCY = 0.3  # maximum target, as a fraction of the aim, divided by layer + 1
 MEDIAN_WEIGHT = 0.3  # weight of the newest round in the median that the baseline is taken from
 BASELINE_DRIFT = 1.01  # growth of the baseline per uncongested round, to follow a lasting change
 ROUND_SAMPLES, ROUND_SAMPLES_PER_CALL = 8, 1.5  # outcomes per round: constant, and per call of the cap
@@ -77,7 +77,7 @@
 FAST_GROWTH_SHARE = 0.5  # the same before the first congestion, while the capacity is unknown
 MIN_CUT_FACTOR = 0.6  # a bad round keeps at least this share of the cap
 FULL_LATENCY = 1.0  # latency, as a fraction of the aim, that a FULL outcome counts as
-BINDING = 0.7  # the cap limits sending when this share of it is in use
+BINDING_SHARE = 0.7  # the cap limits sending when this share of it is in use
 LOW_TIER_WORTH, LOW_TIER_CAP_SHARE = 0.5, 0.8  # low tiers: below this part of the best worth; cap share
 
 # --- hold queue ---
@@ -90,7 +90,7 @@
 BUSY_USAGE, USAGE_MARGIN = 0.5, 0.125  # above it, a farther endpoint must be emptier by the margin
 SENT_WORK_DECAY = 0.95  # retained per refill window: a memory of ten seconds
 MIN_SPARE_SHARE = 0.1  # share of an even load that other classes keep at endpoints a constrained class fills
-SUBSET_MIN, SUBSET_PER_CALL = 5, 2.0  # subset size: minimum, and per call of the cap; small ones learn faster
+MIN_SUBSET_SIZE, SUBSET_SIZE_PER_CALL = 5, 2.0  # the latter per call of the cap; small ones learn faster
 DRAWS_PER_CANDIDATE = 4
 FAILURE_WEIGHT = 0.3  # weight of the newest outcome in an endpoint's failure share
 HUNG_FACTOR = 10.0  # an endpoint is hung after so many median latencies without any answer,
@@ -266,7 +266,7 @@
             self.value = 1.0
             return
         # Without the bound, latencies that were high from the start would count as normal.
-        normal = min(self.long[0].upper_quantile(0.05, self.long[1]), MAX_NORMAL)
+        normal = min(self.long[0].upper_quantile(0.05, self.long[1]), MAX_NORMAL_LATENCY)
         self.value = normal / self.short[0].upper_quantile(0.05, self.short[1])
 
     def stress(self) -> float:
@@ -284,7 +284,10 @@
         self.min_cap = MIN_CAP
         self.in_flight = self.next_dither = self.changed_at = 0
         self.dither = self.median = self.baseline = 0.0
-        self.max_target, self.max_baseline = MAX_TARGET / (layer + 1), MAX_NORMAL / (layer + 1)
+        self.max_target, self.max_baseline = (
+            MAX_TARGET_LATENCY / (layer + 1),
+            MAX_NORMAL_LATENCY / (layer + 1),
+        )
         self.round, self.was_binding = Histogram(), False  # whether the cap limited sending in this round
         self.burst_factor = BURST_FACTOR_INNER if layer else BURST_FACTOR_OUTER
         self.slack = 0.5  # 1 uncongested, 0 with the median at its target
@@ -323,7 +326,7 @@
         if sent_at < self.changed_at or now - self.changed_at < self.max_baseline * aim_us:
             return
         self.round.add(latency)
-        self.was_binding = self.was_binding or self.in_flight >= BINDING * self.cap
+        self.was_binding = self.was_binding or self.in_flight >= BINDING_SHARE * self.cap
         if self.round.total < ROUND_SAMPLES + ROUND_SAMPLES_PER_CALL * self.cap:
             return
         median = self.round.upper_quantile(0.5)
@@ -657,7 +660,7 @@
             farther = max(far - capacities[1], s.remote_part * fair)
             for pool, members, capacity in zip(placement.pools, rings, (own, far, farther), strict=True):
                 pool.limit.resize(capacity)
-                size = max(SUBSET_MIN, int(SUBSET_PER_CALL * pool.limit.cap))
+                size = max(MIN_SUBSET_SIZE, int(SUBSET_SIZE_PER_CALL * pool.limit.cap))
                 pool.subset.fill(members, s.rank, s.balancers, size)
 
     def steer(self, now_us: int, shares: Mapping[str, float], regions: Mapping[str, str]) -> None:
@@ -666,7 +669,7 @@
         self._rebuild_pools(now_us)
 
     def _review_zones(self, now: int) -> None:
-        """Update the zones' shares; calls in flight to evacuated zones release their places."""
+        """Update the zones' shares; calls in flight to evacuated zones release their slots."""
         calls, endpoints = self.calls.values(), self.endpoints.values()
         pending = [(c, i, c.attempts[i]) for c in calls for i in c.outstanding if i != c.streaming_attempt]
         for call, i, attempt in pending:
@@ -677,10 +680,12 @@
                 call.attempts[i] = attempt._replace(overdue_recorded=True)
         limits = [p.limit for placement in self.placements for p in placement.pools if p.subset.members]
         # Failures without any room or under stress are due to load.
-        overloaded = self.ratio.stress() > 0 or all(each.in_flight >= BINDING * each.cap for each in limits)
+        overloaded = self.ratio.stress() > 0 or all(
+            each.in_flight >= BINDING_SHARE * each.cap for each in limits
+        )
         changed, evacuated = self.zones.review(now, {e.zone for e in endpoints if e.ready}, overloaded)
         for call, i, attempt in pending:
-            if attempt.endpoint.zone in evacuated:  # frees its place for calls that may be answered
+            if attempt.endpoint.zone in evacuated:  # frees its slot for calls that may be answered
                 attempt.pool.limit.in_flight -= 1
                 self.evacuated_pool.limit.in_flight += 1
                 call.attempts[i] = attempt._replace(pool=self.evacuated_pool, overdue_recorded=True)
@@ -1020,23 +1025,23 @@
         endpoint.in_flight += 1
         endpoint.waiting_since = endpoint.waiting_since or now
         pool.limit.in_flight += 1
-        # Without the limit, calls at a hung endpoint would keep their places under the caps of all tiers.
+        # Without the limit, calls at a hung endpoint would keep their slots under the caps of all tiers.
         self.actions.hand_off(call.id, endpoint.id, max(1, call.answer_by - now))
 
     def streaming(self, now_us: int, call: str, attempt: int, spent_us: int) -> None:
-        """The first byte ends the measured latency and frees the place: the rest is transfer, not work."""
+        """The first byte ends the measured latency and frees the slot: the rest is transfer, not work."""
         found = self.calls.get(call)
         if found is None or attempt not in found.outstanding or found.streaming_attempt >= 0:
             return
         found.answered, found.streaming_attempt = True, attempt
         attempt_state = found.attempts[attempt]
         attempt_state.endpoint.in_flight -= 1
-        self._release_place(now_us, attempt_state, Outcome.OK)
+        self._release_slot(now_us, attempt_state, Outcome.OK)
         self._record(now_us, found, attempt_state, spent_us, Outcome.OK, False)
         if self.queue.count:
             self._dispatch(now_us)
 
-    def _release_place(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
+    def _release_slot(self, now: int, attempt: Attempt, outcome: Outcome) -> None:
         endpoint = attempt.endpoint
         if outcome in ANSWERED or not endpoint.in_flight:
             endpoint.waiting_since = now if endpoint.in_flight else 0
@@ -1061,7 +1066,7 @@
             return
         target.in_flight -= 1
         hung = outcome is Outcome.TIMEOUT and self._hung(now_us, target, pool, found)
-        self._release_place(now_us, attempt_state, outcome)
+        self._release_slot(now_us, attempt_state, outcome)
         if idle_bucket >= 0 and outcome not in NEVER_RAN:
             unanswered = outcome in UNANSWERED
             slow = spent_us > UNANSWERED_FACTOR * pool.limit.median * found.request_class.aim_us > 0
--- a/eiderhub/batch/messages.py
+++ b/eiderhub/batch/messages.py
@@ -170,7 +170,7 @@
 
 
 class ItemReturned(Struct, tag=True, frozen=True):
-    """The sidecar no longer runs the item; `errors`: answers with status 500 that it has seen for it."""
+    """The sidecar no longer runs the item; `errors`: answers with status 500 that it has received for it."""
 
     key: ItemKey
     reason: ReturnReason
--- a/eiderhub/batch/progress.py
+++ b/eiderhub/batch/progress.py
@@ -117,10 +117,10 @@
             )
         if stuck:
             nodes = Counter(item.node for item in stuck)
-            at = ", ".join(f"{count} at {node}" for node, count in nodes.most_common(3))
+            counts = ", ".join(f"{count} at {node}" for node, count in nodes.most_common(3))
             first = stuck[0]
             parts.append(
-                f"items running too long: {at}; oldest {first.key.job} {first.key.item} "
+                f"items running too long: {counts}; oldest {first.key.job} {first.key.item} "
                 f"for {now - first.since:.1f} s"
             )
         if uncommitted:
--- a/eiderhub/batch/scheduler.py
+++ b/eiderhub/batch/scheduler.py
@@ -228,7 +228,7 @@
         self._return_counts.clear()
 
     def status(self, now: float) -> SchedulerStatus:
-        """Summarise the sidecars and the items that they have returned."""
+        """Summarize the sidecars and the items that they have returned."""
         workers = self.workers.values()
         return SchedulerStatus(
             sidecars=len(workers),
--- a/eiderhub/control/configuration.py
+++ b/eiderhub/control/configuration.py
@@ -22,7 +22,7 @@
 CURRENT_KEY = "config/current"
 CHANGE_DIGEST_PREFIX = "config/taken/"  # digest of the change that created a generation
 LAST_PURGED_KEY = "config/forgotten"  # the last generation whose digest was purged
-RETAINED_CHANGES = 20_000  # digests retained to recognise a change that is sent again
+RETAINED_CHANGES = 20_000  # digests retained to recognize a change that is sent again
 PURGE_BATCH = 500  # digests deleted at once
 NAMED_LISTS = ("routes", "backends", "tenants")
 MAX_GENERATION = (1 << 63) - 1
@@ -303,8 +303,8 @@
 def purge(retained: list[int], accepted: Accepted) -> list[Write]:
     """Writes that delete the oldest change digests; `retained` are their generations in ascending order.
 
-    A change whose digest was purged and that is sent again gets an uncertain answer: it cannot be told from
-    one that lost a race, and a change that was accepted must never be refused.
+    A change whose digest was purged and that is sent again gets an uncertain answer: it cannot be
+    distinguished from one that lost a race, and a change that was accepted must never be refused.
     """
     if not accepted.writes or len(retained) < RETAINED_CHANGES + PURGE_BATCH:
         return []
--- a/eiderhub/control/freshness.py
+++ b/eiderhub/control/freshness.py
@@ -2,9 +2,9 @@
 
 Performs no I/O. A ping carries the sender's time. Its answer proves that the tables received before it were
 current when the ping was sent, however late the answer is read: a process that was suspended finds answers in
-its buffers that say nothing of the time since. So the age counts from the time of sending. A control node
-that is not the primary adds the age of its own tables, so that the bound does not grow with the length of a
-chain of nodes.
+its buffers that prove nothing about the time since. So the age counts from the time of sending. A control
+node that is not the primary adds the age of its own tables, so that the bound does not grow with the length
+of a chain of nodes.
 """
 
 from __future__ import annotations
--- a/eiderhub/control/sessions.py
+++ b/eiderhub/control/sessions.py
@@ -9,7 +9,7 @@
 
 from eiderhub.control.messages import NodeRecord
 
-SESSION_TIMEOUT_S = 1.5  # a session that is silent for longer has ended
+SESSION_TIMEOUT_S = 1.5  # a session without a ping for longer has ended
 SIDECAR_ROLE = "edge"  # role of sidecars, which are published as a count, not by name
 RESTORED_REPORTER = "restored"  # reporter name of the nodes restored from an earlier primary
 
--- a/eiderhub/coordination/lease.py
+++ b/eiderhub/coordination/lease.py
@@ -1,7 +1,7 @@
 """The primary's lease: it leads while a majority has acknowledged a heartbeat sent within the lease time.
 
 The lease counts from when a heartbeat was sent, not from when its acknowledgement arrived: a primary whose
-process was suspended finds acknowledgements in its buffers that say nothing about the time since.
+process was suspended finds acknowledgements in its buffers that prove nothing about the time since.
 """
 
 from __future__ import annotations
--- a/eiderhub/coordination/messages.py
+++ b/eiderhub/coordination/messages.py
@@ -81,7 +81,7 @@
     epoch: int
     position: Position
     trial: bool
-    transfer: bool = False  # the current primary is handing over its leadership
+    transfer: bool = False  # the current primary is transferring its leadership
     unled: bool = False  # every member has reported that it follows no primary: no lease can be valid
 
 
--- a/eiderhub/coordination/replication.py
+++ b/eiderhub/coordination/replication.py
@@ -243,7 +243,7 @@
             self._step_down(now)
 
     def transfer_leadership(self, now: float) -> bool:
-        """On the primary: hand over to the most recent backup once it has caught up; false if there is none.
+        """On the primary: transfer leadership to the newest backup once it has caught up; false without one.
 
         From now on this replica does not lead, so that no more writes are made.
         """
--- a/eiderhub/coordination/roster.py
+++ b/eiderhub/coordination/roster.py
@@ -41,8 +41,8 @@
 
     def retiring(self, members: Collection[str]) -> frozenset[str]:
         """Identities that must leave permanently: those listed, and all on machines being retired."""
-        known = set(members) | set(self._identity_at.values())
-        return self.retired | {i for i in known if self._node_names.get(i, "") in self.retired_nodes}
+        identities = set(members) | set(self._identity_at.values())
+        return self.retired | {i for i in identities if self._node_names.get(i, "") in self.retired_nodes}
 
     def update_replica(self, replica: Replica) -> None:
         """Pass a primary the replicas that may join and those that must leave."""
@@ -60,7 +60,7 @@
         """Replicas that could become members, ordered by preference.
 
         Those in zones without a member come first, or those in zones with one if few zones are preferred.
-        While the retirements may be incomplete, replicas at the address of a barred one are left out: they
+        While the retirements may be incomplete, replicas at the address of a barred one are excluded: they
         may run on a machine that is about to be removed.
         """
         excluded_addresses = (
--- a/eiderhub/dataplane/admission.py
+++ b/eiderhub/dataplane/admission.py
@@ -516,7 +516,7 @@
         )
 
     def abandon(self, call: Call) -> None:
-        """Cancel a call whose client has gone, without notifying the sink."""
+        """Cancel a call whose client has disconnected, without notifying the sink."""
         if self._close_call(call):
             assert call.balancer is not None
             call.balancer.expired(self.now_us(), call.key)
--- a/eiderhub/dataplane/endpoint_connections.py
+++ b/eiderhub/dataplane/endpoint_connections.py
@@ -221,7 +221,7 @@
         return exchange
 
     async def can_connect(self) -> bool:
-        """Whether the endpoint accepts a connection, which is kept for the next request."""
+        """Whether the endpoint accepts a connection, which is pooled for the next request."""
         connection = await self._open_connection()
         if connection is None:
             return False
@@ -270,7 +270,7 @@
             connection.close()
 
     def close(self) -> None:
-        """Stop keeping connections, once the endpoint was removed; exchanges in progress continue."""
+        """Close idle connections and pool no more: the endpoint was removed. Running exchanges continue."""
         self._closed = True
         self.close_idle()
 
--- a/eiderhub/dataplane/items.py
+++ b/eiderhub/dataplane/items.py
@@ -267,7 +267,7 @@
         except TimeoutError:
             pass
         if self._tracker.accepted and not connection.closed:
-            await self._until_closed(connection)
+            await self._wait_until_closed(connection)
         self._connection = None
         connection.close()
         for future in self._calls.values():
@@ -275,7 +275,7 @@
                 future.set_result(Answer(0, HTTP_STATUS[ErrorKind.UNCERTAIN]))
         self._calls.clear()
 
-    async def _until_closed(self, connection: Connection) -> None:
+    async def _wait_until_closed(self, connection: Connection) -> None:
         while not connection.closed:
             self._session_changed.clear()
             await self._session_changed.wait()
--- a/eiderhub/programs/control_service.py
+++ b/eiderhub/programs/control_service.py
@@ -51,7 +51,7 @@
 from eiderhub.transport.wire_counts import WIRE_COUNTS
 
 PUBLISH_INTERVAL_S = 0.1  # between checks of the session table for changes
-SESSION_RECONNECT_S = 1.2  # for sessions to reconnect to a new primary before it publishes the node list
+SESSION_RECONNECT_GRACE_S = 1.2  # for sessions to reconnect to a new primary before it publishes nodes
 LIST_READS_PER_DRAIN = 3.0  # reads of the platform's endpoint list within `bounds.drain_ms`
 SESSIONS_KEY = "sessions"
 
@@ -302,7 +302,7 @@
         while True:
             await asyncio.sleep(PUBLISH_INTERVAL_S)
             try:
-                if self._leads() and self._now() - self._leading_since > SESSION_RECONNECT_S:
+                if self._leads() and self._now() - self._leading_since > SESSION_RECONNECT_GRACE_S:
                     await self._storage_group.update(self._storage_nodes(), self.operator.retire_orders())
                     await self.group.commit(self._publish_nodes)
             except (NotPrimary, CommitOutcomeUnknown):
--- a/eiderhub/programs/edge_service.py
+++ b/eiderhub/programs/edge_service.py
@@ -58,7 +58,7 @@
         self._endpoints_version = self.tables.endpoints.version
         self._admissions: dict[str, Admission] = {}
         self._call_numbers = itertools.count(1)
-        self._drain: Drain | None = None  # set once the process is told to stop
+        self._drain: Drain | None = None  # set once the process has received a stop signal
         self.last_request_at = 0.0
         self._early_requests: EarlyRequests[ClientExchange] = EarlyRequests()
         self._early_timer: asyncio.TimerHandle | None = None
--- a/eiderhub/programs/operator_service.py
+++ b/eiderhub/programs/operator_service.py
@@ -22,7 +22,7 @@
 from eiderhub.transport.group import CommitOutcomeUnknown, GroupDriver, NotPrimary
 from eiderhub.transport.operator_calls import Call, Reply
 
-STORAGE_IDENTITY_PREFIX = "storage/known/"  # identities of storage nodes seen so far, by node name
+STORAGE_IDENTITY_PREFIX = "storage/known/"  # identities of all storage nodes so far, by node name
 CONFIG_PATH, STATUS_PATH, RETIRE_PATH = "/config", "/status", "/retire/"
 
 log = logging.getLogger("operator")
@@ -138,26 +138,26 @@
         return Reply(HTTPStatus.OK, newest.body)
 
     async def _change_configuration(self, call: Call) -> Reply:
-        base = call.if_match.strip().strip('"')
-        if not base.isdigit():
+        base_generation = call.if_match.strip().strip('"')
+        if not base_generation.isdigit():
             return self._refusal_reply(Refusal(ErrorKind.INVALID, "If-Match: must be a generation"))
         future: asyncio.Future[PendingChangeResult] = asyncio.get_running_loop().create_future()
-        self.change_processor.submit(Change(int(base), call.method == "PATCH", call.body), future)
+        self.change_processor.submit(Change(int(base_generation), call.method == "PATCH", call.body), future)
         self._group.flush()
-        answer = await future
-        if answer.outcome is ChangeOutcome.REFUSED and answer.refusal is not None:
-            return self._refusal_reply(answer.refusal)
-        if answer.outcome is ChangeOutcome.NOT_PRIMARY:
+        result = await future
+        if result.outcome is ChangeOutcome.REFUSED and result.refusal is not None:
+            return self._refusal_reply(result.refusal)
+        if result.outcome is ChangeOutcome.NOT_PRIMARY:
             return self._redirect(call)
-        if answer.outcome is ChangeOutcome.UNKNOWN:
+        if result.outcome is ChangeOutcome.UNKNOWN:
             return Reply(HTTPStatus.GATEWAY_TIMEOUT)
         return Reply(HTTPStatus.OK)
 
     def resolve_changes(self) -> None:
         """Resolve pending changes; called after each step of the replica."""
-        for answer in self.change_processor.step(self._group.now()):
-            if not answer.caller.done():  # the caller may have been cancelled
-                answer.caller.set_result(answer)
+        for result in self.change_processor.step(self._group.now()):
+            if not result.caller.done():  # the caller may have been cancelled
+                result.caller.set_result(result)
 
     # --- retirement ---
 
--- a/eiderhub/storage/store.py
+++ b/eiderhub/storage/store.py
@@ -79,7 +79,7 @@
                 self._check_readable()
             self._open()
             if self.created:
-                self._initialise(folder, identity)
+                self._initialize(folder, identity)
         except (lmdb.Error, OSError, msgspec.DecodeError) as error:
             raise StoreUnusable(f"{path}: {error}") from error
 
@@ -97,7 +97,7 @@
                     active = int(transaction.get(ACTIVE_KEY, db=meta) or 0)
                 data = environment.open_db(TABLES[active], create=False)
             except lmdb.NotFoundError:
-                return  # created, but never initialised
+                return  # created, but never initialized
             with environment.begin() as transaction:
                 record_format = decode_format(transaction.get(FORMAT_KEY.encode(), db=data))
         if version != STORE_VERSION:
@@ -136,7 +136,7 @@
         # The state that was just read may not be durable yet, and is reported as durable from here on.
         self._environment.sync(True)
 
-    def _initialise(self, folder: Path, identity: str) -> None:
+    def _initialize(self, folder: Path, identity: str) -> None:
         self.identity = identity
         with self._environment.begin(write=True) as transaction:
             transaction.put(VERSION_KEY, str(STORE_VERSION).encode(), db=self._meta)
@@ -153,7 +153,7 @@
         with self._environment.begin() as transaction:
             version = transaction.get(VERSION_KEY, db=self._meta)
             if version is None:
-                self.created = True  # the file exists, but was never initialised
+                self.created = True  # the file exists, but was never initialized
             self.identity = (transaction.get(IDENTITY_KEY, db=self._meta) or b"").decode()
             self._epoch = int(transaction.get(EPOCH_KEY, db=self._meta) or 0)
             position = transaction.get(POSITION_KEY, db=self._meta)
--- a/eiderhub/transport/control_session.py
+++ b/eiderhub/transport/control_session.py
@@ -168,14 +168,14 @@
             self._on_load(message.calls)
         elif isinstance(message, TableUpdate):
             if self._tables.lacks_base_of(message):
-                connection.close()  # the next session starts from the version that is held here
+                connection.close()  # the next session starts from the version that this process has
                 return
             applied = self._tables.apply(message)
             if self._tables.needs_whole:
                 log.error("configuration delta could not be applied; requesting the full configuration")
                 connection.close()
             elif applied and not self._update_scheduled:
-                # Updates of one event loop turn are applied together: only the newest state counts.
+                # Updates of one event loop iteration are applied together: only the newest state counts.
                 self._update_scheduled = True
                 asyncio.get_running_loop().call_soon(self._notify_update)
 
--- a/eiderhub/transport/group.py
+++ b/eiderhub/transport/group.py
@@ -91,8 +91,8 @@
     def now() -> float:
         """The monotonic clock.
 
-        The event loop's time does not advance within a turn: after being suspended in one, a process could
-        take an expired lease to be valid.
+        The event loop's time does not advance within an iteration: after being suspended in one, a process
+        could take an expired lease to be valid.
         """
         return time.monotonic()
 
@@ -138,8 +138,8 @@
         """Change an in-memory table; return once its writes and all earlier ones are committed.
 
         `change` is called only while this replica leads, and the writes that it returns are queued in the
-        same event loop turn. They are then either stored, or the epoch ends and the tables are discarded with
-        it, so a table is never ahead of the store within an epoch.
+        same event loop iteration. They are then either stored, or the epoch ends and the tables are discarded
+        with it, so a table is never ahead of the store within an epoch.
 
         Raises:
             NotPrimary: nothing was changed, or the epoch has ended.
