--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -104,7 +104,7 @@
 SLOW_WEIGHT, MAX_SLOWNESS = 0.2, 4.0  # weight of the newest latency relative to the fleet's; its range
 COLD_SHARE = 0.8  # share of a cold endpoint's permitted load that all instances together use
 RATE_RISE_WEIGHT, RATE_FALL_WEIGHT = 0.2, 0.01  # weight of the newest window in a pool's rate
-OUTLIER_SLOWNESS = 2.0  # endpoints slower than this are left out of the ratio and the cap
+OUTLIER_SLOWNESS = 2.0  # endpoints slower than this are excluded from the ratio and the cap
 
 # --- connections ---
 IDLE_BUCKET_US, IDLE_BUCKETS = 500_000, 5  # idle times are grouped by doublings of this
@@ -331,7 +331,7 @@
             return
         median = self.round.upper_quantile(0.5)
         self.median += (MEDIAN_WEIGHT if self.median else 1.0) * (median - self.median)
-        # After a start under overload, max_baseline keeps slow calls from being taken for the normal state.
+        # After a start under overload, max_baseline keeps slow calls from counting as the normal state.
         # Drift while the cap binds would raise the baseline by the queueing it causes, and so the cap.
         drift = 1.0 if self.was_binding and self.cap > self.min_cap else BASELINE_DRIFT
         self.baseline = min(self.baseline * drift if self.baseline else self.max_baseline, self.median)
@@ -413,7 +413,7 @@
         self.on_trial = False  # ejected, and no call succeeded since
 
     def back_off(self, now: int, sent_at: int, jitter: float) -> None:
-        """Pause sending, as the endpoint is full, draining or gone."""
+        """Pause sending, as the endpoint is full, draining or unreachable."""
         # An endpoint that rejects calls at once looks idle and would attract more calls than its peers.
         if sent_at < self.backoff_start:  # sent before the last pause began
             return
@@ -744,7 +744,7 @@
         )
 
     def restore(self, now_us: int, memory: Memory) -> None:
-        """Take over the state of the previous process; called after the first list."""
+        """Restore the state of the previous process; called after the first list."""
         # Without it a new process sends to hung endpoints, and refuses calls by caps not yet learned.
         if len(memory.pools) == len(self._limits()):  # an older version may have other pools
             for limit, pool in zip(self._limits(), memory.pools, strict=True):
--- a/eiderhub/batch/scheduler.py
+++ b/eiderhub/batch/scheduler.py
@@ -147,7 +147,7 @@
     def _within_limits(self, worker: Worker) -> bool:
         """Whether the limits over all sidecars allow one more item there.
 
-        While no sidecar makes progress, each one is tried whatever capacity is left.
+        While no sidecar makes progress, each one is tried regardless of the remaining capacity.
         """
         if worker.is_proven(self._now):
             return min(self._start_allowance, self._capacity_left) > 0
--- a/eiderhub/control/freshness.py
+++ b/eiderhub/control/freshness.py
@@ -21,7 +21,7 @@
     def record_answer(self, sent_at: float, age_s: float | None) -> None:
         """Record the answer to the ping sent at `sent_at`; `age_s` is the age of the answering node's tables.
 
-        None: the answering node cannot tell.
+        None: the answering node cannot bound the age.
         """
         if age_s is not None:
             self._current_at = max(self._current_at, sent_at - age_s)
--- a/eiderhub/control/messages.py
+++ b/eiderhub/control/messages.py
@@ -89,7 +89,7 @@
 class SessionPong(Struct, tag=True, frozen=True):
     """Confirms the age of the tables that were sent on this session before this message.
 
-    They are what the primary had `age_s` seconds ago, or newer. None: the control node cannot tell.
+    They are what the primary had `age_s` seconds ago, or newer. None: the control node cannot bound the age.
     """
 
     sent_at: float  # copied from the ping
--- a/eiderhub/coordination/roster.py
+++ b/eiderhub/coordination/roster.py
@@ -1,7 +1,7 @@
 """The replicas that may form a group: which are connected, which replace another, and which must leave.
 
 Performs no I/O. A replica is identified by `name@host:port`, generated when its disk is initialized. A
-replica that lost its disk comes back at the same address with a new identity.
+replica that lost its disk returns at the same address with a new identity.
 """
 
 from __future__ import annotations
--- a/eiderhub/programs/storage_service.py
+++ b/eiderhub/programs/storage_service.py
@@ -275,7 +275,7 @@
         self._assign_items()
 
     async def _commit_error_counts(self, job: str) -> None:
-        """Replicate the failure counts of a job's items, so that the next primary knows them."""
+        """Replicate the failure counts of a job's items, so that the next primary has them."""
         try:
             await self.group.commit(lambda: self._jobs.error_writes(job))
         except (NotPrimary, CommitOutcomeUnknown):
