--- a/eiderhub/control/sessions.py
+++ b/eiderhub/control/sessions.py
@@ -1,6 +1,6 @@
 """The session table: the running processes, known by their sessions with control nodes.
 
-This module does no I/O. The primary merges its own sessions with those that other control nodes report.
+Performs no I/O. The primary merges its own sessions with those that other control nodes report.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 from eiderhub.control.messages import NodeRecord
 
-SESSION_TIMEOUT_S = 1.5  # a session that is silent for longer has ended
+SESSION_TIMEOUT_S = 1.5  # a session without a ping for longer has ended
 SIDECAR_ROLE = "edge"  # role of sidecars, which are published as a count, not by name
 RESTORED_REPORTER = "restored"  # reporter name of the nodes restored from an earlier primary
 
--- a/eiderhub/coordination/messages.py
+++ b/eiderhub/coordination/messages.py
@@ -81,8 +81,8 @@
     epoch: int
     position: Position
     trial: bool
-    transfer: bool = False  # the current primary is handing over its leadership
-    unled: bool = False  # every member has said that it follows no primary: no lease can be valid
+    transfer: bool = False  # the current primary is transferring its leadership
+    unled: bool = False  # every member has reported that it follows no primary: no lease can be valid
 
 
 class EpochAnswer(Struct, tag=True, frozen=True):
--- a/eiderhub/transport/group.py
+++ b/eiderhub/transport/group.py
@@ -91,8 +91,8 @@
     def now() -> float:
         """The monotonic clock.
 
-        The event loop's time does not advance within a turn: after being suspended in one, a process could
-        take an expired lease to be valid.
+        The event loop's time does not advance within an iteration: after being suspended in one, a process
+        could take an expired lease to be valid.
         """
         return time.monotonic()
 
@@ -138,8 +138,8 @@
         """Change an in-memory table; return once its writes and all earlier ones are committed.
 
         `change` is called only while this replica leads, and the writes that it returns are queued in the
-        same event loop turn. They are then either stored, or the epoch ends and the tables are discarded with
-        it, so a table is never ahead of the store within an epoch.
+        same event loop iteration. They are then either stored, or the epoch ends and the tables are discarded
+        with it, so a table is never ahead of the store within an epoch.
 
         Raises:
             NotPrimary: nothing was changed, or the epoch has ended.
@@ -201,8 +201,8 @@
     # --- connections ---
 
     def on_link_open(self, link: OutboundLink) -> None:
-        known = self.replica.members | set(self._incoming)
-        for identity in sorted(known):
+        identities = self.replica.members | set(self._incoming)
+        for identity in sorted(identities):
             if address_of(identity) == link.target:
                 self.replica.on_connected(self.now(), identity)
         self._process_changes()
@@ -261,11 +261,11 @@
             self._process_changes()
 
     def _log_unreadable_format(self) -> None:
-        form = self.replica.unreadable_format
-        if form is not None and not self._unreadable_logged:
+        record_format = self.replica.unreadable_format
+        if record_format is not None and not self._unreadable_logged:
             self._unreadable_logged = True
             log.error("the group writes records of form %d, which this program does not read: start a newer "
-                      "program", form)  # fmt: skip
+                      "program", record_format)  # fmt: skip
 
     def _send_outbox(self) -> None:
         outbox, self.replica.outbox = self.replica.outbox, []
