--- a/eiderhub/registry/calls.py
+++ b/eiderhub/registry/calls.py
@@ -1,10 +1,10 @@
-"""The calls between the list service, its followers and its clients: bodies as JSON, and their headers.
+"""HTTP API of the list service for its clients and followers: paths, headers and JSON bodies.
 
-GET  /discovery/hosts[?after&wait_ms&service&tier&view]   PROTOCOL's list and watch
-POST /registry/put, drain, remove, renew                  writes
-POST /registry/zone                                       an operator's order on a zone, or its end
-GET  /registry/zones?service                              zones, their endpoints, the orders in force
-GET  /registry/feed?after&wait_ms                         changes, for followers
+GET  /discovery/hosts[?after&wait_ms&service&tier&view]   list or long poll, as PROTOCOL defines it
+POST /registry/put, drain, remove, renew                  write requests
+POST /registry/zone                                       set or end an operator's order on a zone
+GET  /registry/zones?service                              zones with their endpoint counts and active orders
+GET  /registry/feed?after&wait_ms                         changes for followers
 GET  /registry/status
 """
 
@@ -20,15 +20,15 @@
 PUT, DRAIN, REMOVE, RENEW = "/registry/put", "/registry/drain", "/registry/remove", "/registry/renew"
 ZONE, ZONES = "/registry/zone", "/registry/zones"
 LIST, FEED, STATUS = "/discovery/hosts", "/registry/feed", "/registry/status"
-MOST_WAIT_MS = 60_000
-MOST_RENEWED = 1000  # records in one call
+MAX_WAIT_MS = 60_000
+MAX_RENEWED_RECORDS = 1000
 
-# Headers of answers and, the first, of calls: whose past the version in the call belongs to.
-IDENTITY = b"registry-id"
-BRANCH = b"registry-branch"
-CONTINUES = b"registry-continues"  # 0: not with ours
-AGE_MS = b"registry-age-ms"  # the list may be so old
-CALLERS = b"registry-callers"  # that the service has
+# Headers of answers. Registry-Branch is also sent by callers, as IDENTITY/BRANCH of the version in `after`.
+IDENTITY_HEADER = b"registry-id"
+BRANCH_HEADER = b"registry-branch"
+CONTINUES_HEADER = b"registry-continues"  # 0: the caller's version is not part of this service's history
+AGE_MS_HEADER = b"registry-age-ms"  # upper bound on the age of the list
+CALLERS_HEADER = b"registry-callers"  # open connections to the service
 
 
 class PutCall(Struct, rename="camel", frozen=True, kw_only=True):
@@ -36,8 +36,8 @@
     if_version: Version | None = None
 
 
-class Named(Struct, rename="camel", frozen=True, kw_only=True):
-    """A record that is there; no owner: an operator asks."""
+class RecordReference(Struct, rename="camel", frozen=True, kw_only=True):
+    """Identifies an existing record. Without an owner the request is an operator's."""
 
     service: Name = "default"
     tier: Name = "default"
@@ -45,38 +45,38 @@
     owner: NameOrNone | None = None
 
 
-class RecordCall(Named, rename="camel", frozen=True, kw_only=True):
-    """For drain and remove."""
+class RecordCall(RecordReference, rename="camel", frozen=True, kw_only=True):
+    """Body of drain and remove requests."""
 
     if_version: Version | None = None
-    undo: bool = False  # a drain
+    undo: bool = False  # of a drain
 
 
 class OverCall(Struct, rename="camel", frozen=True, kw_only=True):
-    """The order on this zone ends now."""
+    """Ends the order on a zone immediately."""
 
     service: Name = "default"
     zone: Name
 
 
-class RenewCall(Struct, rename="camel", frozen=True, kw_only=True):
-    records: Annotated[list[Named], Meta(min_length=1, max_length=MOST_RENEWED)]
+class RenewRequest(Struct, rename="camel", frozen=True, kw_only=True):
+    records: Annotated[list[RecordReference], Meta(min_length=1, max_length=MAX_RENEWED_RECORDS)]
 
 
 class ZoneCall(Struct, rename="camel", frozen=True, kw_only=True):
-    """One of the two."""
+    """Exactly one of `order` and `over`."""
 
     order: Order | None = None
     over: OverCall | None = None
-    force: bool = False  # though no other zone would serve a tier
+    force: bool = False  # even if some tier has no ready endpoint in another zone
 
     def __post_init__(self) -> None:
         if (self.order is None) == (self.over is None):
-            raise ValueError("one of order and over is needed")
+            raise ValueError("exactly one of order and over is required")
 
 
 class ZoneState(Struct, rename="camel", frozen=True, kw_only=True):
-    """A zone as the service has it."""
+    """Endpoints of one zone, and the active order on it."""
 
     zone: str
     region: str
@@ -92,21 +92,21 @@
 
 
 class Done(Struct, rename="camel", frozen=True, kw_only=True):
-    """What a write came to."""
+    """Answer to a write request."""
 
     version: int = 0  # of the record
-    why: str = ""  # it was refused
+    why: str = ""  # reason for a refusal; empty on success
 
 
-class Renewed(Struct, rename="camel", frozen=True, kw_only=True):
-    """For each record of the call, in its order: 200, or why not."""
+class RenewResponse(Struct, rename="camel", frozen=True, kw_only=True):
+    """Status and reason of refusal for each record, in the order of the request."""
 
     statuses: list[int]
     why: list[str]
 
 
-class Feed(Struct, rename="camel", frozen=True, kw_only=True):
-    """What a follower is told: changes that follow its version, or all there is."""
+class FeedResponse(Struct, rename="camel", frozen=True, kw_only=True):
+    """Changes after the follower's version, or a full image."""
 
     identity: str
     version: int
@@ -125,8 +125,8 @@
     callers: int
     watches: int
     age_ms: int
-    main: str  # that a follower follows
-    writes: int  # made durable since the start
+    main: str  # address of the main service; empty on the main service itself
+    writes: int  # changes made durable since the start
     syncs: int
-    refused: int  # calls over a bound
-    store_failing: str  # why writes fail now
+    refused: int  # requests refused because of a limit
+    store_failing: str  # reason why writes currently fail
--- a/eiderhub/registry/client.py
+++ b/eiderhub/registry/client.py
@@ -1,4 +1,7 @@
-"""Clients of the list service on sockets: calls, the watch on a list, and registration. `belief` decides."""
+"""Clients of the list service: single requests, watching a list, and registering an endpoint.
+
+`AdoptedList` decides whether a received list is adopted; this module does the I/O.
+"""
 
 from __future__ import annotations
 
@@ -21,13 +24,13 @@
 from eiderhub.registry.records import DiscoveryResponse, Entry, Record
 from eiderhub.registry.settings import Follow, Register
 
-CONNECT_S = 1.0
-CALL_S = 2.0  # for an answer that need not wait for news
-PATIENCE_S = 1.0  # a watch's answer may be late by so much
-WAIT_FROM = 0.8  # watches wait at least this part of their time: they must not come back in step
-DOUBT_S = 1.0  # a list that is doubted is asked for again after about so long
-DRAIN_AGAIN_S = 0.3  # a drain that nobody has heard is told again
-RENEW_PART = 1 / 3  # of a lease: then it is renewed
+CONNECT_TIMEOUT_S = 1.0
+CALL_TIMEOUT_S = 2.0  # of requests that are not long polls
+WATCH_GRACE_S = 1.0  # how much later than its wait a long poll may be answered
+WAIT_FROM = 0.8  # lower bound of the random wait, so that long polls of many clients don't end together
+UNCONFIRMED_RETRY_S = 1.0  # mean delay until a list that needs confirmation is fetched again
+DRAIN_RETRY_S = 0.3  # mean delay between attempts to report a drain
+RENEW_PART = 1 / 3  # of the lease duration
 log = structlog.get_logger()
 T = TypeVar("T")
 
@@ -37,16 +40,16 @@
 
 
 class Refused(Exception):
-    """The service has answered no."""
+    """The service answered with a status other than 200."""
 
-    def __init__(self, status: int, why: str, version: int = 0, retry_s: float = 0.0) -> None:
-        super().__init__(why or f"answered {status}")
+    def __init__(self, status: int, reason: str, version: int = 0, retry_after_s: float = 0.0) -> None:
+        super().__init__(reason or f"answered {status}")
         self.status = status
         self.version = version
-        self.retry_s = retry_s
+        self.retry_after_s = retry_after_s
 
 
-def request(address: Address, method: str, path: str, body: bytes | None, *headers: str) -> bytes:
+def encode_request(address: Address, method: str, path: str, body: bytes | None, *headers: str) -> bytes:
     lines = [f"{method} {path} HTTP/1.1", f"Host: {address}", *headers]
     if body is not None:
         lines.append(f"Content-Length: {len(body)}")
@@ -54,48 +57,52 @@
 
 
 class Line:
-    """Kept connections to one address of the service."""
+    """Sends requests to one address of the service over pooled connections."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        self._pool = Pool(address.host, address.port, CONNECT_S)
+        self._pool = Pool(address.host, address.port, CONNECT_TIMEOUT_S)
 
-    async def get(self, path: str, query: dict[str, Any], wait_s: float, *headers: str) -> Reply:
-        """Raises Unanswered."""
-        told = urlencode({name: value for name, value in query.items() if value is not None})
-        data = request(self.address, "GET", f"{path}?{told}" if told else path, None, *headers)
-        return await fetch(self._pool, data, wait_s)
+    async def get(self, path: str, query: dict[str, Any], timeout_s: float, *headers: str) -> Reply:
+        """Raises NoReplyError."""
+        encoded_query = urlencode({name: value for name, value in query.items() if value is not None})
+        data = encode_request(
+            self.address, "GET", f"{path}?{encoded_query}" if encoded_query else path, None, *headers
+        )
+        return await fetch(self._pool, data, timeout_s)
 
-    async def post(self, path: str, call: msgspec.Struct, kind: type[T], wait_s: float = CALL_S) -> T:
-        """Raises Unanswered or Refused."""
-        data = request(self.address, "POST", path, msgspec.json.encode(call))
-        return read(await fetch(self._pool, data, wait_s), kind)
+    async def post(
+        self, path: str, body: msgspec.Struct, response_type: type[T], timeout_s: float = CALL_TIMEOUT_S
+    ) -> T:
+        """Raises NoReplyError or RequestRefusedError."""
+        data = encode_request(self.address, "POST", path, msgspec.json.encode(body))
+        return read(await fetch(self._pool, data, timeout_s), response_type)
 
     def close(self) -> None:
         self._pool.close()
 
 
-def read(reply: Reply, kind: type[T]) -> T:
-    """The body of an answer.
+def read(reply: Reply, body_type: type[T]) -> T:
+    """Decode the body of an answer.
 
     Raises:
-        Refused: for any other status than 200.
-        Unanswered: the body is none of a list service.
+        RequestRefusedError: the status is not 200.
+        NoReplyError: the body can't be decoded.
     """
     if reply.status != 200:
         try:
-            done = msgspec.json.decode(reply.body, type=calls.Done)
+            response = msgspec.json.decode(reply.body, type=calls.Done)
         except msgspec.DecodeError:
-            done = calls.Done()
-        raise Refused(reply.status, done.why, done.version, reply.retry_after_us / 1e6)
+            response = calls.Done()
+        raise Refused(reply.status, response.why, response.version, reply.retry_after_us / 1e6)
     try:
-        return msgspec.json.decode(reply.body, type=kind)
+        return msgspec.json.decode(reply.body, type=body_type)
     except msgspec.DecodeError as error:
-        raise Unanswered(f"no answer of a list service: {error}") from None
+        raise Unanswered(f"not a valid list service answer: {error}") from None
 
 
 class Answer(NamedTuple):
-    """A list as the service told it."""
+    """A list answer with the age and the number of callers that the service reported."""
 
     claim: Claim
     age_ms: int
@@ -103,92 +110,94 @@
 
 
 async def ask_list(
-    line: Line,
-    follow: Follow,
+    client: Line,
+    settings: Follow,
     after: int | None = None,
-    whose: str = "",
+    known_branch: str = "",
     wait_ms: int = 0,
 ) -> Answer:
-    """One list, or one watch's answer. `whose`: the identity and branch of `after`.
+    """Fetch a list, by long poll if `wait_ms` is set. `known_branch` is IDENTITY/BRANCH of `after`.
 
     Raises:
-        Unanswered, Refused
+        NoReplyError, RequestRefusedError
     """
     query = {
-        "service": follow.service,
-        "tier": follow.tier,
-        "view": follow.view or None,
+        "service": settings.service,
+        "tier": settings.tier,
+        "view": settings.view or None,
         "after": after,
         "wait_ms": wait_ms or None,
     }
-    headers = [f"Registry-Branch: {whose}"] if whose else []
-    wait_s = wait_ms / 1000 + (PATIENCE_S if wait_ms else CALL_S)
-    reply = await line.get(calls.LIST, query, wait_s, *headers)
+    headers = [f"Registry-Branch: {known_branch}"] if known_branch else []
+    timeout_s = wait_ms / 1000 + (WATCH_GRACE_S if wait_ms else CALL_TIMEOUT_S)
+    reply = await client.get(calls.LIST, query, timeout_s, *headers)
     response = read(reply, DiscoveryResponse)
 
-    def text(name: bytes) -> str:
+    def header_text(name: bytes) -> str:
         return reply.headers.get(name, b"").decode("latin-1")
 
-    def number(name: bytes) -> int:
-        value = text(name)
+    def header_number(name: bytes) -> int:
+        value = header_text(name)
         return int(value) if value.isascii() and value.isdigit() else 0
 
-    claim = Claim(
-        source=str(line.address),
-        identity=text(calls.IDENTITY),
-        branch=text(calls.BRANCH),
-        continues=text(calls.CONTINUES) != "0",
+    list_answer = Claim(
+        source=str(client.address),
+        identity=header_text(calls.IDENTITY_HEADER),
+        branch=header_text(calls.BRANCH_HEADER),
+        continues=header_text(calls.CONTINUES_HEADER) != "0",
         version=response.generation,
         whole=response.reset,
         entries=response.instances,
         steering=Steering(response.regions, tuple(response.orders)),
     )
-    return Answer(claim, number(calls.AGE_MS), number(calls.CALLERS))
+    return Answer(list_answer, header_number(calls.AGE_MS_HEADER), header_number(calls.CALLERS_HEADER))
 
 
 class Watch:
-    """Follows one list for good, through the failures of whoever serves it; `deliver` is told of changes."""
+    """Keeps one endpoint list up to date, with failover between addresses."""
 
     def __init__(
         self,
-        follow: Follow,
-        deliver: Callable[[Verdict], None],
+        settings: Follow,
+        on_change: Callable[[Verdict], None],
         rng: random.Random | None = None,
         told: Any = None,
     ) -> None:
-        """`told`: a logger, in place of the process's."""
-        self.follow = follow
+        """`on_change` receives the changes of the list. A given logger replaces the module's."""
+        self.settings = settings
         self._rng = rng or random.Random(secrets.randbits(64))
-        self.belief = Belief(follow.much_smaller, int(follow.believe_s * 1e6))
-        self._deliver = deliver
+        self.belief = Belief(settings.much_smaller, int(settings.believe_s * 1e6))
+        self._on_change = on_change
         self._log = told or log
-        self._lines = [Line(parse(address)) for address in follow.addresses]
-        self._sources = Sources(len(self._lines))
-        self._pace = Pace(self._rng, calls_per_s=follow.calls_per_s)
+        self._clients = [Line(parse(address)) for address in settings.addresses]
+        self._address_selector = Sources(len(self._clients))
+        self._backoff = Pace(self._rng, calls_per_s=settings.calls_per_s)
         self._task: asyncio.Task[None] | None = None
         self._as_of_us: int | None = None
-        self._failing = ""
-        self._odd = ""
-        self._writing: asyncio.Task[None] | None = None
+        self._last_error = ""
+        self._last_warning = ""
+        self._write_task: asyncio.Task[None] | None = None
 
     def age_us(self) -> int | None:
-        """The list in use is at most so old; None where none has come yet."""
+        """Upper bound on the age of the list in use; None before the first list."""
         return None if self._as_of_us is None else now_us() - self._as_of_us
 
     def recall(self) -> bool:
-        """Use the list that was kept on disk, where there is one that is not too old."""
-        if self.follow.keep is None:
+        """Adopt the list stored on disk if it is valid and recent enough; returns whether it was adopted."""
+        if self.settings.keep is None:
             return False
-        found = kept.read(self.follow.keep, self.follow.keep_for_s, kept.Whose.of(self.follow))
-        if isinstance(found, str):
-            self._log.warning("the kept list is not used", file=self.follow.keep, reason=found)
+        stored = kept.read(self.settings.keep, self.settings.keep_for_s, kept.Whose.of(self.settings))
+        if isinstance(stored, str):
+            self._log.warning("stored list not used", file=self.settings.keep, reason=stored)
             return False
         self.belief.begin(
-            now_us(), found.identity, found.branch, found.version, found.entries, found.steering
+            now_us(), stored.identity, stored.branch, stored.version, stored.entries, stored.steering
+        )
+        self._as_of_us = now_us() - int(stored.age_s * 1e6)
+        self._log.info(
+            "starting with the stored list", age_s=round(stored.age_s, 1), endpoints=len(stored.entries)
         )
-        self._as_of_us = now_us() - int(found.age_s * 1e6)
-        self._log.info("starts with the kept list", age_s=round(found.age_s, 1), endpoints=len(found.entries))
-        self._deliver(Verdict(True, True, found.entries, steered=True))
+        self._on_change(Verdict(True, True, stored.entries, steered=True))
         return True
 
     def start(self) -> None:
@@ -199,205 +208,224 @@
         if self._task is not None:
             self._task.cancel()
             self._task = None
-        for line in self._lines:
-            line.close()
+        for client in self._clients:
+            client.close()
 
-    def move(self, follow: Follow) -> None:
-        """Ask other addresses from now on; what is known of the list stays."""
+    def move(self, settings: Follow) -> None:
+        """Switch to other addresses and settings; the adopted list is kept."""
         running = self._task is not None
         self.stop()
-        self.follow = follow
-        self._lines = [Line(parse(address)) for address in follow.addresses]
-        self._sources = Sources(len(self._lines))
+        self.settings = settings
+        self._clients = [Line(parse(address)) for address in settings.addresses]
+        self._address_selector = Sources(len(self._clients))
         if running:
             self.start()
 
     async def _run(self) -> None:
         while True:
-            wait_s = await self._once()
-            if wait_s:
-                await asyncio.sleep(wait_s)
-
-    async def _once(self) -> float:
-        """One call; returns the seconds until the next one."""
-        line, belief = self._lines[self._sources.index], self.belief
-        asked_us = now_us()
-        whose = f"{belief.identity}/{belief.branch}" if belief.identity else ""
-        wait_ms = int(self.follow.wait_s * 1000 * self._rng.uniform(WAIT_FROM, 1.0))
-        # A doubted list is asked for whole: its changes would be told again at once.
-        plain = belief.doubts or not belief.version
+            delay_s = await self._fetch_once()
+            if delay_s:
+                await asyncio.sleep(delay_s)
+
+    async def _fetch_once(self) -> float:
+        """Fetch once and process the answer; returns the delay in seconds until the next fetch."""
+        client, adopted_list = self._clients[self._address_selector.index], self.belief
+        sent_us = now_us()
+        known_branch = f"{adopted_list.identity}/{adopted_list.branch}" if adopted_list.identity else ""
+        wait_ms = int(self.settings.wait_s * 1000 * self._rng.uniform(WAIT_FROM, 1.0))
+        # A list that awaits confirmation is fetched in full: a long poll would return its changes at once.
+        fetch_full = adopted_list.doubts or not adopted_list.version
         try:
-            if plain:
-                answer = await ask_list(line, self.follow)
+            if fetch_full:
+                reply = await ask_list(client, self.settings)
             else:
-                answer = await ask_list(line, self.follow, belief.version, whose, wait_ms)
+                reply = await ask_list(client, self.settings, adopted_list.version, known_branch, wait_ms)
         except (Unanswered, Refused) as error:
-            if str(error) != self._failing:
-                self._failing = str(error)
+            if str(error) != self._last_error:
+                self._last_error = str(error)
                 self._log.warning(
-                    "the list service does not answer", address=str(line.address), reason=str(error)
+                    "the list service does not answer", address=str(client.address), reason=str(error)
                 )
-            self._sources.failed(now_us())
-            least = error.retry_s if isinstance(error, Refused) else 0.0
-            return least * self._rng.uniform(0, 1) + self._pace.failed() / 1e6
-        if self._failing:
-            self._log.info("the list service answers", address=str(line.address))
-            self._failing = ""
+            self._address_selector.failed(now_us())
+            min_delay_s = error.retry_after_s if isinstance(error, Refused) else 0.0
+            return min_delay_s * self._rng.uniform(0, 1) + self._backoff.failed() / 1e6
+        if self._last_error:
+            self._log.info("the list service answers", address=str(client.address))
+            self._last_error = ""
         now = now_us()
-        self._pace.answered(answer.callers)
-        self._sources.answered(now)
-        return self._take(now, asked_us, answer)
-
-    def _take(self, now: int, asked_us: int, answer: Answer) -> float:
-        before = self.belief.version, self.belief.identity
-        verdict = self.belief.consider(now, answer.claim)
-        if verdict.why and verdict.why != self._odd:
-            what = "a list was adopted" if verdict.adopted else "a list was not adopted; ours stays in use"
-            self._log.warning(what, address=answer.claim.source, reason=verdict.why)
-        self._odd = verdict.why
-        if verdict.adopted:
-            self._as_of_us = asked_us - answer.age_ms * 1000
-        if verdict.entries or verdict.steered or (verdict.adopted and verdict.whole):
-            self._deliver(verdict)
-        if verdict.adopted:
-            if before != (self.belief.version, self.belief.identity):
-                self._keep()
+        self._backoff.answered(reply.callers)
+        self._address_selector.answered(now)
+        return self._consider(now, sent_us, reply)
+
+    def _consider(self, now: int, sent_us: int, reply: Answer) -> float:
+        previous = self.belief.version, self.belief.identity
+        result = self.belief.consider(now, reply.claim)
+        if result.why and result.why != self._last_warning:
+            event = (
+                "unexpected list adopted"
+                if result.adopted
+                else "list not adopted; the previous list stays in use"
+            )
+            self._log.warning(event, address=reply.claim.source, reason=result.why)
+        self._last_warning = result.why
+        if result.adopted:
+            self._as_of_us = sent_us - reply.age_ms * 1000
+        if result.entries or result.steered or (result.adopted and result.whole):
+            self._on_change(result)
+        if result.adopted:
+            if previous != (self.belief.version, self.belief.identity):
+                self._store_list()
             return 0.0
-        self._sources.other()
-        return DOUBT_S * self._rng.uniform(0.5, 1.5)
+        self._address_selector.other()
+        return UNCONFIRMED_RETRY_S * self._rng.uniform(0.5, 1.5)
 
-    def _keep(self) -> None:
-        """Write the list down, in a thread of its own: a disk may stand still."""
-        if self.follow.keep is None or self._writing is not None:
+    def _store_list(self) -> None:
+        """Store the list on disk, in a separate thread because disk I/O may stall."""
+        if self.settings.keep is None or self._write_task is not None:
             return
-        belief = self.belief
-        entries = list(belief.entries.values())
-        whose = kept.Whose.of(self.follow)
-        path, steering = self.follow.keep, belief.steering
+        adopted_list = self.belief
+        entries = list(adopted_list.entries.values())
+        scope = kept.Whose.of(self.settings)
+        path, zone_data = self.settings.keep, adopted_list.steering
 
         async def write() -> None:
             try:
                 await asyncio.to_thread(
-                    kept.write, path, whose, belief.identity, belief.branch, belief.version, entries, steering
+                    kept.write,
+                    path,
+                    scope,
+                    adopted_list.identity,
+                    adopted_list.branch,
+                    adopted_list.version,
+                    entries,
+                    zone_data,
                 )
             except OSError as error:
-                self._log.warning("the list was not kept", file=path, reason=error.strerror or str(error))
+                self._log.warning("storing the list failed", file=path, reason=error.strerror or str(error))
             finally:
-                self._writing = None
-            if belief.version and (list(belief.entries.values()), belief.steering) != (entries, steering):
-                self._keep()
+                self._write_task = None
+            if adopted_list.version and (list(adopted_list.entries.values()), adopted_list.steering) != (
+                entries,
+                zone_data,
+            ):
+                self._store_list()
 
-        self._writing = asyncio.get_running_loop().create_task(write())
+        self._write_task = asyncio.get_running_loop().create_task(write())
 
 
-class Writer:
-    """Writes to whichever of the addresses takes them: the main service may be any."""
+class FailoverWriter:
+    """Sends writes to the main service, which may be at any of the addresses."""
 
     def __init__(self, addresses: Sequence[Address], rng: random.Random | None = None) -> None:
-        self._lines = [Line(address) for address in addresses]
+        self._clients = [Line(address) for address in addresses]
         self._index = 0
-        self._pace = Pace(rng or random.Random(secrets.randbits(64)))
+        self._backoff = Pace(rng or random.Random(secrets.randbits(64)))
 
-    async def post(self, path: str, call: msgspec.Struct, kind: type[T], wait_s: float = CALL_S) -> T:
-        """One round over the addresses, from the one that answered last.
+    async def post(
+        self, path: str, body: msgspec.Struct, response_type: type[T], timeout_s: float = CALL_TIMEOUT_S
+    ) -> T:
+        """Try each address once, starting with the one that answered last.
 
         Raises:
-            Refused: by the main service.
-            Unanswered: none of them is the main service and answers.
+            RequestRefusedError: the main service refused the write.
+            RequestRefusedError: the last address tried is a follower (421) or unavailable (503).
+            NoReplyError: the last address tried did not answer.
         """
-        last: Exception = Unanswered("no address")
-        for _ in self._lines:
-            line = self._lines[self._index]
+        last_error: Exception = Unanswered("no address")
+        for _ in self._clients:
+            client = self._clients[self._index]
             try:
-                found = await line.post(path, call, kind, wait_s)
-                self._pace.answered(None)
-                return found
+                response = await client.post(path, body, response_type, timeout_s)
+                self._backoff.answered(None)
+                return response
             except Refused as error:
                 if error.status not in (421, 503):
-                    self._pace.answered(None)
+                    self._backoff.answered(None)
                     raise
-                last = error
+                last_error = error
             except Unanswered as error:
-                last = Unanswered(f"{line.address}: {error}")
-            self._index = (self._index + 1) % len(self._lines)
-        raise last
+                last_error = Unanswered(f"{client.address}: {error}")
+            self._index = (self._index + 1) % len(self._clients)
+        raise last_error
 
     def backoff_s(self) -> float:
-        return self._pace.failed() / 1e6
+        return self._backoff.failed() / 1e6
 
     def close(self) -> None:
-        for line in self._lines:
-            line.close()
+        for client in self._clients:
+            client.close()
 
 
 class Registration:
-    """Keeps one endpoint's record: put when it lives, renewed, and put again after an outage."""
+    """Registers one endpoint, renews its lease, and registers it again after an outage."""
 
     def __init__(
         self,
         record: Record,
         addresses: Sequence[Address],
-        alive: Callable[[], Coroutine[Any, Any, bool]],
-        every_s: float = 0.5,
+        is_alive: Callable[[], Coroutine[Any, Any, bool]],
+        check_interval_s: float = 0.5,
         told: Any = None,
     ) -> None:
-        """`alive` says whether the endpoint takes requests. `told`: a logger, in place of the process's."""
+        """`is_alive` checks whether the endpoint accepts requests. A given logger replaces the module's."""
         assert record.lease_ms is not None
         self.record = record
-        self._writer = Writer(addresses)
-        self._alive = alive
-        self._every_s = every_s
+        self._writer = FailoverWriter(addresses)
+        self._is_alive = is_alive
+        self._check_interval_s = check_interval_s
         self._log = told or log
         self._lease_s = record.lease_ms / 1000
         self._rng = random.Random(secrets.randbits(64))
-        self._held = False
-        self._dead = False  # whether the endpoint was found dead since it was put
+        self._has_record = False
+        self._was_dead = False  # whether the endpoint failed a check since it was registered
         self._task: asyncio.Task[None] | None = None
-        self.over = ""  # why it has ended for good
-        self.put = asyncio.Event()  # set once the record has been put
+        self.end_reason = ""  # why registration has ended permanently
+        self.put = asyncio.Event()  # set after the record was first put
 
     @property
-    def named(self) -> calls.RecordCall:
-        r = self.record
-        return calls.RecordCall(service=r.service, tier=r.tier, id=r.entry.instance_id, owner=r.owner)
+    def record_request(self) -> calls.RecordCall:
+        record = self.record
+        return calls.RecordCall(
+            service=record.service, tier=record.tier, id=record.entry.instance_id, owner=record.owner
+        )
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def abandon(self) -> None:
-        """As if the process had died: nothing more is said."""
+        """Stop without telling the service, as if the process had crashed."""
         if self._task is not None:
             self._task.cancel()
         self._writer.close()
 
     async def drain(self) -> None:
-        """It takes nothing new from now on, whoever may be away; renewals go on."""
+        """Mark the endpoint as draining, retrying until the service answers; lease renewals continue."""
         entry = msgspec.structs.replace(self.record.entry, lifecycle=Readiness.DRAINING)
         self.record = msgspec.structs.replace(self.record, entry=entry)
-        while self._held and not await self._try(calls.DRAIN):
-            await asyncio.sleep(DRAIN_AGAIN_S * self._rng.uniform(0.5, 1.5))
+        while self._has_record and not await self._post_change(calls.DRAIN):
+            await asyncio.sleep(DRAIN_RETRY_S * self._rng.uniform(0.5, 1.5))
 
     async def remove(self) -> None:
-        """It ends: the record goes, and this process does not come back."""
+        """Stop and remove the record; this process can't register again."""
         if self._task is not None:
             self._task.cancel()
-        if self._held:
-            await self._try(calls.REMOVE)
+        if self._has_record:
+            await self._post_change(calls.REMOVE)
         self._writer.close()
 
-    async def _try(self, path: str) -> bool:
-        """Whether the service has heard it, whatever it makes of it."""
+    async def _post_change(self, path: str) -> bool:
+        """Send a drain or remove request; returns whether the main service answered, even with a refusal."""
         try:
-            await self._writer.post(path, self.named, calls.Done)
+            await self._writer.post(path, self.record_request, calls.Done)
         except (Unanswered, Refused) as error:
-            self._log.warning("not told to the list service", call=path, reason=str(error))
+            self._log.warning("request to the list service failed", call=path, reason=str(error))
             return isinstance(error, Refused) and error.status not in (421, 503)
         return True
 
     async def _run(self) -> None:
-        while not self.over:
+        while not self.end_reason:
             try:
-                if not self._held:
+                if not self._has_record:
                     await asyncio.sleep(await self._register())
                 else:
                     await asyncio.sleep(self._lease_s * RENEW_PART * self._rng.uniform(0.8, 1.0))
@@ -408,99 +436,106 @@
                 )
                 await asyncio.sleep(min(self._writer.backoff_s(), self._lease_s * RENEW_PART))
             except Refused as error:
-                await self._refused(error)
+                await self._handle_refusal(error)
 
     async def _register(self) -> float:
-        """Put the record where the endpoint lives; returns the seconds until the next look."""
-        if not await self._lives():
-            return self._every_s
-        call = calls.PutCall(record=self.record)
-        await self._writer.post(calls.PUT, call, calls.Done)
-        self._held = True
+        """Put the record if the endpoint is alive; returns the delay in seconds until the next step."""
+        if not await self._check_alive():
+            return self._check_interval_s
+        request = calls.PutCall(record=self.record)
+        await self._writer.post(calls.PUT, request, calls.Done)
+        self._has_record = True
         self.put.set()
         self._log.info("registered", id=self.record.entry.instance_id, address=self.record.entry.host_port)
         return 0.0
 
-    async def _lives(self) -> bool:
-        """Whether the endpoint lives; one that was found dead in between has started anew."""
-        if not await self._alive():
-            self._dead = self._dead or self.put.is_set()
+    async def _check_alive(self) -> bool:
+        """Check the endpoint. One that comes back after a failed check counts as restarted."""
+        if not await self._is_alive():
+            self._was_dead = self._was_dead or self.put.is_set()
             return False
-        # That we did not look for long says nothing of it. Where it was only away, a slow start does no harm.
-        if self._dead:
-            self._dead = False
+        # Only a failed check counts, not a long gap between checks. If the endpoint was merely unreachable,
+        # treating it as restarted only makes clients ramp up its load slowly, which does no harm.
+        if self._was_dead:
+            self._was_dead = False
             entry = msgspec.structs.replace(self.record.entry, started_at_ms=time.time_ns() // 1_000_000)
             self.record = msgspec.structs.replace(self.record, entry=entry)
-            self._held = False
+            self._has_record = False
         return True
 
     async def _renew(self) -> None:
-        if not await self._lives():
-            self._log.warning("the endpoint does not answer; its lease is not renewed", id=self.named.id)
+        if not await self._check_alive():
+            self._log.warning("endpoint health check failed; lease not renewed", id=self.record_request.id)
             return
-        if not self._held:
+        if not self._has_record:
             return
-        call = calls.RenewCall(records=[_plain(self.named)])
-        renewed = await self._writer.post(calls.RENEW, call, calls.Renewed)
-        if renewed.statuses[0] != 200:
-            raise Refused(renewed.statuses[0], renewed.why[0])
-
-    async def _refused(self, error: Refused) -> None:
-        if error.status == 404:  # the service has lost it, or its lease had run out
-            self._held = False
-            self._log.warning("the list service does not have us; registering again", reason=str(error))
-        elif error.status in (409, 410) and self._held:
-            self.over = str(error)
-            self._log.error("the record is not ours any more; registration ends", reason=str(error))
+        request = calls.RenewRequest(records=[_renewal_reference(self.record_request)])
+        response = await self._writer.post(calls.RENEW, request, calls.RenewResponse)
+        if response.statuses[0] != 200:
+            raise Refused(response.statuses[0], response.why[0])
+
+    async def _handle_refusal(self, error: Refused) -> None:
+        if error.status == 404:  # the service has no such record, or its lease has expired
+            self._has_record = False
+            self._log.warning(
+                "the list service has no record of this endpoint; registering again", reason=str(error)
+            )
+        elif error.status in (409, 410) and self._has_record:
+            self.end_reason = str(error)
+            self._log.error(
+                "another process owns the record, or it was removed; registration ends", reason=str(error)
+            )
         elif error.status == 410 or error.status == 400:
-            self.over = str(error)
-            self._log.error("the list service does not take the record; registration ends", reason=str(error))
+            self.end_reason = str(error)
+            self._log.error("the list service refused the record; registration ends", reason=str(error))
         else:
             self._log.warning(
-                "the list service does not take the record now", status=error.status, reason=str(error)
+                "the list service can't take the record now", status=error.status, reason=str(error)
             )
-            await asyncio.sleep(max(error.retry_s, self._writer.backoff_s(), 0.2))
+            await asyncio.sleep(max(error.retry_after_s, self._writer.backoff_s(), 0.2))
 
 
-def _plain(named: calls.Named) -> calls.Named:
-    return calls.Named(service=named.service, tier=named.tier, id=named.id, owner=named.owner)
+def _renewal_reference(reference: calls.RecordReference) -> calls.RecordReference:
+    return calls.RecordReference(
+        service=reference.service, tier=reference.tier, id=reference.id, owner=reference.owner
+    )
 
 
-def record_of(register: Register, started_ms: int, owner: str | None = None) -> Record:
-    """The record that `[register]` describes; the owner's token is this process's own."""
+def record_of(settings: Register, started_ms: int, owner: str | None = None) -> Record:
+    """Build the record described by `[register]`; the default owner is a new random token."""
     entry = Entry(
-        instance_id=register.id,
-        host_port=register.address,
-        zone=register.zone,
-        machine_type=register.machine_type,
-        cell=register.cell,
-        weight=register.weight,
+        instance_id=settings.id,
+        host_port=settings.address,
+        zone=settings.zone,
+        machine_type=settings.machine_type,
+        cell=settings.cell,
+        weight=settings.weight,
         started_at_ms=started_ms,
     )
     return Record(
-        service=register.service,
-        tier=register.tier,
+        service=settings.service,
+        tier=settings.tier,
         entry=entry,
         owner=owner or secrets.token_hex(8),
-        lease_ms=register.lease_ms,
-        views=register.views,
-        region=register.region,
+        lease_ms=settings.lease_ms,
+        views=settings.views,
+        region=settings.region,
     )
 
 
-async def lives(address: Address, path: str, wait_s: float = 1.0) -> bool:
-    """Whether the endpoint takes connections and, where a path is told, answers 200 there."""
+async def lives(address: Address, path: str, timeout_s: float = 1.0) -> bool:
+    """Whether the endpoint accepts a connection and, if `path` is set, answers it with 200."""
     if not path:
         try:
-            async with asyncio.timeout(wait_s):
+            async with asyncio.timeout(timeout_s):
                 _, writer = await asyncio.open_connection(address.host, address.port)
         except (OSError, TimeoutError):
             return False
         writer.close()
         return True
-    pool = Pool(address.host, address.port, wait_s)
+    pool = Pool(address.host, address.port, timeout_s)
     try:
-        return (await fetch(pool, request(address, "GET", path, None), wait_s)).status == 200
+        return (await fetch(pool, encode_request(address, "GET", path, None), timeout_s)).status == 200
     except Unanswered:
         return False
     finally:
--- a/eiderhub/registry/config.py
+++ b/eiderhub/registry/config.py
@@ -1,4 +1,4 @@
-"""What a list service is told at its start: one TOML file."""
+"""Configuration file (TOML) of the list service."""
 
 from __future__ import annotations
 
@@ -11,26 +11,28 @@
 from eiderhub.reading import convert, parse
 from eiderhub.registry.names import Name, NameOrNone
 
-Count = Annotated[int, Meta(ge=1, le=10_000_000)]
+PositiveCount = Annotated[int, Meta(ge=1, le=10_000_000)]
 
 
 class Limits(Struct, frozen=True, kw_only=True):
-    """What callers may take together, and each of them."""
-
-    callers: Count = 5000  # connections
-    watches: Count = 4000  # calls that wait for news
-    writes: Count = 10_000  # calls that wait for the disk
-    records: Count = 100_000
-    body_bytes: Count = 1 << 20  # of a request
-    unsent_bytes: Count = 4 << 20  # of answers that a caller has not read yet,
-    reader_s: Annotated[float, Meta(gt=0, le=600)] = 5.0  # for so long
-    # After a start, callers of the platform's form that know more than the store are told to come back.
+    """Resource limits, over all callers or for each of them."""
+
+    callers: PositiveCount = 5000  # connections
+    watches: PositiveCount = 4000  # concurrent long polls
+    writes: PositiveCount = 10_000  # queued write requests
+    records: PositiveCount = 100_000
+    body_bytes: PositiveCount = 1 << 20  # of a request body
+    unsent_bytes: PositiveCount = 4 << 20  # of answers that a caller has not read yet
+    reader_s: Annotated[float, Meta(gt=0, le=600)] = (
+        5.0  # a connection with more unread bytes is closed after this time
+    )
+    # After a start, plain discovery clients with a newer list than the store's get a 503 for this long.
     settle_s: Annotated[float, Meta(ge=0, le=600)] = 5.0
-    history: Annotated[int, Meta(ge=16, le=1_000_000)] = 4096  # changes kept for watches
+    history: Annotated[int, Meta(ge=16, le=1_000_000)] = 4096  # changes kept in memory for watches
 
 
-class Serve(Struct, frozen=True, kw_only=True):
-    """One more address, where the platform's plain discovery calls list one tier, as seen in one view."""
+class ServeSettings(Struct, frozen=True, kw_only=True):
+    """An additional listen address with its own default service, tier and view for plain discovery calls."""
 
     listen: AddressText
     service: Name = "default"
@@ -42,27 +44,29 @@
     """The configuration file of `ottercleat registry serve`."""
 
     listen: AddressText
-    store: str | None = None  # a folder; a follower has none
-    follow: list[AddressText] = []  # the main service's addresses: this one is a follower
-    service: Name = "default"  # what plain discovery calls at `listen` ask for
+    store: str | None = None  # a folder; None for a follower
+    follow: list[AddressText] = []  # addresses of the main service; if set, this process is a follower
+    service: Name = "default"  # default for plain discovery calls at `listen`
     tier: Name = "default"
-    serve: list[Serve] = []
+    serve: list[ServeSettings] = []
     limits: Limits = Limits()
 
     def __post_init__(self) -> None:
         if self.store is None and not self.follow:
             raise ValueError('store: missing; name a folder, or the main service in `follow = ["HOST:PORT"]`')
         if self.store is not None and self.follow:
-            raise ValueError("store: a follower (follow) has none; leave one of the two out")
+            raise ValueError(
+                "store: can't be combined with follow, a follower has no store; remove one of them"
+            )
         if self.store == "":
             raise ValueError("store: must be the path of a folder")
 
 
 def read(path: str) -> Document:
-    """The configuration.
+    """Load the configuration file.
 
     Raises:
-        DocumentError: with all of its faults.
+        DocumentError: the file is invalid; lists all faults.
     """
     document, _ = parse(Path(path))
     return convert(document, Document, path, people=True)
--- a/eiderhub/registry/following.py
+++ b/eiderhub/registry/following.py
@@ -1,4 +1,7 @@
-"""A follower: keeps a core like the main service's, by its feed, and serves on when that is away."""
+"""Follower: replicates the core of the main service through its feed.
+
+The follower keeps serving lists while the main service is unavailable.
+"""
 
 from __future__ import annotations
 
@@ -11,85 +14,89 @@
 from eiderhub.http1 import Unanswered
 from eiderhub.registry import calls
 from eiderhub.registry.belief import Pace, Sizes, Sources
-from eiderhub.registry.client import DOUBT_S, PATIENCE_S, Line, Refused, now_us, read
+from eiderhub.registry.client import UNCONFIRMED_RETRY_S, WATCH_GRACE_S, Line, Refused, now_us, read
 from eiderhub.registry.core import Core, is_ready
-from eiderhub.registry.server import Service
+from eiderhub.registry.server import RegistryServer
 
-WAIT_MS = 1000  # a list is known to be no older than the last call that was answered, so calls are short
+WAIT_MS = 1000  # short, because the age of the list is bounded by the time of the last answered request
 log = structlog.get_logger()
 
 
-class Following:
-    """Feeds a service that has no store."""
+class Follower:
+    """Updates the core of a server that has no store."""
 
-    def __init__(self, service: Service, addresses: list[str], rng: random.Random) -> None:
-        self._service = service
+    def __init__(self, server: RegistryServer, addresses: list[str], rng: random.Random) -> None:
+        self._server = server
         self._rng = rng
-        self._lines = [Line(parse(address)) for address in addresses]
-        self._sources = Sources(len(self._lines))
-        self._pace = Pace(rng)
-        self._sizes = Sizes()
-        self._failing = ""
-        self._odd = ""
+        self._clients = [Line(parse(address)) for address in addresses]
+        self._address_selector = Sources(len(self._clients))
+        self._backoff = Pace(rng)
+        self._shrink_guard = Sizes()
+        self._last_error = ""
+        self._last_refusal = ""
 
     async def run(self) -> None:
         try:
             while True:
-                if wait_s := await self._once():
-                    await asyncio.sleep(wait_s)
+                if delay_s := await self._fetch_feed():
+                    await asyncio.sleep(delay_s)
         finally:
-            for line in self._lines:
-                line.close()
+            for client in self._clients:
+                client.close()
 
-    async def _once(self) -> float:
-        core, line = self._service.core, self._lines[self._sources.index]
-        has = self._service.as_of_us is not None
-        asked_us = now_us()
-        headers = [f"Registry-Branch: {core.identity}/{core.branch}"] if has else []
+    async def _fetch_feed(self) -> float:
+        core, client = self._server.core, self._clients[self._address_selector.index]
+        has_list = self._server.as_of_us is not None
+        sent_us = now_us()
+        headers = [f"Registry-Branch: {core.identity}/{core.branch}"] if has_list else []
         try:
-            query = {"after": core.version, "wait_ms": WAIT_MS} if has else {}
-            reply = await line.get(calls.FEED, query, WAIT_MS / 1000 + PATIENCE_S, *headers)
-            feed = read(reply, calls.Feed)
+            query = {"after": core.version, "wait_ms": WAIT_MS} if has_list else {}
+            reply = await client.get(calls.FEED, query, WAIT_MS / 1000 + WATCH_GRACE_S, *headers)
+            feed = read(reply, calls.FeedResponse)
         except (Unanswered, Refused) as error:
-            if str(error) != self._failing:
-                self._failing = str(error)
-                log.warning("the main service does not answer", address=str(line.address), reason=str(error))
-            self._sources.failed(now_us())
-            return self._pace.failed() / 1e6
-        if self._failing:
-            log.info("the main service answers", address=str(line.address))
-            self._failing = ""
-        self._pace.answered(None)
-        self._sources.answered(now_us())
-        self._service.main = str(line.address)
-        refusal = self._take(core, feed, str(line.address))
+            if str(error) != self._last_error:
+                self._last_error = str(error)
+                log.warning(
+                    "the main service does not answer", address=str(client.address), reason=str(error)
+                )
+            self._address_selector.failed(now_us())
+            return self._backoff.failed() / 1e6
+        if self._last_error:
+            log.info("the main service answers", address=str(client.address))
+            self._last_error = ""
+        self._backoff.answered(None)
+        self._address_selector.answered(now_us())
+        self._server.main_address = str(client.address)
+        refusal = self._adopt(core, feed, str(client.address))
         if refusal:
-            if refusal != self._odd:
-                log.warning("the main service's list was not adopted; ours is served on", reason=refusal)
-            self._odd = refusal
-            return DOUBT_S * self._rng.uniform(0.5, 1.5)
-        self._odd = ""
-        self._service.as_of_us = asked_us
+            if refusal != self._last_refusal:
+                log.warning(
+                    "list of the main service not adopted; the previous list is still served", reason=refusal
+                )
+            self._last_refusal = refusal
+            return UNCONFIRMED_RETRY_S * self._rng.uniform(0.5, 1.5)
+        self._last_refusal = ""
+        self._server.as_of_us = sent_us
         return 0.0
 
-    def _take(self, core: Core, feed: calls.Feed, source: str) -> str:
-        """Carry out what the main service told; or why not."""
+    def _adopt(self, core: Core, feed: calls.FeedResponse, source: str) -> str:
+        """Apply the feed to the core; returns the reason if it is not adopted, else an empty string."""
         now = now_us()
         if feed.image is None:
-            first = feed.changes[0].version if feed.changes else core.version + 1
-            if feed.identity != core.identity or first <= core.version:
-                return "changes to a list that we do not have"
-            ready = core.ready_after(feed.changes)
-            if not self._sizes.believed(now, ready, feed.identity, source):
-                return f"{ready} ready endpoints where {self._sizes.reference(now)} were in use"
-            self._service.apply(feed.changes)
+            first_version = feed.changes[0].version if feed.changes else core.version + 1
+            if feed.identity != core.identity or first_version <= core.version:
+                return "the changes start from a version that this follower does not have"
+            ready_count = core.ready_after(feed.changes)
+            if not self._shrink_guard.believed(now, ready_count, feed.identity, source):
+                return f"{ready_count} ready endpoints where {self._shrink_guard.reference(now)} were in use"
+            self._server.apply(feed.changes)
         else:
             if feed.identity == core.identity and feed.version < core.version:
                 return f"version {feed.version} is older than {core.version}, which is in use"
-            ready = sum(map(is_ready, feed.image.records))
-            if not self._sizes.believed(now, ready, feed.identity, source):
-                return f"{ready} ready endpoints where {self._sizes.reference(now)} were in use"
+            ready_count = sum(map(is_ready, feed.image.records))
+            if not self._shrink_guard.believed(now, ready_count, feed.identity, source):
+                return f"{ready_count} ready endpoints where {self._shrink_guard.reference(now)} were in use"
             core.restore(now, feed.image)
-            self._service.replaced()
-        self._sizes.taken(now, core.ready)
+            self._server.image_restored()
+        self._shrink_guard.taken(now, core.ready)
         return ""
--- a/eiderhub/registry/names.py
+++ b/eiderhub/registry/names.py
@@ -1,4 +1,7 @@
-"""Names and bounds that the list service's records and configurations share; each sidecar imports these."""
+"""Field types and limits shared by the records and the configuration of the list service.
+
+Every sidecar imports this module, so it has no further dependencies.
+"""
 
 from __future__ import annotations
 
@@ -6,16 +9,16 @@
 
 from msgspec import Meta
 
-MOST_NAME = 128  # characters of a name
-MOST_VIEWS = 64  # other addresses of a record
+MAX_NAME_LENGTH = 128
+MOST_VIEWS = 64  # of one record
 MIN_LEASE_MS, MOST_LEASE_MS = 500, 600_000
-MIN_ORDER_MS, MOST_ORDER_MS = 1000, 30 * 86_400_000  # an order on a zone lasts so long
+MIN_ORDER_MS, MOST_ORDER_MS = 1000, 30 * 86_400_000  # duration of a zone order
 Name = Annotated[
     str,
-    Meta(pattern=r"^[A-Za-z0-9_.:@/-]+$", max_length=MOST_NAME, description="a plain name"),
+    Meta(pattern=r"^[A-Za-z0-9_.:@/-]+$", max_length=MAX_NAME_LENGTH, description="a plain name"),
 ]
 NameOrNone = Annotated[
     str,
-    Meta(pattern=r"^[A-Za-z0-9_.:@/-]*$", max_length=MOST_NAME, description="a plain name"),
+    Meta(pattern=r"^[A-Za-z0-9_.:@/-]*$", max_length=MAX_NAME_LENGTH, description="a plain name"),
 ]
 Lease = Annotated[int, Meta(ge=MIN_LEASE_MS, le=MOST_LEASE_MS)]
--- a/eiderhub/registry/process.py
+++ b/eiderhub/registry/process.py
@@ -1,4 +1,4 @@
-"""One process of the list service: opens its store or follows, and serves until SIGTERM."""
+"""Main function of a list service process: opens the store or follows the main service, until SIGTERM."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 import structlog
 
 from eiderhub.registry.config import Document
-from eiderhub.registry.following import Following
-from eiderhub.registry.server import Service, new_core, recover
+from eiderhub.registry.following import Follower
+from eiderhub.registry.server import RegistryServer, new_core, recover
 from eiderhub.registry.store import Folder, Store, StoreError
 
 log = structlog.get_logger()
@@ -22,25 +22,25 @@
     """Serve until SIGTERM or SIGINT.
 
     Raises:
-        StoreError: the store is damaged, open elsewhere, or can't be used.
-        OSError: an address can't be taken.
+        StoreError: the store is damaged, open in another process, or not accessible.
+        OSError: an address can't be bound.
     """
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signum, stop.set)
     core = new_core(config)
     if config.store is None:
-        service = Service(config, core, None)
-        await _until(stop, service, Following(service, config.follow, random.SystemRandom()))
+        service = RegistryServer(config, core, None)
+        await _serve_until(stop, service, Follower(service, config.follow, random.SystemRandom()))
         return
     folder = Folder(Path(config.store))
     try:
         try:
             store = Store(folder)
-            for note in store.contents.notes:
-                log.warning("the store was mended", reason=note)
+            for warning in store.contents.notes:
+                log.warning("store repaired at start", reason=warning)
             recover(core, store.contents)
         except ValueError as error:
             raise StoreError(f"{config.store}: {error}") from None
@@ -48,18 +48,18 @@
             raise StoreError(f"{config.store}/{error}") from None
         except OSError as error:
             raise StoreError(f"{config.store}: {error.strerror or error}") from None
-        await _until(stop, Service(config, core, store), None)
+        await _serve_until(stop, RegistryServer(config, core, store), None)
     finally:
         folder.close()
 
 
-async def _until(stop: asyncio.Event, service: Service, following: Following | None) -> None:
-    await service.open()
-    role = "follower" if following else "main"
-    log.info("serves", listen=service.config.listen, role=role, version=service.core.version)
-    task = asyncio.get_running_loop().create_task(following.run()) if following else None
+async def _serve_until(stop: asyncio.Event, server: RegistryServer, follower: Follower | None) -> None:
+    await server.open()
+    role = "follower" if follower else "main"
+    log.info("serves", listen=server.config.listen, role=role, version=server.core.version)
+    follower_task = asyncio.get_running_loop().create_task(follower.run()) if follower else None
     await stop.wait()
-    if task is not None:
-        task.cancel()
-    await service.close()
-    log.info("ended", version=service.core.version)
+    if follower_task is not None:
+        follower_task.cancel()
+    await server.close()
+    log.info("ended", version=server.core.version)
--- a/eiderhub/registry/server.py
+++ b/eiderhub/registry/server.py
@@ -1,4 +1,7 @@
-"""The list service on sockets: the core, its store, and those who call. It decides nothing itself."""
+"""HTTP server of the list service: connects callers to the core and its store.
+
+All decisions on records are made by `Core`; this module does the I/O.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 from eiderhub.interface import Readiness
 from eiderhub.reading import DocumentError, convert
 from eiderhub.registry import calls
-from eiderhub.registry.config import Document, Serve
+from eiderhub.registry.config import Document, ServeSettings
 from eiderhub.registry.core import Core, Decision, Refusal, Told, is_ready, listed
 from eiderhub.registry.records import (
     Change,
@@ -37,12 +40,12 @@
 from eiderhub.registry.store import Contents, Store
 from eiderhub.registry.watches import Watches
 
-LOOK_S = 0.25  # how often leases are looked at
-EXCESS = 64  # callers past the bound, to be told so
-BACKLOG = 1024
-CACHED = 64  # encoded answers that are kept
-BUSY_S = 1.0  # Retry-After where a bound is reached
-SNAPSHOT_AGAIN_S = 30.0  # after one that failed
+LEASE_CHECK_INTERVAL_S = 0.25
+MAX_EXCESS_CONNECTIONS = 64  # connections over the limit that get a 503; further ones are aborted
+LISTEN_BACKLOG = 1024
+MAX_CACHED_RESPONSES = 64
+BUSY_RETRY_AFTER_S = 1.0  # Retry-After of answers that a limit caused
+SNAPSHOT_RETRY_DELAY_S = 30.0  # after a failed snapshot
 log = structlog.get_logger()
 T = TypeVar("T")
 
@@ -51,8 +54,8 @@
     return time.monotonic_ns() // 1000
 
 
-class Write:
-    """A call that waits for its turn and for the disk; `key` is the record that it is about."""
+class PendingWrite:
+    """A queued write request; `key` identifies the record or zone order that it changes."""
 
     __slots__ = ("decide", "exchange", "key")
 
@@ -62,8 +65,8 @@
         self.decide = decide
 
 
-class Ask:
-    """A call for a list."""
+class ListRequest:
+    """A request for an endpoint list, possibly a long poll."""
 
     __slots__ = ("after", "branch", "exchange", "group", "view")
 
@@ -72,414 +75,454 @@
         self.group = group
         self.view = view
         self.after = after
-        self.branch = branch  # of that version; empty: a plain caller of the platform
+        self.branch = branch  # IDENTITY/BRANCH of `after`; empty for plain discovery clients
 
 
 def recover(core: Core, contents: Contents) -> None:
-    """Bring the core to where the store ends. Leases begin anew.
+    """Rebuild the core from the snapshot and log of the store. Every lease restarts in full.
 
     Raises:
-        ValueError: for a payload that is none, with its number.
+        ValueError: a payload can't be decoded; the text has its sequence number.
     """
-    number = 0
+    sequence = 0
     try:
         if contents.snapshot is not None:
-            number = contents.snapshot.sequence
+            sequence = contents.snapshot.sequence
             core.restore(now_us(), msgspec.json.decode(contents.snapshot.payload, type=Image))
         for frame in contents.frames:
-            number = frame.sequence
+            sequence = frame.sequence
             core.apply(now_us(), msgspec.json.decode(frame.payload, type=Change))
     except (msgspec.DecodeError, ValueError) as error:
-        raise ValueError(f"entry {number}: {error}") from None
+        raise ValueError(f"entry {sequence}: {error}") from None
 
 
-class Service:
-    """Answers callers. With a store it is the main service; without one `follow` must feed the core."""
+class RegistryServer:
+    """Serves requests. Without a store it is a follower, whose core `Follower` keeps up to date."""
 
     def __init__(self, config: Document, core: Core, store: Store | None) -> None:
         self.config = config
         self.core = core
         self._store = store
         self._limits = config.limits
-        self._bounds = Bounds(config.limits.body_bytes, config.limits.unsent_bytes, config.limits.reader_s)
+        self._connection_limits = Bounds(
+            config.limits.body_bytes, config.limits.unsent_bytes, config.limits.reader_s
+        )
         self._connections: set[ServerConnection] = set()
         self._listeners: list[asyncio.Server] = []
-        self._watches: Watches[Ask] = Watches()
-        self._feeds: dict[
-            Exchange, tuple[int, asyncio.TimerHandle]
-        ] = {}  # followers that wait, with their version
-        self._timer: asyncio.TimerHandle | None = None
-        self._writes: list[Write] = []
-        self._flushing: asyncio.Task[None] | None = None
-        self._disk = ThreadPoolExecutor(1, "store")
-        self._encoded: dict[tuple[Group, str, int | None, int], bytes] = {}
-        self._snapshot_s = 0.0  # not before
-        self._settled_us = 0
-        self.as_of_us: int | None = None  # a follower's list was the main's then; None: it has none
-        self.main = ""
-        self.failing = ""  # why the store takes nothing
-        self._tally = {"writes": 0, "syncs": 0, "refused": 0}
-        self._chores: list[asyncio.Task[None]] = []
+        self._watches: Watches[ListRequest] = Watches()
+        # Feed requests of followers that wait for changes, each with its version and time-out.
+        self._waiting_feeds: dict[Exchange, tuple[int, asyncio.TimerHandle]] = {}
+        self._watch_timer: asyncio.TimerHandle | None = None
+        self._pending_writes: list[PendingWrite] = []
+        self._flush_task: asyncio.Task[None] | None = None
+        self._store_executor = ThreadPoolExecutor(1, "store")
+        self._response_cache: dict[tuple[Group, str, int | None, int], bytes] = {}
+        self._next_snapshot_s = 0.0  # earliest monotonic time of the next snapshot
+        self._settled_at_us = 0
+        # When a follower's list was last known to match the main service's; None if it has no list.
+        self.as_of_us: int | None = None
+        self.main_address = ""
+        self.store_error = ""  # why the last append failed; empty if it succeeded
+        self._counters = {"writes": 0, "syncs": 0, "refused": 0}
+        self._background_tasks: list[asyncio.Task[None]] = []
 
     @property
-    def follows(self) -> bool:
+    def is_follower(self) -> bool:
         return self._store is None
 
-    # --- its life ---
+    # --- lifecycle ---
 
     async def open(self) -> None:
-        """Listen and serve.
+        """Start listening and serving.
 
         Raises:
-            OSError: an address can't be taken.
+            OSError: an address can't be bound.
         """
         loop = asyncio.get_running_loop()
-        plain = Serve(listen=self.config.listen, service=self.config.service, tier=self.config.tier)
-        for serve in (plain, *self.config.serve):
+        default_serve = ServeSettings(
+            listen=self.config.listen, service=self.config.service, tier=self.config.tier
+        )
+        for serve in (default_serve, *self.config.serve):
             address = parse(serve.listen)
             listener = await loop.create_server(
-                self._connected(serve), address.host, address.port, backlog=BACKLOG, start_serving=False
+                self._connection_factory(serve),
+                address.host,
+                address.port,
+                backlog=LISTEN_BACKLOG,
+                start_serving=False,
             )
             self._listeners.append(listener)
         if self._store is not None:
             await self._begin_branch()
-            self._chores.append(loop.create_task(self._look()))
+            self._background_tasks.append(loop.create_task(self._check_leases()))
         for listener in self._listeners:
             await listener.start_serving()
 
     async def _begin_branch(self) -> None:
         assert self._store is not None
-        self._settled_us = now_us() + int(self._limits.settle_s * 1e6)
+        self._settled_at_us = now_us() + int(self._limits.settle_s * 1e6)
         if self._store.sequence == 0:
-            # An empty store: its identity is durable before anybody hears of it.
-            await self._in_thread(self._store.snapshot, msgspec.json.encode(self.core.image()))
+            # Make the identity of a new store durable before any client can see it.
+            await self._run_in_store_thread(self._store.snapshot, msgspec.json.encode(self.core.image()))
         opened = self.core.open(now_us())
-        await self._in_thread(self._store.append, [msgspec.json.encode(opened)])
+        await self._run_in_store_thread(self._store.append, [msgspec.json.encode(opened)])
         self.core.apply(now_us(), opened)
 
-    async def _in_thread(self, work: Callable[..., T], *values: Any) -> T:
-        return await asyncio.get_running_loop().run_in_executor(self._disk, work, *values)
+    async def _run_in_store_thread(self, function: Callable[..., T], *arguments: Any) -> T:
+        return await asyncio.get_running_loop().run_in_executor(self._store_executor, function, *arguments)
 
     async def close(self) -> None:
-        """Finish what is being written, and end every connection."""
-        for chore in self._chores:
-            chore.cancel()
+        """Wait for running writes to finish, then close all connections."""
+        for task in self._background_tasks:
+            task.cancel()
         for listener in self._listeners:
             listener.close()
-        while self._flushing is not None:
-            await self._flushing
-        if self._timer is not None:
-            self._timer.cancel()
+        while self._flush_task is not None:
+            await self._flush_task
+        if self._watch_timer is not None:
+            self._watch_timer.cancel()
         for connection in list(self._connections):
             connection.transport.close()
-        self._disk.shutdown()
+        self._store_executor.shutdown()
 
-    def _connected(self, serve: Serve) -> Callable[[], ServerConnection]:
+    def _connection_factory(self, serve: ServeSettings) -> Callable[[], ServerConnection]:
         group = Group(serve.service, serve.tier)
 
-        def came(exchange: Exchange) -> None:
-            self._came(exchange, group, serve.view)
+        def on_exchange(exchange: Exchange) -> None:
+            self._handle_exchange(exchange, group, serve.view)
 
-        def make() -> ServerConnection:
-            return ServerConnection(came, now_us, self._connections, self._opened, self._bounds)
+        def create_connection() -> ServerConnection:
+            return ServerConnection(
+                on_exchange, now_us, self._connections, self._on_connection, self._connection_limits
+            )
 
-        return make
+        return create_connection
 
-    def _opened(self, connection: ServerConnection) -> None:
-        over = len(self._connections) - self._limits.callers
-        if over > EXCESS:
+    def _on_connection(self, connection: ServerConnection) -> None:
+        excess = len(self._connections) - self._limits.callers
+        if excess > MAX_EXCESS_CONNECTIONS:
             connection.transport.abort()
-        elif over > 0:
-            self._tally["refused"] += 1
-            connection.refuse(503, (b"Retry-After", b"%.3f" % BUSY_S))
+        elif excess > 0:
+            self._counters["refused"] += 1
+            connection.refuse(503, (b"Retry-After", b"%.3f" % BUSY_RETRY_AFTER_S))
 
-    # --- calls ---
+    # --- request handling ---
 
-    def _came(self, exchange: Exchange, group: Group, view: str) -> None:
+    def _handle_exchange(self, exchange: Exchange, group: Group, view: str) -> None:
         target = urlsplit(exchange.url.decode("latin-1"))
         routes: dict[str, tuple[bytes, Callable[..., None]]] = {
-            calls.LIST: (b"GET", self._list),
-            calls.FEED: (b"GET", self._feed),
-            calls.STATUS: (b"GET", self._status),
-            calls.PUT: (b"POST", self._put),
-            calls.DRAIN: (b"POST", self._drain),
-            calls.REMOVE: (b"POST", self._remove),
-            calls.RENEW: (b"POST", self._renew),
-            calls.ZONE: (b"POST", self._zone),
-            calls.ZONES: (b"GET", self._zones),
+            calls.LIST: (b"GET", self._handle_list),
+            calls.FEED: (b"GET", self._handle_feed),
+            calls.STATUS: (b"GET", self._handle_status),
+            calls.PUT: (b"POST", self._handle_put),
+            calls.DRAIN: (b"POST", self._handle_drain),
+            calls.REMOVE: (b"POST", self._handle_remove),
+            calls.RENEW: (b"POST", self._handle_renew),
+            calls.ZONE: (b"POST", self._handle_zone),
+            calls.ZONES: (b"GET", self._handle_zones),
         }
-        found = routes.get(target.path)
-        if found is None:
-            self._tell(exchange, 404, calls.Done(why=f"no such call; there are {', '.join(routes)}"))
-        elif exchange.method != found[0]:
-            self._tell(exchange, 405, calls.Done(why=f"{found[0].decode()} only"))
-        elif found[0] == b"GET":
+        route = routes.get(target.path)
+        if route is None:
+            self._respond(exchange, 404, calls.Done(why=f"unknown path; available: {', '.join(routes)}"))
+        elif exchange.method != route[0]:
+            self._respond(exchange, 405, calls.Done(why=f"{route[0].decode()} only"))
+        elif route[0] == b"GET":
             try:
                 query = {name: values[-1] for name, values in parse_qs(target.query).items()}
-                found[1](exchange, _Query(query, group, view))
-            except _BadQuery as error:
-                self._tell(exchange, 400, calls.Done(why=str(error)))
-        elif self.follows:
-            why = f"this is a follower; the main service is at {self.main or ', '.join(self.config.follow)}"
-            self._tell(exchange, 421, calls.Done(why=why))
+                route[1](exchange, _Query(query, group, view))
+            except _QueryError as error:
+                self._respond(exchange, 400, calls.Done(why=str(error)))
+        elif self.is_follower:
+            why = (
+                f"this is a follower; the main service is at "
+                f"{self.main_address or ', '.join(self.config.follow)}"
+            )
+            self._respond(exchange, 421, calls.Done(why=why))
         else:
-            found[1](exchange)
+            route[1](exchange)
 
-    def _tell(self, exchange: Exchange, status: int, what: Any, retry_s: float = 0.0) -> None:
+    def _respond(self, exchange: Exchange, status: int, body: Any, retry_after_s: float = 0.0) -> None:
         headers = [(b"Content-Type", b"application/json"), (b"Registry-Id", self.core.identity.encode())]
-        if retry_s:
-            headers.append((b"Retry-After", b"%.3f" % retry_s))
-        exchange.answer(status, msgspec.json.encode(what), *headers)
+        if retry_after_s:
+            headers.append((b"Retry-After", b"%.3f" % retry_after_s))
+        exchange.answer(status, msgspec.json.encode(body), *headers)
 
-    def _busy(self, exchange: Exchange, why: str) -> None:
-        self._tally["refused"] += 1
-        self._tell(exchange, 503, calls.Done(why=why), BUSY_S)
+    def _respond_busy(self, exchange: Exchange, why: str) -> None:
+        self._counters["refused"] += 1
+        self._respond(exchange, 503, calls.Done(why=why), BUSY_RETRY_AFTER_S)
 
-    def _read(self, exchange: Exchange, kind: type[T]) -> T | None:
-        """The body of a write; None where it is answered already."""
+    def _decode_body(self, exchange: Exchange, body_type: type[T]) -> T | None:
+        """Decode the body of a write request; answers 400 and returns None if it is invalid."""
         try:
-            return convert(msgspec.json.decode(exchange.body), kind)
+            return convert(msgspec.json.decode(exchange.body), body_type)
         except DocumentError as error:
-            self._tell(exchange, 400, calls.Done(why="; ".join(error.lines()[:5])))
+            self._respond(exchange, 400, calls.Done(why="; ".join(error.lines()[:5])))
         except (msgspec.DecodeError, RecursionError) as error:
-            self._tell(exchange, 400, calls.Done(why=f"no JSON: {error}"))
+            self._respond(exchange, 400, calls.Done(why=f"body is not valid JSON: {error}"))
         return None
 
     # --- writes ---
 
-    def _put(self, exchange: Exchange) -> None:
-        call = self._read(exchange, calls.PutCall)
-        if call is not None:
-            record, if_version = call.record, call.if_version
-            self._queue(Write(exchange, record.key, lambda now: self.core.put(now, record, if_version)))
-
-    def _drain(self, exchange: Exchange) -> None:
-        call = self._read(exchange, calls.RecordCall)
-        if call is not None:
-            key, owner, at, undo = _key(call), call.owner, call.if_version, call.undo
-            self._queue(Write(exchange, key, lambda now: self.core.drain(now, key, owner, at, undo)))
-
-    def _remove(self, exchange: Exchange) -> None:
-        call = self._read(exchange, calls.RecordCall)
-        if call is not None:
-            key, owner, at = _key(call), call.owner, call.if_version
-            self._queue(Write(exchange, key, lambda now: self.core.remove(now, key, owner, at)))
-
-    def _renew(self, exchange: Exchange) -> None:
-        call = self._read(exchange, calls.RenewCall)
-        if call is None:
+    def _handle_put(self, exchange: Exchange) -> None:
+        request = self._decode_body(exchange, calls.PutCall)
+        if request is not None:
+            record, if_version = request.record, request.if_version
+            self._enqueue_write(
+                PendingWrite(exchange, record.key, lambda now: self.core.put(now, record, if_version))
+            )
+
+    def _handle_drain(self, exchange: Exchange) -> None:
+        request = self._decode_body(exchange, calls.RecordCall)
+        if request is not None:
+            key, owner, if_version, undo = (
+                _record_key(request),
+                request.owner,
+                request.if_version,
+                request.undo,
+            )
+            self._enqueue_write(
+                PendingWrite(exchange, key, lambda now: self.core.drain(now, key, owner, if_version, undo))
+            )
+
+    def _handle_remove(self, exchange: Exchange) -> None:
+        request = self._decode_body(exchange, calls.RecordCall)
+        if request is not None:
+            key, owner, if_version = _record_key(request), request.owner, request.if_version
+            self._enqueue_write(
+                PendingWrite(exchange, key, lambda now: self.core.remove(now, key, owner, if_version))
+            )
+
+    def _handle_renew(self, exchange: Exchange) -> None:
+        request = self._decode_body(exchange, calls.RenewRequest)
+        if request is None:
             return
         now = now_us()
-        refusals = [self.core.renew(now, _key(named), named.owner or "") for named in call.records]
-        self._tell(
+        refusals = [
+            self.core.renew(now, _record_key(reference), reference.owner or "")
+            for reference in request.records
+        ]
+        self._respond(
             exchange,
             200,
-            calls.Renewed(
-                statuses=[200 if r is None else r.status for r in refusals],
-                why=["" if r is None else r.why for r in refusals],
+            calls.RenewResponse(
+                statuses=[200 if refusal is None else refusal.status for refusal in refusals],
+                why=["" if refusal is None else refusal.why for refusal in refusals],
             ),
         )
 
-    def _zone(self, exchange: Exchange) -> None:
-        call = self._read(exchange, calls.ZoneCall)
-        if call is None:
+    def _handle_zone(self, exchange: Exchange) -> None:
+        request = self._decode_body(exchange, calls.ZoneCall)
+        if request is None:
             return
-        order, over, force = call.order, call.over, call.force
+        order, over, force = request.order, request.over, request.force
         if order is not None:
-            self._queue(Write(exchange, order.key, lambda now: self.core.order(now, order, force)))
+            self._enqueue_write(
+                PendingWrite(exchange, order.key, lambda now: self.core.order(now, order, force))
+            )
         elif over is not None:
             key = zone_key(over.service, over.zone)
-            self._queue(Write(exchange, key, lambda _: self.core.end_order(over.service, over.zone)))
+            self._enqueue_write(
+                PendingWrite(exchange, key, lambda _: self.core.end_order(over.service, over.zone))
+            )
 
-    def _queue(self, write: Write) -> None:
-        if len(self._writes) >= self._limits.writes:
-            self._busy(write.exchange, "too many writes wait for the disk")
+    def _enqueue_write(self, write: PendingWrite) -> None:
+        if len(self._pending_writes) >= self._limits.writes:
+            self._respond_busy(write.exchange, "too many writes are queued")
             return
-        self._writes.append(write)
-        self._flush_soon()
+        self._pending_writes.append(write)
+        self._schedule_flush()
 
-    def _flush_soon(self) -> None:
-        if self._flushing is None:
-            self._flushing = asyncio.get_running_loop().create_task(self._flush())
-            self._flushing.add_done_callback(self._flushed)
+    def _schedule_flush(self) -> None:
+        if self._flush_task is None:
+            self._flush_task = asyncio.get_running_loop().create_task(self._flush())
+            self._flush_task.add_done_callback(self._on_flush_done)
 
-    def _flushed(self, task: asyncio.Task[None]) -> None:
-        self._flushing = None
+    def _on_flush_done(self, task: asyncio.Task[None]) -> None:
+        self._flush_task = None
         if not task.cancelled() and task.exception() is not None:
-            log.error("the service failed", exc_info=task.exception())
-        if self._writes:
-            self._flush_soon()
+            log.error("writing changes failed unexpectedly", exc_info=task.exception())
+        if self._pending_writes:
+            self._schedule_flush()
 
     async def _flush(self) -> None:
-        """Decide what waits, make it durable in one go, then apply it and say so."""
-        await asyncio.sleep(0)  # what comes in the same turn of the loop goes along
+        """Decide the queued writes, make them durable with one append, then apply and answer them."""
+        await asyncio.sleep(0)  # includes writes that arrive in the same event loop iteration
         now = now_us()
-        changes, told = self.core.look(now)
-        self._log(told)
-        waiting, self._writes = self._writes, []
-        made: list[tuple[Write, Decision]] = []
-        for write in waiting:
+        changes, log_events = self.core.look(now)
+        self._log_events(log_events)
+        queued, self._pending_writes = self._pending_writes, []
+        decided: list[tuple[PendingWrite, Decision]] = []
+        for write in queued:
             if write.key in self.core.pending:
-                self._writes.append(write)  # after the one before it
+                self._pending_writes.append(write)  # until the pending change of this record is applied
                 continue
             decision = write.decide(now)
             if decision.change is not None:
                 changes.append(decision.change)
-                made.append((write, decision))
+                decided.append((write, decision))
             else:
-                self._written(write, decision)
+                self._respond_to_write(write, decision)
         if changes and not await self._append(changes):
-            refusal = Refusal(503, f"the store takes nothing now: {self.failing}", int(BUSY_S * 1e6))
-            for write, _ in made:
-                self._written(write, Decision(refusal=refusal))
+            refusal = Refusal(
+                503, f"the store does not accept writes: {self.store_error}", int(BUSY_RETRY_AFTER_S * 1e6)
+            )
+            for write, _ in decided:
+                self._respond_to_write(write, Decision(refusal=refusal))
             return
-        for write, decision in made:
-            self._written(write, decision)
-        await self._snapshot()
+        for write, decision in decided:
+            self._respond_to_write(write, decision)
+        await self._write_snapshot()
 
     @staticmethod
-    def _log(told: list[Told]) -> None:
-        for each in told:
-            log.info(each.event, **each.fields)
+    def _log_events(events: list[Told]) -> None:
+        for event in events:
+            log.info(event.event, **event.fields)
 
     async def _append(self, changes: list[Change]) -> bool:
         assert self._store is not None
         payloads = [msgspec.json.encode(change) for change in changes]
         try:
-            await self._in_thread(self._store.append, payloads)
+            await self._run_in_store_thread(self._store.append, payloads)
         except OSError as error:
             self.core.withdraw(changes)
-            why = error.strerror or str(error)
-            if why != self.failing:
-                log.error("the store takes nothing; lists are served on", reason=why)
-            self.failing = why
+            reason = error.strerror or str(error)
+            if reason != self.store_error:
+                log.error("store write failed; writes are refused, lists are still served", reason=reason)
+            self.store_error = reason
             return False
-        if self.failing:
-            log.info("the store takes writes again")
-            self.failing = ""
-        self._tally["writes"] += len(changes)
-        self._tally["syncs"] += 1
+        if self.store_error:
+            log.info("store accepts writes again")
+            self.store_error = ""
+        self._counters["writes"] += len(changes)
+        self._counters["syncs"] += 1
         self.apply(changes)
         return True
 
     def apply(self, changes: list[Change]) -> None:
-        """Changes that are durable: carry them out, and wake who waits for them."""
+        """Apply durable changes and answer the requests that wait for them."""
         now = now_us()
         for change in changes:
             self.core.apply(now, change)
-            group = _group(change)
+            group = _changed_group(change)
             if group is not None:
-                # An order on a zone is news for all tiers of its service.
-                for told in [group] if group.tier else self._watches.waiting(group.service):
-                    self._watches.changed(now, told)
-        for exchange in list(self._feeds):
-            self._feed_now(exchange)
-        self._arm()
-
-    def replaced(self) -> None:
-        """The core has begun anew from an image: everybody may have news."""
-        self._encoded.clear()
+                # A zone order affects the lists of all tiers of its service.
+                for changed_group in [group] if group.tier else self._watches.waiting(group.service):
+                    self._watches.changed(now, changed_group)
+        for exchange in list(self._waiting_feeds):
+            self._respond_to_waiting_feed(exchange)
+        self._schedule_watch_timer()
+
+    def image_restored(self) -> None:
+        """Answer all watches after the core has been restored from an image; any list may have changed."""
+        self._response_cache.clear()
         now = now_us()
         for group in self.core.groups:
             self._watches.changed(now, group)
-        self._arm()
+        self._schedule_watch_timer()
 
-    def _written(self, write: Write, decision: Decision) -> None:
+    def _respond_to_write(self, write: PendingWrite, decision: Decision) -> None:
         refusal = decision.refusal
         if refusal is None:
-            self._tell(write.exchange, 200, calls.Done(version=decision.version))
+            self._respond(write.exchange, 200, calls.Done(version=decision.version))
             return
-        done = calls.Done(version=refusal.version, why=refusal.why)
-        self._tell(write.exchange, refusal.status, done, refusal.retry_us / 1e6)
+        response = calls.Done(version=refusal.version, why=refusal.why)
+        self._respond(write.exchange, refusal.status, response, refusal.retry_us / 1e6)
 
-    async def _snapshot(self) -> None:
+    async def _write_snapshot(self) -> None:
         assert self._store is not None
-        if not self._store.worth_a_snapshot or time.monotonic() < self._snapshot_s:
+        if not self._store.worth_a_snapshot or time.monotonic() < self._next_snapshot_s:
             return
         image = self.core.image()
         try:
-            await self._in_thread(lambda store: store.snapshot(msgspec.json.encode(image)), self._store)
+            await self._run_in_store_thread(
+                lambda store: store.snapshot(msgspec.json.encode(image)), self._store
+            )
             log.info("snapshot", version=image.version)
         except OSError as error:
-            self._snapshot_s = time.monotonic() + SNAPSHOT_AGAIN_S
-            log.error("no snapshot could be written; the log grows on", reason=error.strerror or str(error))
+            self._next_snapshot_s = time.monotonic() + SNAPSHOT_RETRY_DELAY_S
+            log.error("writing a snapshot failed; the log keeps growing", reason=error.strerror or str(error))
 
-    async def _look(self) -> None:
-        """Leases end whether or not anybody calls."""
+    async def _check_leases(self) -> None:
+        """Expire leases periodically, independent of incoming requests."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            self._log(self.core.tick(now_us()))
-            self._flush_soon()
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
+            self._log_events(self.core.tick(now_us()))
+            self._schedule_flush()
 
     # --- reads ---
 
-    def _list(self, exchange: Exchange, query: _Query) -> None:
+    def _handle_list(self, exchange: Exchange, query: _Query) -> None:
         group = Group(query.text("service", query.group.service), query.text("tier", query.group.tier))
         after = query.number("after")
-        wait_ms = min(calls.MOST_WAIT_MS, query.number("wait_ms") or 0)
+        wait_ms = min(calls.MAX_WAIT_MS, query.number("wait_ms") or 0)
         branch = exchange.headers.get(b"registry-branch", b"").decode("latin-1")
-        ask = Ask(exchange, group, query.text("view", query.view), after, branch)
-        if self.follows and self.as_of_us is None:
-            self._busy(exchange, "this follower has no list yet")
+        request = ListRequest(exchange, group, query.text("view", query.view), after, branch)
+        if self.is_follower and self.as_of_us is None:
+            self._respond_busy(exchange, "this follower has not received a list yet")
             return
-        if self.follows and self._lags(ask):
-            self._busy(exchange, "this follower lags behind the caller")
+        if self.is_follower and self._caller_is_ahead(request):
+            self._respond_busy(exchange, "this follower is behind the version that the caller has")
             return
-        if not self.follows and after is not None and not self._continues(ask):
+        if not self.is_follower and after is not None and not self._continues_ours(request):
             self.core.ahead(branch.partition("/")[0], after)
-        if not branch and (after or 0) > self.core.version and now_us() < self._settled_us:
-            # Whoever knows a list that we don't: the store was set back, and registrations are on their way.
-            self._busy(exchange, "the service has just begun anew")
+        if not branch and (after or 0) > self.core.version and now_us() < self._settled_at_us:
+            # The caller has a newer list than the store, which was set back to an older state. Endpoints are
+            # still registering again; an answer now would make the caller drop live ones.
+            self._respond_busy(
+                exchange, "the service has restarted and is waiting for endpoints to register again"
+            )
             return
-        known = after is not None and 0 < after <= self.core.version and self._continues(ask)
-        if known and wait_ms:
+        can_wait = after is not None and 0 < after <= self.core.version and self._continues_ours(request)
+        if can_wait and wait_ms:
             if len(self._watches) >= self._limits.watches:
-                self._busy(exchange, "too many watches")
+                self._respond_busy(exchange, "too many watches")
                 return
             now = now_us()
-            ticket = self._watches.add(ask, group, now + wait_ms * 1000)
+            ticket = self._watches.add(request, group, now + wait_ms * 1000)
             if (after or 0) < self.core.newest(group):
                 self._watches.changed(now, group)
             exchange.on_gone = lambda _: self._watches.drop(ticket, group)
-            self._arm()
+            self._schedule_watch_timer()
         else:
-            self._answer(ask)
+            self._respond_with_list(request)
 
-    def _continues(self, ask: Ask) -> bool:
-        if not ask.branch:
+    def _continues_ours(self, request: ListRequest) -> bool:
+        if not request.branch:
             return True
-        identity, _, branch = ask.branch.partition("/")
-        return identity == self.core.identity and self.core.continues(branch, ask.after or 0)
+        identity, _, branch = request.branch.partition("/")
+        return identity == self.core.identity and self.core.continues(branch, request.after or 0)
 
-    def _lags(self, ask: Ask) -> bool:
-        """Whether the caller has more than we do: a follower then has nothing for it."""
-        identity = ask.branch.partition("/")[0]
-        if ask.after is None or (identity and identity != self.core.identity):
+    def _caller_is_ahead(self, request: ListRequest) -> bool:
+        """Whether the caller has a newer list than this follower, which then has nothing to offer it."""
+        identity = request.branch.partition("/")[0]
+        if request.after is None or (identity and identity != self.core.identity):
             return False
-        return ask.after > self.core.version or not self._continues(ask)
-
-    def _answer(self, ask: Ask) -> None:
-        ask.exchange.on_gone = None
-        continues = self._continues(ask)
-        after = ask.after if continues else None
-        place = (ask.group, ask.view, after, self.core.version)
-        body = self._encoded.get(place)
+        return request.after > self.core.version or not self._continues_ours(request)
+
+    def _respond_with_list(self, request: ListRequest) -> None:
+        request.exchange.on_gone = None
+        continues = self._continues_ours(request)
+        after = request.after if continues else None
+        cache_key = (request.group, request.view, after, self.core.version)
+        body = self._response_cache.get(cache_key)
         if body is None:
-            span = self.core.span(ask.group, after)
-            entries: list[Entry] = [listed(one, ask.view) for one in span.entries]
-            service = ask.group.service
+            update = self.core.span(request.group, after)
+            entries: list[Entry] = [listed(item, request.view) for item in update.entries]
+            service = request.group.service
             orders = self.core.orders.of(service)
             response = DiscoveryResponse(
-                generation=span.version,
-                reset=span.whole,
+                generation=update.version,
+                reset=update.whole,
                 instances=entries,
                 regions=self.core.regions.get(service, {}),
-                orders=[ZoneShare(zone=o.zone, share=o.share, until_ms=o.until_ms) for o in orders],
+                orders=[
+                    ZoneShare(zone=order.zone, share=order.share, until_ms=order.until_ms) for order in orders
+                ],
             )
             body = msgspec.json.encode(response)
-            if len(self._encoded) >= CACHED:
-                del self._encoded[next(iter(self._encoded))]
-            self._encoded[place] = body
+            if len(self._response_cache) >= MAX_CACHED_RESPONSES:
+                del self._response_cache[next(iter(self._response_cache))]
+            self._response_cache[cache_key] = body
         headers = [
             (b"Content-Type", b"application/json"),
             (b"Registry-Id", self.core.identity.encode()),
@@ -488,112 +531,112 @@
             (b"Registry-Age-Ms", b"%d" % self.age_ms),
             (b"Registry-Callers", b"%d" % len(self._connections)),
         ]
-        ask.exchange.answer(200, body, *headers)
+        request.exchange.answer(200, body, *headers)
 
     @property
     def age_ms(self) -> int:
-        """A list that is answered now is at most so old."""
+        """Upper bound on the age of a list that is served now."""
         return 0 if self.as_of_us is None else -(-(now_us() - self.as_of_us) // 1000)
 
-    def _arm(self) -> None:
-        """Look at the watches again when the next of them is due."""
+    def _schedule_watch_timer(self) -> None:
+        """Set the timer to the time when the next watch is due."""
         due = self._watches.next_us()
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
+        if self._watch_timer is not None:
+            self._watch_timer.cancel()
+            self._watch_timer = None
         if due is not None:
             delay_s = max(0, due - now_us()) / 1e6
-            self._timer = asyncio.get_running_loop().call_later(delay_s, self._rang)
+            self._watch_timer = asyncio.get_running_loop().call_later(delay_s, self._on_watch_timer)
 
-    def _rang(self) -> None:
-        self._timer = None
-        for ask in self._watches.due(now_us()):
-            self._answer(ask)
-        self._arm()
+    def _on_watch_timer(self) -> None:
+        self._watch_timer = None
+        for request in self._watches.due(now_us()):
+            self._respond_with_list(request)
+        self._schedule_watch_timer()
 
-    def _feed(self, exchange: Exchange, query: _Query) -> None:
+    def _handle_feed(self, exchange: Exchange, query: _Query) -> None:
         after = query.number("after") or 0
-        wait_ms = min(calls.MOST_WAIT_MS, query.number("wait_ms") or 0)
+        wait_ms = min(calls.MAX_WAIT_MS, query.number("wait_ms") or 0)
         identity, _, branch = exchange.headers.get(b"registry-branch", b"").decode("latin-1").partition("/")
-        if self.follows:
-            self._tell(exchange, 421, calls.Done(why="this is a follower"))
+        if self.is_follower:
+            self._respond(exchange, 421, calls.Done(why="this is a follower"))
             return
         if identity != self.core.identity or not self.core.continues(branch, after):
             after = -1
-        if after == self.core.version and wait_ms and len(self._feeds) < self._limits.watches:
+        if after == self.core.version and wait_ms and len(self._waiting_feeds) < self._limits.watches:
             loop = asyncio.get_running_loop()
-            timer = loop.call_later(wait_ms / 1000, self._feed_now, exchange)
-            self._feeds[exchange] = (after, timer)
-            exchange.on_gone = self._feed_gone
+            timer = loop.call_later(wait_ms / 1000, self._respond_to_waiting_feed, exchange)
+            self._waiting_feeds[exchange] = (after, timer)
+            exchange.on_gone = self._on_feed_disconnect
         else:
-            self._feed_tell(exchange, after)
+            self._respond_with_feed(exchange, after)
 
-    def _feed_gone(self, exchange: Exchange) -> None:
-        self._feeds.pop(exchange)[1].cancel()
+    def _on_feed_disconnect(self, exchange: Exchange) -> None:
+        self._waiting_feeds.pop(exchange)[1].cancel()
 
-    def _feed_now(self, exchange: Exchange) -> None:
-        after, timer = self._feeds.pop(exchange)
+    def _respond_to_waiting_feed(self, exchange: Exchange) -> None:
+        after, timer = self._waiting_feeds.pop(exchange)
         timer.cancel()
         exchange.on_gone = None
-        self._feed_tell(exchange, after)
+        self._respond_with_feed(exchange, after)
 
-    def _feed_tell(self, exchange: Exchange, after: int) -> None:
+    def _respond_with_feed(self, exchange: Exchange, after: int) -> None:
         changes = self.core.feed(after) if after >= 0 else None
         image = self.core.image() if changes is None else None
-        feed = calls.Feed(
+        response = calls.FeedResponse(
             identity=self.core.identity, version=self.core.version, changes=changes or [], image=image
         )
-        self._tell(exchange, 200, feed)
+        self._respond(exchange, 200, response)
 
-    def _zones(self, exchange: Exchange, query: _Query) -> None:
+    def _handle_zones(self, exchange: Exchange, query: _Query) -> None:
         service = query.text("service", query.group.service)
         records = [r for r in self.core.records.values() if r.service == service]
         orders = {order.zone: order for order in self.core.orders.of(service)}
         states = []
         for zone in sorted({r.entry.zone for r in records} | orders.keys()):
-            here = [r for r in records if r.entry.zone == zone]
+            zone_records = [r for r in records if r.entry.zone == zone]
             states.append(
                 calls.ZoneState(
                     zone=zone,
                     region=self.core.regions.get(service, {}).get(zone, ""),
-                    ready=sum(map(is_ready, here)),
-                    listed=len(here),
+                    ready=sum(map(is_ready, zone_records)),
+                    listed=len(zone_records),
                     order=orders.get(zone),
                 )
             )
-        told = calls.ZonesTold(version=self.core.version, age_ms=self.age_ms, zones=states)
-        self._tell(exchange, 200, told)
+        response = calls.ZonesTold(version=self.core.version, age_ms=self.age_ms, zones=states)
+        self._respond(exchange, 200, response)
 
-    def _status(self, exchange: Exchange, query: _Query) -> None:
+    def _handle_status(self, exchange: Exchange, query: _Query) -> None:
         core = self.core
-        drains = sum(r.entry.lifecycle is Readiness.DRAINING for r in core.records.values())
-        self._tell(
+        draining_count = sum(r.entry.lifecycle is Readiness.DRAINING for r in core.records.values())
+        self._respond(
             exchange,
             200,
             calls.Status(
-                role="follower" if self.follows else "main",
+                role="follower" if self.is_follower else "main",
                 identity=core.identity,
                 branch=core.branch,
                 version=core.version,
                 records=len(core.records),
-                draining=drains,
+                draining=draining_count,
                 tombstones=len(core.tombstones),
                 callers=len(self._connections),
                 watches=len(self._watches),
                 age_ms=self.age_ms,
-                main=self.main,
-                store_failing=self.failing,
-                **self._tally,
+                main=self.main_address,
+                store_failing=self.store_error,
+                **self._counters,
             ),
         )
 
 
-class _BadQuery(ValueError):
-    """A query that is none, in words."""
+class _QueryError(ValueError):
+    """An invalid query parameter; the text is sent to the caller."""
 
 
 class _Query:
-    """The query of a read, and what stands for what it leaves out."""
+    """Query parameters of a GET request, with the defaults of the address that received it."""
 
     def __init__(self, values: dict[str, str], group: Group, view: str) -> None:
         self._values = values
@@ -605,18 +648,18 @@
         if text is None:
             return None
         if not (text.isascii() and text.isdigit()) or len(text) > 18:
-            raise _BadQuery(f"{name}: must be a whole number, not {text[:40]!r}")
+            raise _QueryError(f"{name}: must be a non-negative integer, not {text[:40]!r}")
         return int(text)
 
     def text(self, name: str, default: str) -> str:
         return self._values.get(name, default)
 
 
-def _key(named: calls.Named) -> Key:
-    return Key(named.service, named.tier, named.id)
+def _record_key(reference: calls.RecordReference) -> Key:
+    return Key(reference.service, reference.tier, reference.id)
 
 
-def _group(change: Change) -> Group | None:
+def _changed_group(change: Change) -> Group | None:
     if isinstance(change, Put):
         return change.record.key.group
     return change.key.group if isinstance(change, Gone | Ordered | OrderOver) else None
--- a/tests/registry_support.py
+++ b/tests/registry_support.py
@@ -1,4 +1,4 @@
-"""Processes of the list service for tests, and a client's view of them."""
+"""Test fixtures: processes of the list service, and a client that records what it receives."""
 
 from __future__ import annotations
 
@@ -23,24 +23,24 @@
 from eiderhub.registry.settings import Follow
 from tests import sidecar_support
 
-PATIENCE_S = 60.0  # a test that waits longer for an event has failed
+TEST_TIMEOUT_S = 60.0
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    sidecar_support.run(test, PATIENCE_S)
+    sidecar_support.run(test, TEST_TIMEOUT_S)
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    while not holds():
+async def wait_until(condition: Callable[[], bool]) -> None:
+    while not condition():
         await asyncio.sleep(0.01)
 
 
-async def until_true(holds: Callable[[], Awaitable[bool]]) -> None:
-    while not await holds():
+async def until_true(condition: Callable[[], Awaitable[bool]]) -> None:
+    while not await condition():
         await asyncio.sleep(0.02)
 
 
-def record(
+def make_record(
     name: str, started: int = 1, lease_ms: int | None = None, zone: str = "a", port: int = 80
 ) -> Record:
     entry = Entry(instance_id=name, host_port=f"127.0.0.1:{port}", zone=zone, started_at_ms=started)
@@ -48,17 +48,17 @@
 
 
 class Node:
-    """One process of the service at one address, started again and again."""
+    """A service process at a fixed address; it can be killed and restarted."""
 
     def __init__(self, folder: Path, name: str, follow: list[Address] | None = None, **limits: float) -> None:
         self.folder = folder / name
         self.folder.mkdir()
         self.name = name
-        self._claim = claim("127.0.0.1")
-        self.address = Address(*self._claim.getsockname())
+        self._reserved_port = claim("127.0.0.1")
+        self.address = Address(*self._reserved_port.getsockname())
         self.line = Line(self.address)
         self.process: Process | None = None
-        self.status = 0  # of the process that ended last
+        self.exit_status = 0  # of the most recent process
         document: dict[str, Any] = {"listen": str(self.address), "limits": {"settle_s": 0.5, **limits}}
         self.store = self.folder / "store"
         document |= {"follow": [str(a) for a in follow]} if follow else {"store": str(self.store)}
@@ -80,32 +80,32 @@
         return Process(self.name, command, environment(), log, 4096, None, Usage(), self._ended)
 
     def _ended(self, process: Process, status: int) -> None:
-        self.status = status
+        self.exit_status = status
 
     async def start(self) -> Node:
         self.process = self.spawn()
-        await until_true(self.serves)
+        await until_true(self.is_serving)
         return self
 
-    async def serves(self) -> bool:
+    async def is_serving(self) -> bool:
         try:
-            return bool((await self.state()).branch)
+            return bool((await self.fetch_status()).branch)
         except (Unanswered, Refused):
             return False
 
-    async def state(self) -> calls.Status:
+    async def fetch_status(self) -> calls.Status:
         return read(await self.line.get(calls.STATUS, {}, 2.0), calls.Status)
 
-    async def version(self) -> int:
-        return (await self.state()).version
+    async def fetch_version(self) -> int:
+        return (await self.fetch_status()).version
 
     async def kill(self) -> None:
         if self.process is not None:
             self.process.kill()
             await self.process.ended.wait()
 
-    async def put(self, one: Record, **condition: int) -> int:
-        call = calls.PutCall(record=one, **condition)
+    async def put(self, record: Record, **condition: int) -> int:
+        call = calls.PutCall(record=record, **condition)
         return (await self.line.post(calls.PUT, call, calls.Done, 10.0)).version
 
     async def drain(self, name: str) -> int:
@@ -114,17 +114,17 @@
     async def remove(self, name: str) -> int:
         return (await self.line.post(calls.REMOVE, calls.RecordCall(id=name), calls.Done, 10.0)).version
 
-    def log(self) -> str:
+    def read_log(self) -> str:
         path = self.folder / "log"
         return path.read_text(encoding="utf-8") if path.exists() else ""
 
     def close(self) -> None:
         self.line.close()
-        self._claim.close()
+        self._reserved_port.close()
 
 
 class Fleet:
-    """Nodes, wires and watchers of one test; leaving it ends them all."""
+    """Nodes, proxied connections and watchers of one test; the context manager stops them all."""
 
     def __init__(self) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="registry-test-"))
@@ -155,42 +155,42 @@
         await wire.open()
         return wire
 
-    def watch(self, *addresses: Address, **settings: Any) -> Watcher:
+    def add_watcher(self, *addresses: Address, **settings: Any) -> Watcher:
         follow = Follow(addresses=[str(a) for a in addresses], **{"wait_s": 2.0, **settings})
         self.watchers.append(Watcher(follow))
         return self.watchers[-1]
 
 
 class Watcher:
-    """A client that keeps what it is told, and what it says about it."""
+    """A client that records the list, the adopted versions and its own log lines."""
 
     def __init__(self, follow: Follow) -> None:
-        self.listed: dict[str, str] = {}  # id -> lifecycle
-        self.started: dict[str, int] = {}
-        self.versions: list[tuple[str, int]] = []  # as they came into use
-        self.said: list[str] = []
-        self.watch = Watch(follow, self._told, told=self)
+        self.lifecycles: dict[str, str] = {}  # by endpoint ID
+        self.started_at_ms: dict[str, int] = {}
+        self.versions: list[tuple[str, int]] = []  # (identity, version) in order of adoption
+        self.log_lines: list[str] = []
+        self.watch = Watch(follow, self._on_change, told=self)
 
     @staticmethod
-    def quiet() -> Watcher:
-        """A log that nobody reads."""
+    def unused_logger() -> Watcher:
+        """A watcher that only serves as a logger."""
         return Watcher(Follow(addresses=["127.0.0.1:1"]))
 
-    def _told(self, verdict: Verdict) -> None:
+    def _on_change(self, verdict: Verdict) -> None:
         if verdict.whole:
-            self.listed.clear()
+            self.lifecycles.clear()
         for entry in verdict.entries:
             if entry.lifecycle.value == "gone":
-                self.listed.pop(entry.instance_id, None)
+                self.lifecycles.pop(entry.instance_id, None)
             else:
-                self.listed[entry.instance_id] = entry.lifecycle.value
-                self.started[entry.instance_id] = entry.started_at_ms
+                self.lifecycles[entry.instance_id] = entry.lifecycle.value
+                self.started_at_ms[entry.instance_id] = entry.started_at_ms
         self.versions.append((self.watch.belief.identity, self.watch.belief.version))
 
     def info(self, event: str, **fields: object) -> None:
-        self.said.append(f"{event} {fields}")
+        self.log_lines.append(f"{event} {fields}")
 
     warning = error = info
 
-    def has_said(self, text: str) -> bool:
-        return any(text in line for line in self.said)
+    def has_logged(self, text: str) -> bool:
+        return any(text in line for line in self.log_lines)
