--- a/eiderhub/registry/following.py
+++ b/eiderhub/registry/following.py
@@ -85,7 +85,7 @@
         if feed.image is None:
             first_version = feed.changes[0].version if feed.changes else core.version + 1
             if feed.identity != core.identity or first_version <= core.version:
-                return "the changes start from a version that this follower does not have"
+                return "the changes do not continue the list in use"
             ready_count = core.ready_after(feed.changes)
             if not self._shrink_guard.believed(now, ready_count, feed.identity, source):
                 return f"{ready_count} ready endpoints where {self._shrink_guard.reference(now)} were in use"
--- a/eiderhub/registry/process.py
+++ b/eiderhub/registry/process.py
@@ -32,8 +32,8 @@
         asyncio.get_running_loop().add_signal_handler(signum, stop.set)
     core = new_core(config)
     if config.store is None:
-        service = RegistryServer(config, core, None)
-        await _serve_until(stop, service, Follower(service, config.follow, random.SystemRandom()))
+        server = RegistryServer(config, core, None)
+        await _serve_until(stop, server, Follower(server, config.follow, random.SystemRandom()))
         return
     folder = Folder(Path(config.store))
     try:
--- a/eiderhub/registry/settings.py
+++ b/eiderhub/registry/settings.py
@@ -23,9 +23,8 @@
     keep: str | None = None  # file that stores the last list, used at a start when no address answers
     keep_for_s: Seconds = 3600.0  # maximum age of the stored list
     wait_s: Annotated[float, Meta(ge=0.1, le=50)] = 10.0  # long-poll time-out
-    much_smaller: Annotated[float, Meta(ge=0, le=1)] = (
-        0.5  # a list with a smaller fraction of the ready endpoints needs confirmation
-    )
+    # A list with less than this fraction of the recent ready endpoints needs confirmation.
+    much_smaller: Annotated[float, Meta(ge=0, le=1)] = 0.5
     believe_s: Seconds = 10.0  # after this time such a list is adopted without confirmation
     calls_per_s: Seconds = 500.0  # limit over all clients when they reconnect after an outage
 
@@ -45,8 +44,7 @@
     cell: Annotated[int, Meta(ge=-1, le=1 << 31)] = 0
     weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
     views: Annotated[dict[Name, AddressText], Meta(max_length=MOST_VIEWS)] = {}
-    alive: Annotated[str, Meta(pattern="^(/[!-~]*)?$", description="a path")] = (
-        ""  # health check path, must answer GET with 200; empty: accepting a connection is enough
-    )
+    # Health check path, must answer GET with 200; empty: accepting a connection is enough.
+    alive: Annotated[str, Meta(pattern="^(/[!-~]*)?$", description="a path")] = ""
     alive_every_s: Annotated[float, Meta(ge=0.05, le=60)] = 0.5
     lease_ms: Lease = 3000
