--- a/eiderhub/cli/bench.py
+++ b/eiderhub/cli/bench.py
@@ -111,7 +111,7 @@
     """
     from eiderhub.cli.capacity import read_fleet
     from eiderhub.http1 import NoReplyError
-    from eiderhub.registry.client import Refused
+    from eiderhub.registry.client import RequestRefusedError
     from eiderhub.scale.counts import CountingLoop
     from eiderhub.scale.plan import Asked, TooLarge, admitted
     from eiderhub.scale.run import Run, bears
@@ -131,7 +131,7 @@
             result = runner.run(run.run(tell, path.name, costs.revision(costs.own_root())))
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
-    except (Ended, NoReplyError, Refused, TimeoutError) as error:
+    except (Ended, NoReplyError, RequestRefusedError, TimeoutError) as error:
         print(f"ottercleat: the run ended early: {str(error) or type(error).__name__}", file=sys.stderr)
         return 1
     screen.write_json(json_file, msgspec.to_builtins(result))
--- a/eiderhub/cli/registry.py
+++ b/eiderhub/cli/registry.py
@@ -19,11 +19,11 @@
 from eiderhub.address import Address
 from eiderhub.cli.options import IN_SERVICE, JSON, AddressType
 from eiderhub.cli.service import ask, checked
-from eiderhub.registry import calls
-from eiderhub.registry.client import Answer, Line, Watch, ask_list, read
-from eiderhub.registry.names import MOST_LEASE_MS
+from eiderhub.registry import api
+from eiderhub.registry.client import ListReply, ListWatch, RegistryClient, decode_reply, fetch_list
+from eiderhub.registry.field_types import MAX_LEASE_MS
 from eiderhub.registry.records import Entry, Record
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.settings import FollowSettings
 from eiderhub.sidecar.logs import configure
 
 if TYPE_CHECKING:
@@ -31,7 +31,7 @@
     from eiderhub.registry.store import Contents
 
 T = TypeVar("T")
-MOST_LEASE_S = MOST_LEASE_MS / 1000
+MOST_LEASE_S = MAX_LEASE_MS / 1000
 
 
 @click.group("registry")
@@ -50,7 +50,7 @@
     """Serve lists and registrations until SIGTERM or Ctrl-C."""
     import uvloop
 
-    from eiderhub.registry.config import read as read_config
+    from eiderhub.registry.config import read_config as read_config
     from eiderhub.registry.process import serve as serve_all
     from eiderhub.registry.store import StoreError
 
@@ -86,16 +86,16 @@
     return table
 
 
-def _follow(address: Address, service: str, tier: str, view: str) -> Follow:
+def _follow(address: Address, service: str, tier: str, view: str) -> FollowSettings:
     told = {"addresses": [str(address)], "service": service, "tier": tier, "view": view}
-    return checked(told, Follow)
+    return checked(told, FollowSettings)
 
 
-def _document(answer: Answer) -> dict[str, Any]:
-    claim = answer.claim
+def _document(answer: ListReply) -> dict[str, Any]:
+    claim = answer.list_answer
     return {
         "generation": claim.version,
-        "reset": claim.whole,
+        "reset": claim.is_full,
         "identity": claim.identity,
         "branch": claim.branch,
         "ageMs": answer.age_ms,
@@ -112,15 +112,15 @@
 def list_(address: Address, service: str, tier: str, view: str, as_json: bool) -> int:
     """Print the endpoints of a tier."""
     follow = _follow(address, service, tier, view)
-    answer = ask(address, lambda line: ask_list(line, follow))
+    answer = ask(address, lambda line: fetch_list(line, follow))
     if as_json:
         click.echo(json.dumps(_document(answer), indent=2))
         return 0
     old = f", at most {answer.age_ms / 1000:.1f} s old" if answer.age_ms else ""
-    count = len(answer.claim.entries)
-    click.echo(f"{service}/{tier}: {count} endpoints at version {answer.claim.version}{old}", err=True)
+    count = len(answer.list_answer.entries)
+    click.echo(f"{service}/{tier}: {count} endpoints at version {answer.list_answer.version}{old}", err=True)
     if count:
-        Console().print(_rows(list(answer.claim.entries)), highlight=False)
+        Console().print(_rows(list(answer.list_answer.entries)), highlight=False)
     return 0
 
 
@@ -138,7 +138,7 @@
     configure({})  # what it says about outages goes to standard error
 
     async def watched() -> None:
-        watching = Watch(follow, lambda verdict: _changed(list(verdict.entries), as_json))
+        watching = ListWatch(follow, lambda verdict: _changed(list(verdict.entries), as_json))
         watching.start()
         try:
             await asyncio.sleep(seconds if seconds is not None else float("inf"))
@@ -199,8 +199,8 @@
         entry["started_at_ms"] = time.time_ns() // 1_000_000
         told |= {"owner": secrets.token_hex(8), "lease_ms": int(lease * 1000)}
     record = checked(told, Record)
-    call = calls.PutCall(record=record, if_version=if_version)
-    done = ask(address, lambda line: line.post(calls.PUT, call, calls.Done))
+    call = api.PutRequest(record=record, if_version=if_version)
+    done = ask(address, lambda line: line.post(api.PUT_PATH, call, api.WriteResponse))
     click.echo(f"{id_}: version {done.version}")
     if lease is not None:
         _hold(address, record)
@@ -229,8 +229,8 @@
 
 
 def _operate(path: str, address: Address, told: dict[str, Any]) -> int:
-    call = checked({name: value for name, value in told.items() if value is not None}, calls.RecordCall)
-    done = ask(address, lambda line: line.post(path, call, calls.Done))
+    call = checked({name: value for name, value in told.items() if value is not None}, api.RecordRequest)
+    done = ask(address, lambda line: line.post(path, call, api.WriteResponse))
     click.echo(f"{call.id}: version {done.version}")
     return 0
 
@@ -245,7 +245,7 @@
 def drain(address: Address, id_: str, service: str, tier: str, undo: bool, if_version: int | None) -> int:
     """Have an endpoint take nothing new, whatever its owner says, until --undo or its next start."""
     told = {"service": service, "tier": tier, "id": id_, "undo": undo, "if_version": if_version}
-    return _operate(calls.DRAIN, address, told)
+    return _operate(api.DRAIN_PATH, address, told)
 
 
 @command.command()
@@ -257,7 +257,7 @@
 def remove(address: Address, id_: str, service: str, tier: str, if_version: int | None) -> int:
     """Remove a record; the process that it was of does not come back, a later start may."""
     told = {"service": service, "tier": tier, "id": id_, "if_version": if_version}
-    return _operate(calls.REMOVE, address, told)
+    return _operate(api.REMOVE_PATH, address, told)
 
 
 @command.command()
@@ -266,8 +266,8 @@
 def status(address: Address, as_json: bool) -> int:
     """Say how the service is; exit status 1 where it takes no writes, or has no list."""
 
-    async def asked(line: Line) -> calls.Status:
-        return read(await line.get(calls.STATUS, {}, 2.0), calls.Status)
+    async def asked(line: RegistryClient) -> api.StatusResponse:
+        return decode_reply(await line.get(api.STATUS_PATH, {}, 2.0), api.StatusResponse)
 
     found = ask(address, asked)
     told: dict[str, Any] = msgspec.to_builtins(found)
@@ -291,13 +291,13 @@
         click.exceptions.Exit: with status 1, after a line that says what is wrong with it.
     """
     from eiderhub.registry import store as stores
-    from eiderhub.registry.config import Document
-    from eiderhub.registry.server import new_core, recover
+    from eiderhub.registry.config import RegistryConfig
+    from eiderhub.registry.server import create_core, recover_core
 
     try:
-        contents = stores.read(stores.Folder(Path(folder), make=False, lock=False))
-        core = new_core(Document(listen="127.0.0.1:0", store=folder))
-        recover(core, contents)
+        contents = stores.read_store(stores.Folder(Path(folder), create=False, lock=False))
+        core = create_core(RegistryConfig(listen="127.0.0.1:0", store=folder))
+        recover_core(core, contents)
         return contents, core
     except stores.StoreError as error:
         text = str(error)
@@ -315,7 +315,7 @@
 def check(folder: str) -> int:
     """Read all of the store in DIR: every entry, checksum and number; exit status 1 for damage."""
     contents, core = _opened(folder)
-    for note in contents.notes:
+    for note in contents.warnings:
         click.echo(f"{folder}/{note} at the next start", err=True)
     entries = sum(len(log.frames) for log in contents.logs)
     click.echo(f"{folder}: ok, {entries} log entries, version {core.version}, {len(core.records)} records")
--- a/eiderhub/cli/service.py
+++ b/eiderhub/cli/service.py
@@ -11,12 +11,12 @@
 from eiderhub.address import Address
 from eiderhub.documents import DocumentError, convert
 from eiderhub.http1 import NoReplyError
-from eiderhub.registry.client import Line, Refused
+from eiderhub.registry.client import RegistryClient, RequestRefusedError
 
 T = TypeVar("T")
 
 
-def ask(address: Address, work: Callable[[Line], Coroutine[Any, Any, T]]) -> T:
+def ask(address: Address, work: Callable[[RegistryClient], Coroutine[Any, Any, T]]) -> T:
     """Carry out one call.
 
     Raises:
@@ -24,7 +24,7 @@
     """
 
     async def asked() -> T:
-        line = Line(address)
+        line = RegistryClient(address)
         try:
             return await work(line)
         finally:
@@ -32,7 +32,7 @@
 
     try:
         return asyncio.run(asked())
-    except (NoReplyError, Refused) as error:
+    except (NoReplyError, RequestRefusedError) as error:
         click.echo(f"ottercleat: {address}: {error}", err=True)
         raise click.exceptions.Exit(1) from None
 
--- a/eiderhub/cli/zone.py
+++ b/eiderhub/cli/zone.py
@@ -16,9 +16,9 @@
 from eiderhub.cli.options import IN_SERVICE, JSON, AddressType
 from eiderhub.cli.service import ask, checked
 from eiderhub.documents import suggest_name
-from eiderhub.registry import calls
-from eiderhub.registry.client import Line, read
-from eiderhub.registry.names import MIN_ORDER_MS, MOST_ORDER_MS
+from eiderhub.registry import api
+from eiderhub.registry.client import RegistryClient, decode_reply
+from eiderhub.registry.field_types import MAX_ORDER_MS, MIN_ORDER_MS
 from eiderhub.registry.records import Order
 
 UNITS_S = {"s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -38,8 +38,8 @@
         if found is None:
             self.fail(f"{value!r} is no time, such as 90s, 10m, 2h or 1d", param, ctx)
         time_ms = int(float(found[1]) * UNITS_S[found[2]] * 1000)
-        if not MIN_ORDER_MS <= time_ms <= MOST_ORDER_MS:
-            self.fail(f"{value} is not between 1s and {MOST_ORDER_MS // 86_400_000}d", param, ctx)
+        if not MIN_ORDER_MS <= time_ms <= MAX_ORDER_MS:
+            self.fail(f"{value} is not between 1s and {MAX_ORDER_MS // 86_400_000}d", param, ctx)
         return time_ms
 
 
@@ -52,14 +52,14 @@
     """
 
 
-def _zones(address: Address, service: str) -> calls.ZonesTold:
-    async def asked(line: Line) -> calls.ZonesTold:
-        return read(await line.get(calls.ZONES, {"service": service}, 5.0), calls.ZonesTold)
+def _zones(address: Address, service: str) -> api.ZonesResponse:
+    async def asked(line: RegistryClient) -> api.ZonesResponse:
+        return decode_reply(await line.get(api.ZONES_PATH, {"service": service}, 5.0), api.ZonesResponse)
 
     return ask(address, asked)
 
 
-def _known(address: Address, service: str, zone: str) -> calls.ZonesTold:
+def _known(address: Address, service: str, zone: str) -> api.ZonesResponse:
     """What the service has, where this zone is among it.
 
     Raises:
@@ -72,8 +72,8 @@
     return told
 
 
-def _tell(address: Address, call: calls.ZoneCall) -> calls.Done:
-    return ask(address, lambda line: line.post(calls.ZONE, call, calls.Done))
+def _tell(address: Address, call: api.ZoneOrderRequest) -> api.WriteResponse:
+    return ask(address, lambda line: line.post(api.ZONE_PATH, call, api.WriteResponse))
 
 
 @command.command()
@@ -93,7 +93,7 @@
     """Let ZONE have no calls, or a share of them, until it is returned or the time is over."""
     _known(address, service, zone)
     order = checked({"service": service, "zone": zone, "share": share, "for_ms": time_ms}, Order)
-    done = _tell(address, calls.ZoneCall(order=order, force=force))
+    done = _tell(address, api.ZoneOrderRequest(order=order, force=force))
     ends = time.strftime("%F %T", time.localtime(time.time() + time_ms / 1000))
     click.echo(f"{zone}: keeps {share:g} of its calls until {ends}, version {done.version}")
     return 0
@@ -106,8 +106,8 @@
 def return_(address: Address, zone: str, service: str) -> int:
     """End the order on ZONE: its calls come back as each sidecar finds that it bears them."""
     _known(address, service, zone)
-    over = checked({"service": service, "zone": zone}, calls.OverCall)
-    done = _tell(address, calls.ZoneCall(over=over))
+    over = checked({"service": service, "zone": zone}, api.EndOrderRequest)
+    done = _tell(address, api.ZoneOrderRequest(over=over))
     click.echo(f"{zone}: returned, version {done.version}")
     return 0
 
--- a/eiderhub/emulator/processes.py
+++ b/eiderhub/emulator/processes.py
@@ -20,7 +20,7 @@
 import tomli_w
 
 from eiderhub.documents import convert, to_human_format
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.settings import FollowSettings
 from eiderhub.sidecar.config import Document
 from eiderhub.world.day import Post
 
@@ -188,7 +188,7 @@
     management: str = ""
     usage: Usage = field(default_factory=Usage)
     processes: list[Process] = field(default_factory=list)  # those that live, the newest last
-    follow: Follow | None = None  # lists come from the project's own service
+    follow: FollowSettings | None = None  # lists come from the project's own service
     regions: dict[str, list[str]] = field(default_factory=dict)
 
     @property
--- a/eiderhub/emulator/services.py
+++ b/eiderhub/emulator/services.py
@@ -26,11 +26,17 @@
 from eiderhub.emulator.wires import How, Wire
 from eiderhub.http1 import NoReplyError
 from eiderhub.interface import Readiness
-from eiderhub.registry import calls
-from eiderhub.registry.belief import Verdict
-from eiderhub.registry.client import Line, Refused, Registration, Watch, read
+from eiderhub.registry import api
+from eiderhub.registry.adoption import AdoptionResult
+from eiderhub.registry.client import (
+    ListWatch,
+    Registration,
+    RegistryClient,
+    RequestRefusedError,
+    decode_reply,
+)
 from eiderhub.registry.records import DiscoveryResponse, Entry, Record
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.settings import FollowSettings
 from eiderhub.world import registry as world
 from eiderhub.world.day import Day, Event, Plan, Post
 from eiderhub.world.judge import Judge
@@ -154,7 +160,9 @@
         self._started: dict[tuple[str, int], int] = {}  # by endpoint and Unix time: the time of the day
         self._tasks: set[asyncio.Task[None]] = set()
         self._watches = {
-            tier: Watch(self._follow(tier, "", [addresses[0]]), partial(self._listed, tier), told=self._log)
+            tier: ListWatch(
+                self._follow(tier, "", [addresses[0]]), partial(self._listed, tier), logger=self._log
+            )
             for tier in range(len(day.scenario.tier))
         }
 
@@ -178,8 +186,10 @@
     def _tier(self, number: int) -> str:
         return self._day.scenario.tier[number].name
 
-    def _follow(self, tier: int, view: str, addresses: list[Address], keep: Path | None = None) -> Follow:
-        return Follow(
+    def _follow(
+        self, tier: int, view: str, addresses: list[Address], keep: Path | None = None
+    ) -> FollowSettings:
+        return FollowSettings(
             addresses=[str(address) for address in addresses],
             service=SERVICE,
             tier=self._tier(tier),
@@ -220,23 +230,23 @@
 
     async def _until_listed(self) -> None:
         for registration in self._registrations.values():
-            await registration.put.wait()
+            await registration.registered.wait()
         version = await self._version(self._servers[0])
         for server in self._servers[1:]:
             while await self._version(server) < version:
                 await asyncio.sleep(ASK_S)
         for tier, watch in self._watches.items():
             count = sum(plan.tier == tier for plan in self._day.plans)
-            while len(watch.belief.entries) < count:
+            while len(watch.adopted_list.entries) < count:
                 await asyncio.sleep(ASK_S)
 
     async def _version(self, server: _Server) -> int:
         """What it serves; -1 where it does not."""
-        line = Line(server.address)
+        line = RegistryClient(server.address)
         try:
-            status = read(await line.get(calls.STATUS, {}, 1.0), calls.Status)
+            status = decode_reply(await line.get(api.STATUS_PATH, {}, 1.0), api.StatusResponse)
             return status.version if status.branch else -1
-        except (NoReplyError, Refused):
+        except (NoReplyError, RequestRefusedError):
             return -1
         finally:
             line.close()
@@ -349,7 +359,7 @@
             entry.instance_id, tier, entry.zone, entry.machine_type, entry.cell, entry.lifecycle, started_us
         )
 
-    def _listed(self, tier: int, verdict: Verdict) -> None:
+    def _listed(self, tier: int, verdict: AdoptionResult) -> None:
         """The main process can tell of this from now on."""
         now = self._clock.now_us()
         for entry in verdict.entries:
@@ -358,7 +368,7 @@
                 self._judge.listed(now, found)
 
     def known(self, post: Post) -> tuple[dict[str, object], world.Listing]:
-        belief = self._watches[post.tier].belief
+        belief = self._watches[post.tier].adopted_list
         entries = list(belief.entries.values())
         rows = [
             msgspec.structs.replace(entry, host_port=self._address_of(entry.instance_id, post.name))
@@ -401,7 +411,7 @@
             return True  # who is registered lives; whoever dies is abandoned
 
         registration = self._registrations[endpoint] = Registration(
-            record, [wire.address], alive, told=self._log
+            record, [wire.address], alive, logger=self._log
         )
         registration.start()
 
--- a/eiderhub/registry/calls.py
+++ b/eiderhub/registry/api.py
@@ -14,12 +14,17 @@
 
 from msgspec import Meta, Struct
 
-from eiderhub.registry.names import Name, NameOrNone
+from eiderhub.registry.field_types import Name, NameOrEmpty
 from eiderhub.registry.records import Change, Image, Order, Record, Version
 
-PUT, DRAIN, REMOVE, RENEW = "/registry/put", "/registry/drain", "/registry/remove", "/registry/renew"
-ZONE, ZONES = "/registry/zone", "/registry/zones"
-LIST, FEED, STATUS = "/discovery/hosts", "/registry/feed", "/registry/status"
+PUT_PATH, DRAIN_PATH, REMOVE_PATH, RENEW_PATH = (
+    "/registry/put",
+    "/registry/drain",
+    "/registry/remove",
+    "/registry/renew",
+)
+ZONE_PATH, ZONES_PATH = "/registry/zone", "/registry/zones"
+LIST_PATH, FEED_PATH, STATUS_PATH = "/discovery/hosts", "/registry/feed", "/registry/status"
 MAX_WAIT_MS = 60_000
 MAX_RENEWED_RECORDS = 1000
 
@@ -31,7 +36,7 @@
 CALLERS_HEADER = b"registry-callers"  # open connections to the service
 
 
-class PutCall(Struct, rename="camel", frozen=True, kw_only=True):
+class PutRequest(Struct, rename="camel", frozen=True, kw_only=True):
     record: Record
     if_version: Version | None = None
 
@@ -42,17 +47,17 @@
     service: Name = "default"
     tier: Name = "default"
     id: Name
-    owner: NameOrNone | None = None
+    owner: NameOrEmpty | None = None
 
 
-class RecordCall(RecordReference, rename="camel", frozen=True, kw_only=True):
+class RecordRequest(RecordReference, rename="camel", frozen=True, kw_only=True):
     """Body of drain and remove requests."""
 
     if_version: Version | None = None
     undo: bool = False  # of a drain
 
 
-class OverCall(Struct, rename="camel", frozen=True, kw_only=True):
+class EndOrderRequest(Struct, rename="camel", frozen=True, kw_only=True):
     """Ends the order on a zone immediately."""
 
     service: Name = "default"
@@ -63,11 +68,11 @@
     records: Annotated[list[RecordReference], Meta(min_length=1, max_length=MAX_RENEWED_RECORDS)]
 
 
-class ZoneCall(Struct, rename="camel", frozen=True, kw_only=True):
+class ZoneOrderRequest(Struct, rename="camel", frozen=True, kw_only=True):
     """Exactly one of `order` and `over`."""
 
     order: Order | None = None
-    over: OverCall | None = None
+    over: EndOrderRequest | None = None
     force: bool = False  # even if some tier has no ready endpoint in another zone
 
     def __post_init__(self) -> None:
@@ -85,13 +90,13 @@
     order: Order | None = None
 
 
-class ZonesTold(Struct, rename="camel", frozen=True, kw_only=True):
+class ZonesResponse(Struct, rename="camel", frozen=True, kw_only=True):
     version: int
     age_ms: int
     zones: list[ZoneState]
 
 
-class Done(Struct, rename="camel", frozen=True, kw_only=True):
+class WriteResponse(Struct, rename="camel", frozen=True, kw_only=True):
     """Answer to a write request."""
 
     version: int = 0  # of the record
@@ -114,7 +119,7 @@
     image: Image | None = None
 
 
-class Status(Struct, rename="camel", frozen=True, kw_only=True):
+class StatusResponse(Struct, rename="camel", frozen=True, kw_only=True):
     role: str
     identity: str
     branch: str
--- a/eiderhub/registry/client.py
+++ b/eiderhub/registry/client.py
@@ -19,18 +19,27 @@
 from eiderhub.address import Address, parse_host_port
 from eiderhub.http1 import ConnectionPool, NoReplyError, Reply, fetch
 from eiderhub.interface import Readiness
-from eiderhub.registry import calls, kept
-from eiderhub.registry.belief import Belief, Claim, Pace, Sources, Steering, Verdict
+from eiderhub.registry import api, stored_list
+from eiderhub.registry.adoption import (
+    AddressSelector,
+    AdoptedList,
+    AdoptionResult,
+    FleetBackoff,
+    ListAnswer,
+    ZoneData,
+)
 from eiderhub.registry.records import DiscoveryResponse, Entry, Record
-from eiderhub.registry.settings import Follow, Register
+from eiderhub.registry.settings import FollowSettings, RegisterSettings
 
 CONNECT_TIMEOUT_S = 1.0
 CALL_TIMEOUT_S = 2.0  # of requests that are not long polls
 WATCH_GRACE_S = 1.0  # how much later than its wait a long poll may be answered
-WAIT_FROM = 0.8  # lower bound of the random wait, so that long polls of many clients don't end together
+MIN_WAIT_FRACTION = (
+    0.8  # lower bound of the random wait, so that long polls of many clients don't end together
+)
 UNCONFIRMED_RETRY_S = 1.0  # mean delay until a list that needs confirmation is fetched again
 DRAIN_RETRY_S = 0.3  # mean delay between attempts to report a drain
-RENEW_PART = 1 / 3  # of the lease duration
+RENEW_INTERVAL_FRACTION = 1 / 3  # of the lease duration
 log = structlog.get_logger()
 T = TypeVar("T")
 
@@ -39,7 +48,7 @@
     return time.monotonic_ns() // 1000
 
 
-class Refused(Exception):
+class RequestRefusedError(Exception):
     """The service answered with a status other than 200."""
 
     def __init__(self, status: int, reason: str, version: int = 0, retry_after_s: float = 0.0) -> None:
@@ -56,7 +65,7 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + (body or b"")
 
 
-class Line:
+class RegistryClient:
     """Sends requests to one address of the service over pooled connections."""
 
     def __init__(self, address: Address) -> None:
@@ -76,13 +85,13 @@
     ) -> T:
         """Raises NoReplyError or RequestRefusedError."""
         data = encode_request(self.address, "POST", path, msgspec.json.encode(body))
-        return read(await fetch(self._pool, data, timeout_s), response_type)
+        return decode_reply(await fetch(self._pool, data, timeout_s), response_type)
 
     def close(self) -> None:
         self._pool.close()
 
 
-def read(reply: Reply, body_type: type[T]) -> T:
+def decode_reply(reply: Reply, body_type: type[T]) -> T:
     """Decode the body of an answer.
 
     Raises:
@@ -91,31 +100,31 @@
     """
     if reply.status != 200:
         try:
-            response = msgspec.json.decode(reply.body, type=calls.Done)
+            response = msgspec.json.decode(reply.body, type=api.WriteResponse)
         except msgspec.DecodeError:
-            response = calls.Done()
-        raise Refused(reply.status, response.why, response.version, reply.retry_after_us / 1e6)
+            response = api.WriteResponse()
+        raise RequestRefusedError(reply.status, response.why, response.version, reply.retry_after_us / 1e6)
     try:
         return msgspec.json.decode(reply.body, type=body_type)
     except msgspec.DecodeError as error:
         raise NoReplyError(f"not a valid list service answer: {error}") from None
 
 
-class Answer(NamedTuple):
+class ListReply(NamedTuple):
     """A list answer with the age and the number of callers that the service reported."""
 
-    claim: Claim
+    list_answer: ListAnswer
     age_ms: int
     callers: int
 
 
-async def ask_list(
-    client: Line,
-    settings: Follow,
+async def fetch_list(
+    client: RegistryClient,
+    settings: FollowSettings,
     after: int | None = None,
     known_branch: str = "",
     wait_ms: int = 0,
-) -> Answer:
+) -> ListReply:
     """Fetch a list, by long poll if `wait_ms` is set. `known_branch` is IDENTITY/BRANCH of `after`.
 
     Raises:
@@ -130,8 +139,8 @@
     }
     headers = [f"Registry-Branch: {known_branch}"] if known_branch else []
     timeout_s = wait_ms / 1000 + (WATCH_GRACE_S if wait_ms else CALL_TIMEOUT_S)
-    reply = await client.get(calls.LIST, query, timeout_s, *headers)
-    response = read(reply, DiscoveryResponse)
+    reply = await client.get(api.LIST_PATH, query, timeout_s, *headers)
+    response = decode_reply(reply, DiscoveryResponse)
 
     def header_text(name: bytes) -> str:
         return reply.headers.get(name, b"").decode("latin-1")
@@ -140,38 +149,38 @@
         value = header_text(name)
         return int(value) if value.isascii() and value.isdigit() else 0
 
-    list_answer = Claim(
+    list_answer = ListAnswer(
         source=str(client.address),
-        identity=header_text(calls.IDENTITY_HEADER),
-        branch=header_text(calls.BRANCH_HEADER),
-        continues=header_text(calls.CONTINUES_HEADER) != "0",
+        identity=header_text(api.IDENTITY_HEADER),
+        branch=header_text(api.BRANCH_HEADER),
+        continues_ours=header_text(api.CONTINUES_HEADER) != "0",
         version=response.generation,
-        whole=response.reset,
+        is_full=response.reset,
         entries=response.instances,
-        steering=Steering(response.regions, tuple(response.orders)),
+        zone_data=ZoneData(response.regions, tuple(response.orders)),
     )
-    return Answer(list_answer, header_number(calls.AGE_MS_HEADER), header_number(calls.CALLERS_HEADER))
+    return ListReply(list_answer, header_number(api.AGE_MS_HEADER), header_number(api.CALLERS_HEADER))
 
 
-class Watch:
+class ListWatch:
     """Keeps one endpoint list up to date, with failover between addresses."""
 
     def __init__(
         self,
-        settings: Follow,
-        on_change: Callable[[Verdict], None],
+        settings: FollowSettings,
+        on_change: Callable[[AdoptionResult], None],
         rng: random.Random | None = None,
-        told: Any = None,
+        logger: Any = None,
     ) -> None:
         """`on_change` receives the changes of the list. A given logger replaces the module's."""
         self.settings = settings
         self._rng = rng or random.Random(secrets.randbits(64))
-        self.belief = Belief(settings.much_smaller, int(settings.believe_s * 1e6))
+        self.adopted_list = AdoptedList(settings.much_smaller, int(settings.believe_s * 1e6))
         self._on_change = on_change
-        self._log = told or log
-        self._clients = [Line(parse_host_port(address)) for address in settings.addresses]
-        self._address_selector = Sources(len(self._clients))
-        self._backoff = Pace(self._rng, calls_per_s=settings.calls_per_s)
+        self._log = logger or log
+        self._clients = [RegistryClient(parse_host_port(address)) for address in settings.addresses]
+        self._address_selector = AddressSelector(len(self._clients))
+        self._backoff = FleetBackoff(self._rng, max_fleet_calls_per_s=settings.calls_per_s)
         self._task: asyncio.Task[None] | None = None
         self._as_of_us: int | None = None
         self._last_error = ""
@@ -182,22 +191,24 @@
         """Upper bound on the age of the list in use; None before the first list."""
         return None if self._as_of_us is None else now_us() - self._as_of_us
 
-    def recall(self) -> bool:
+    def load_stored_list(self) -> bool:
         """Adopt the list stored on disk if it is valid and recent enough; returns whether it was adopted."""
         if self.settings.keep is None:
             return False
-        stored = kept.read(self.settings.keep, self.settings.keep_for_s, kept.Whose.of(self.settings))
+        stored = stored_list.read_list(
+            self.settings.keep, self.settings.keep_for_s, stored_list.ListScope.of(self.settings)
+        )
         if isinstance(stored, str):
             self._log.warning("stored list not used", file=self.settings.keep, reason=stored)
             return False
-        self.belief.begin(
-            now_us(), stored.identity, stored.branch, stored.version, stored.entries, stored.steering
+        self.adopted_list.load(
+            now_us(), stored.identity, stored.branch, stored.version, stored.entries, stored.zone_data
         )
         self._as_of_us = now_us() - int(stored.age_s * 1e6)
         self._log.info(
             "starting with the stored list", age_s=round(stored.age_s, 1), endpoints=len(stored.entries)
         )
-        self._on_change(Verdict(True, True, stored.entries, steered=True))
+        self._on_change(AdoptionResult(True, True, stored.entries, zone_data_changed=True))
         return True
 
     def start(self) -> None:
@@ -211,13 +222,13 @@
         for client in self._clients:
             client.close()
 
-    def move(self, settings: Follow) -> None:
-        """Switch to other addresses and settings; the adopted list is kept."""
+    def update_settings(self, settings: FollowSettings) -> None:
+        """Switch to other addresses and settings; the adopted list is stored_list."""
         running = self._task is not None
         self.stop()
         self.settings = settings
-        self._clients = [Line(parse_host_port(address)) for address in settings.addresses]
-        self._address_selector = Sources(len(self._clients))
+        self._clients = [RegistryClient(parse_host_port(address)) for address in settings.addresses]
+        self._address_selector = AddressSelector(len(self._clients))
         if running:
             self.start()
 
@@ -229,69 +240,69 @@
 
     async def _fetch_once(self) -> float:
         """Fetch once and process the answer; returns the delay in seconds until the next fetch."""
-        client, adopted_list = self._clients[self._address_selector.index], self.belief
+        client, adopted_list = self._clients[self._address_selector.index], self.adopted_list
         sent_us = now_us()
         known_branch = f"{adopted_list.identity}/{adopted_list.branch}" if adopted_list.identity else ""
-        wait_ms = int(self.settings.wait_s * 1000 * self._rng.uniform(WAIT_FROM, 1.0))
+        wait_ms = int(self.settings.wait_s * 1000 * self._rng.uniform(MIN_WAIT_FRACTION, 1.0))
         # A list that awaits confirmation is fetched in full: a long poll would return its changes at once.
-        fetch_full = adopted_list.doubts or not adopted_list.version
+        fetch_full = adopted_list.has_unconfirmed or not adopted_list.version
         try:
             if fetch_full:
-                reply = await ask_list(client, self.settings)
+                reply = await fetch_list(client, self.settings)
             else:
-                reply = await ask_list(client, self.settings, adopted_list.version, known_branch, wait_ms)
-        except (NoReplyError, Refused) as error:
+                reply = await fetch_list(client, self.settings, adopted_list.version, known_branch, wait_ms)
+        except (NoReplyError, RequestRefusedError) as error:
             if str(error) != self._last_error:
                 self._last_error = str(error)
                 self._log.warning(
                     "the list service does not answer", address=str(client.address), reason=str(error)
                 )
-            self._address_selector.failed(now_us())
-            min_delay_s = error.retry_after_s if isinstance(error, Refused) else 0.0
-            return min_delay_s * self._rng.uniform(0, 1) + self._backoff.failed() / 1e6
+            self._address_selector.record_failure(now_us())
+            min_delay_s = error.retry_after_s if isinstance(error, RequestRefusedError) else 0.0
+            return min_delay_s * self._rng.uniform(0, 1) + self._backoff.record_failure() / 1e6
         if self._last_error:
             self._log.info("the list service answers", address=str(client.address))
             self._last_error = ""
         now = now_us()
-        self._backoff.answered(reply.callers)
-        self._address_selector.answered(now)
+        self._backoff.record_answer(reply.callers)
+        self._address_selector.record_answer(now)
         return self._consider(now, sent_us, reply)
 
-    def _consider(self, now: int, sent_us: int, reply: Answer) -> float:
-        previous = self.belief.version, self.belief.identity
-        result = self.belief.consider(now, reply.claim)
-        if result.why and result.why != self._last_warning:
+    def _consider(self, now: int, sent_us: int, reply: ListReply) -> float:
+        previous = self.adopted_list.version, self.adopted_list.identity
+        result = self.adopted_list.consider(now, reply.list_answer)
+        if result.reason and result.reason != self._last_warning:
             event = (
                 "unexpected list adopted"
                 if result.adopted
                 else "list not adopted; the previous list stays in use"
             )
-            self._log.warning(event, address=reply.claim.source, reason=result.why)
-        self._last_warning = result.why
+            self._log.warning(event, address=reply.list_answer.source, reason=result.reason)
+        self._last_warning = result.reason
         if result.adopted:
             self._as_of_us = sent_us - reply.age_ms * 1000
-        if result.entries or result.steered or (result.adopted and result.whole):
+        if result.entries or result.zone_data_changed or (result.adopted and result.is_full):
             self._on_change(result)
         if result.adopted:
-            if previous != (self.belief.version, self.belief.identity):
+            if previous != (self.adopted_list.version, self.adopted_list.identity):
                 self._store_list()
             return 0.0
-        self._address_selector.other()
+        self._address_selector.use_next()
         return UNCONFIRMED_RETRY_S * self._rng.uniform(0.5, 1.5)
 
     def _store_list(self) -> None:
         """Store the list on disk, in a separate thread because disk I/O may stall."""
         if self.settings.keep is None or self._write_task is not None:
             return
-        adopted_list = self.belief
+        adopted_list = self.adopted_list
         entries = list(adopted_list.entries.values())
-        scope = kept.Whose.of(self.settings)
-        path, zone_data = self.settings.keep, adopted_list.steering
+        scope = stored_list.ListScope.of(self.settings)
+        path, zone_data = self.settings.keep, adopted_list.zone_data
 
         async def write() -> None:
             try:
                 await asyncio.to_thread(
-                    kept.write,
+                    stored_list.write_list,
                     path,
                     scope,
                     adopted_list.identity,
@@ -304,7 +315,7 @@
                 self._log.warning("storing the list failed", file=path, reason=error.strerror or str(error))
             finally:
                 self._write_task = None
-            if adopted_list.version and (list(adopted_list.entries.values()), adopted_list.steering) != (
+            if adopted_list.version and (list(adopted_list.entries.values()), adopted_list.zone_data) != (
                 entries,
                 zone_data,
             ):
@@ -317,9 +328,9 @@
     """Sends writes to the main service, which may be at any of the addresses."""
 
     def __init__(self, addresses: Sequence[Address], rng: random.Random | None = None) -> None:
-        self._clients = [Line(address) for address in addresses]
+        self._clients = [RegistryClient(address) for address in addresses]
         self._index = 0
-        self._backoff = Pace(rng or random.Random(secrets.randbits(64)))
+        self._backoff = FleetBackoff(rng or random.Random(secrets.randbits(64)))
 
     async def post(
         self, path: str, body: msgspec.Struct, response_type: type[T], timeout_s: float = CALL_TIMEOUT_S
@@ -336,11 +347,11 @@
             client = self._clients[self._index]
             try:
                 response = await client.post(path, body, response_type, timeout_s)
-                self._backoff.answered(None)
+                self._backoff.record_answer(None)
                 return response
-            except Refused as error:
+            except RequestRefusedError as error:
                 if error.status not in (421, 503):
-                    self._backoff.answered(None)
+                    self._backoff.record_answer(None)
                     raise
                 last_error = error
             except NoReplyError as error:
@@ -349,7 +360,7 @@
         raise last_error
 
     def backoff_s(self) -> float:
-        return self._backoff.failed() / 1e6
+        return self._backoff.record_failure() / 1e6
 
     def close(self) -> None:
         for client in self._clients:
@@ -365,7 +376,7 @@
         addresses: Sequence[Address],
         is_alive: Callable[[], Coroutine[Any, Any, bool]],
         check_interval_s: float = 0.5,
-        told: Any = None,
+        logger: Any = None,
     ) -> None:
         """`is_alive` checks whether the endpoint accepts requests. A given logger replaces the module's."""
         assert record.lease_ms is not None
@@ -373,19 +384,19 @@
         self._writer = FailoverWriter(addresses)
         self._is_alive = is_alive
         self._check_interval_s = check_interval_s
-        self._log = told or log
+        self._log = logger or log
         self._lease_s = record.lease_ms / 1000
         self._rng = random.Random(secrets.randbits(64))
         self._has_record = False
         self._was_dead = False  # whether the endpoint failed a check since it was registered
         self._task: asyncio.Task[None] | None = None
         self.end_reason = ""  # why registration has ended permanently
-        self.put = asyncio.Event()  # set after the record was first put
+        self.registered = asyncio.Event()  # set after the record was first put
 
     @property
-    def record_request(self) -> calls.RecordCall:
+    def record_request(self) -> api.RecordRequest:
         record = self.record
-        return calls.RecordCall(
+        return api.RecordRequest(
             service=record.service, tier=record.tier, id=record.entry.instance_id, owner=record.owner
         )
 
@@ -402,7 +413,7 @@
         """Mark the endpoint as draining, retrying until the service answers; lease renewals continue."""
         entry = msgspec.structs.replace(self.record.entry, lifecycle=Readiness.DRAINING)
         self.record = msgspec.structs.replace(self.record, entry=entry)
-        while self._has_record and not await self._post_change(calls.DRAIN):
+        while self._has_record and not await self._post_change(api.DRAIN_PATH):
             await asyncio.sleep(DRAIN_RETRY_S * self._rng.uniform(0.5, 1.5))
 
     async def remove(self) -> None:
@@ -410,16 +421,16 @@
         if self._task is not None:
             self._task.cancel()
         if self._has_record:
-            await self._post_change(calls.REMOVE)
+            await self._post_change(api.REMOVE_PATH)
         self._writer.close()
 
     async def _post_change(self, path: str) -> bool:
         """Send a drain or remove request; returns whether the main service answered, even with a refusal."""
         try:
-            await self._writer.post(path, self.record_request, calls.Done)
-        except (NoReplyError, Refused) as error:
+            await self._writer.post(path, self.record_request, api.WriteResponse)
+        except (NoReplyError, RequestRefusedError) as error:
             self._log.warning("request to the list service failed", call=path, reason=str(error))
-            return isinstance(error, Refused) and error.status not in (421, 503)
+            return isinstance(error, RequestRefusedError) and error.status not in (421, 503)
         return True
 
     async def _run(self) -> None:
@@ -428,31 +439,31 @@
                 if not self._has_record:
                     await asyncio.sleep(await self._register())
                 else:
-                    await asyncio.sleep(self._lease_s * RENEW_PART * self._rng.uniform(0.8, 1.0))
+                    await asyncio.sleep(self._lease_s * RENEW_INTERVAL_FRACTION * self._rng.uniform(0.8, 1.0))
                     await self._renew()
             except NoReplyError as error:
                 self._log.warning(
                     "the list service does not answer", id=self.record.entry.instance_id, reason=str(error)
                 )
-                await asyncio.sleep(min(self._writer.backoff_s(), self._lease_s * RENEW_PART))
-            except Refused as error:
+                await asyncio.sleep(min(self._writer.backoff_s(), self._lease_s * RENEW_INTERVAL_FRACTION))
+            except RequestRefusedError as error:
                 await self._handle_refusal(error)
 
     async def _register(self) -> float:
         """Put the record if the endpoint is alive; returns the delay in seconds until the next step."""
         if not await self._check_alive():
             return self._check_interval_s
-        request = calls.PutCall(record=self.record)
-        await self._writer.post(calls.PUT, request, calls.Done)
+        request = api.PutRequest(record=self.record)
+        await self._writer.post(api.PUT_PATH, request, api.WriteResponse)
         self._has_record = True
-        self.put.set()
+        self.registered.set()
         self._log.info("registered", id=self.record.entry.instance_id, address=self.record.entry.host_port)
         return 0.0
 
     async def _check_alive(self) -> bool:
         """Check the endpoint. One that comes back after a failed check counts as restarted."""
         if not await self._is_alive():
-            self._was_dead = self._was_dead or self.put.is_set()
+            self._was_dead = self._was_dead or self.registered.is_set()
             return False
         # Only a failed check counts, not a long gap between checks. If the endpoint was merely unreachable,
         # treating it as restarted only makes clients ramp up its load slowly, which does no harm.
@@ -469,12 +480,12 @@
             return
         if not self._has_record:
             return
-        request = calls.RenewRequest(records=[_renewal_reference(self.record_request)])
-        response = await self._writer.post(calls.RENEW, request, calls.RenewResponse)
+        request = api.RenewRequest(records=[_renewal_reference(self.record_request)])
+        response = await self._writer.post(api.RENEW_PATH, request, api.RenewResponse)
         if response.statuses[0] != 200:
-            raise Refused(response.statuses[0], response.why[0])
+            raise RequestRefusedError(response.statuses[0], response.why[0])
 
-    async def _handle_refusal(self, error: Refused) -> None:
+    async def _handle_refusal(self, error: RequestRefusedError) -> None:
         if error.status == 404:  # the service has no such record, or its lease has expired
             self._has_record = False
             self._log.warning(
@@ -495,13 +506,13 @@
             await asyncio.sleep(max(error.retry_after_s, self._writer.backoff_s(), 0.2))
 
 
-def _renewal_reference(reference: calls.RecordReference) -> calls.RecordReference:
-    return calls.RecordReference(
+def _renewal_reference(reference: api.RecordReference) -> api.RecordReference:
+    return api.RecordReference(
         service=reference.service, tier=reference.tier, id=reference.id, owner=reference.owner
     )
 
 
-def record_of(settings: Register, started_ms: int, owner: str | None = None) -> Record:
+def build_record(settings: RegisterSettings, started_ms: int, owner: str | None = None) -> Record:
     """Build the record described by `[register]`; the default owner is a new random token."""
     entry = Entry(
         instance_id=settings.id,
@@ -523,7 +534,7 @@
     )
 
 
-async def lives(address: Address, path: str, timeout_s: float = 1.0) -> bool:
+async def is_endpoint_alive(address: Address, path: str, timeout_s: float = 1.0) -> bool:
     """Whether the endpoint accepts a connection and, if `path` is set, answers it with 200."""
     if not path:
         try:
--- a/eiderhub/registry/config.py
+++ b/eiderhub/registry/config.py
@@ -9,7 +9,7 @@
 
 from eiderhub.address import AddressText
 from eiderhub.documents import convert, load_document
-from eiderhub.registry.names import Name, NameOrNone
+from eiderhub.registry.field_types import Name, NameOrEmpty
 
 PositiveCount = Annotated[int, Meta(ge=1, le=10_000_000)]
 
@@ -37,10 +37,10 @@
     listen: AddressText
     service: Name = "default"
     tier: Name = "default"
-    view: NameOrNone = ""
+    view: NameOrEmpty = ""
 
 
-class Document(Struct, frozen=True, kw_only=True):
+class RegistryConfig(Struct, frozen=True, kw_only=True):
     """The configuration file of `ottercleat registry serve`."""
 
     listen: AddressText
@@ -62,11 +62,11 @@
             raise ValueError("store: must be the path of a folder")
 
 
-def read(path: str) -> Document:
+def read_config(path: str) -> RegistryConfig:
     """Load the configuration file.
 
     Raises:
         DocumentError: the file is invalid; lists all faults.
     """
     document, _ = load_document(Path(path))
-    return convert(document, Document, path, human_format=True)
+    return convert(document, RegistryConfig, path, human_format=True)
--- a/eiderhub/registry/core.py
+++ b/eiderhub/registry/core.py
@@ -19,7 +19,6 @@
 import msgspec
 
 from eiderhub.interface import Readiness
-from eiderhub.registry.orders import ZoneOrders
 from eiderhub.registry.records import (
     Branch,
     Change,
@@ -39,6 +38,7 @@
     Tombstone,
     zone_key,
 )
+from eiderhub.registry.zone_orders import ZoneOrders
 
 US_PER_S = 1_000_000
 SILENT_LEASE_FRACTION = 0.5  # of a lease without renewal; owners renew after each third of it
@@ -52,7 +52,7 @@
 MAX_ISOLATION_US = 600 * US_PER_S  # after this long, leases expire in spite of it
 MAX_REGISTRATIONS = 6  # of one id within the window
 REGISTRATION_WINDOW_US = 60 * US_PER_S
-HISTORY = 4096  # changes kept for watches and followers
+MAX_HISTORY_CHANGES = 4096  # changes kept for watches and followers
 MAX_TOMBSTONES = 4096
 # After a loss of versions, processes get at least this long to register again before versions skip the loss.
 MIN_CATCH_UP_DELAY_US = 10 * US_PER_S
@@ -65,7 +65,7 @@
     """Why a call was rejected: an HTTP status and a message."""
 
     status: int
-    why: str
+    reason: str
     retry_us: int = 0
     version: int = 0  # current version of the record
 
@@ -84,8 +84,8 @@
     """Items of a group for a client: those that changed since its version, or all records."""
 
     version: int
-    whole: bool
-    entries: tuple[Record | Tombstone, ...]
+    is_full: bool
+    items: tuple[Record | Tombstone, ...]
 
 
 @dataclass(slots=True)
@@ -100,7 +100,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class LogEvent:
     """An event for the log of the process, such as a lease that expired or why it did not."""
 
     event: str
@@ -113,7 +113,7 @@
     def __init__(
         self,
         rng: random.Random,
-        max_history: int = HISTORY,
+        max_history: int = MAX_HISTORY_CHANGES,
         max_records: int = 100_000,
         unix_offset_us: int = 0,
     ) -> None:
@@ -139,7 +139,7 @@
         self._last_tick_us: int | None = None
         self._opened_us = 0
         self._isolated_since_us: int | None = None  # since when too few owners renew
-        self.ready = 0  # number of ready records
+        self.ready_count = 0  # number of ready records
         self._lost_version = 0  # highest version that a client has and the store lost
 
     # --- restoring from a store or from the main service; branches ---
@@ -151,7 +151,7 @@
         self.lineage = list(image.lineage)
         self.records = {record.key: record for record in image.records}
         self.tombstones = {tombstone.key: tombstone for tombstone in image.tombstones}
-        self.ready = sum(map(is_ready, image.records))
+        self.ready_count = sum(map(is_ready, image.records))
         self.groups = {}
         self.regions = {}
         for key, record in self.records.items():
@@ -186,7 +186,7 @@
             orders=self.orders.all(),
         )
 
-    def open(self, now_us: int) -> Change:
+    def open_branch(self, now_us: int) -> Change:
         """Start a branch: later versions belong to this opening of the store."""
         self._opened_us = now_us
         self._decided_version += 1
@@ -197,7 +197,7 @@
     def branch(self) -> str:
         return self.lineage[-1].name if self.lineage else ""
 
-    def continues(self, branch: str, version: int) -> bool:
+    def contains_version(self, branch: str, version: int) -> bool:
         """Whether this version of this branch is part of our history."""
         for candidate, next_branch in zip(self.lineage, [*self.lineage[1:], None], strict=True):
             if candidate.name == branch:
@@ -206,7 +206,7 @@
                 )
         return False
 
-    def ahead(self, identity: str, version: int) -> None:
+    def report_lost_version(self, identity: str, version: int) -> None:
         """A client has a version of this service that we do not have: the store lost it."""
         if identity == self.identity and version < self.version + MAX_VERSION_GAP:
             self._lost_version = max(self._lost_version, version)
@@ -387,7 +387,7 @@
 
     # --- operators' zone orders ---
 
-    def order(self, now_us: int, order: Order, force: bool = False) -> Decision:
+    def set_order(self, now_us: int, order: Order, force: bool = False) -> Decision:
         """Limit a zone to a share of its calls for a time. `force`: even if a tier is left unserved."""
         zones = {r.entry.zone for r in self.records.values() if r.service == order.service}
         if order.zone not in zones:
@@ -426,9 +426,9 @@
         if lease is not None:
             lease.renewed_us, lease.extended_until_us = now_us, 0
 
-    def tick(self, now_us: int) -> list[Told]:
+    def detect_pause(self, now_us: int) -> list[LogEvent]:
         """Detect that the process was suspended, and extend leases by the pause. Call it twice a second."""
-        events: list[Told] = []
+        events: list[LogEvent] = []
         last_tick_us, self._last_tick_us = self._last_tick_us, now_us
         if last_tick_us is not None and now_us - last_tick_us > MAX_TICK_GAP_US:
             pause_us = now_us - last_tick_us
@@ -440,16 +440,16 @@
                     "stood_ms": pause_us // 1000,
                     "leases": len(self._leases),
                 }
-                events.append(Told("the process stood still; leases extended by the pause", fields))
+                events.append(LogEvent("the process stood still; leases extended by the pause", fields))
         return events
 
-    def look(self, now_us: int) -> tuple[list[Change], list[Told]]:
+    def decide_expiries(self, now_us: int) -> tuple[list[Change], list[LogEvent]]:
         """Decide which leases, zone orders and tombstones end now. The changes are not applied yet."""
-        events = self.tick(now_us)  # first: after a pause all leases seem to have expired
+        events = self.detect_pause(now_us)  # first: after a pause all leases seem to have expired
         changes = self._skip_lost_versions(now_us)
         if changes:
             events.append(
-                Told("the store has lost versions; skipping past them", {"to": self._decided_version})
+                LogEvent("the store has lost versions; skipping past them", {"to": self._decided_version})
             )
         due_keys = [
             key
@@ -461,7 +461,7 @@
             order_end = self.end_order(service, zone).change
             assert order_end is not None
             changes.append(order_end)
-            events.append(Told("zone order ended", {"service": service, "zone": zone}))
+            events.append(LogEvent("zone order ended", {"service": service, "zone": zone}))
         if not due_keys:
             return changes, events
         silent_by_scope = self._mass_silence(now_us)
@@ -491,7 +491,7 @@
                 "reason": reason,
                 "silent_ms": silence_ms,
             }
-            events.append(Told("expired", fields))
+            events.append(LogEvent("expired", fields))
         return changes, events
 
     def _mass_silence(self, now_us: int) -> dict[str | None, list[Key]]:
@@ -512,14 +512,16 @@
         }
 
     def _is_isolated(
-        self, now_us: int, silent_by_scope: dict[str | None, list[Key]], events: list[Told]
+        self, now_us: int, silent_by_scope: dict[str | None, list[Key]], events: list[LogEvent]
     ) -> bool:
         """Whether so many leases are silent that this service must be isolated; then none expires."""
         silent_count = len(silent_by_scope.get(None, ()))
         if silent_count <= ISOLATION_FRACTION * len(self._leases):
             if self._isolated_since_us is not None:
                 events.append(
-                    Told("renewals arrive again", {"blind_ms": (now_us - self._isolated_since_us) // 1000})
+                    LogEvent(
+                        "renewals arrive again", {"blind_ms": (now_us - self._isolated_since_us) // 1000}
+                    )
                 )
                 # Leases that are still silent get one more lease duration.
                 self._delay_expiry(
@@ -534,12 +536,12 @@
                 "leases": len(self._leases),
                 "reason": f"more than {ISOLATION_FRACTION:.0%} of all leases are silent: we are isolated",
             }
-            events.append(Told("lease expiry suspended", fields))
+            events.append(LogEvent("lease expiry suspended", fields))
         return now_us - self._isolated_since_us < MAX_ISOLATION_US
 
     def _delay_expiry(
         self, now_us: int, silent_by_scope: dict[str | None, list[Key]], scope: str | None
-    ) -> Told:
+    ) -> LogEvent:
         """Extend leases that fell silent together by one lease duration: their renewals may be on the way."""
         leases = [self._leases[key] for key in silent_by_scope[scope]]
         not_yet_extended = [lease for lease in leases if not lease.extended_until_us]
@@ -552,7 +554,7 @@
             "hold_ms": (until_us - now_us) // 1000,
             "reason": f"more than {MASS_EXPIRY_FRACTION:.0%} of the leases fell silent together",
         }
-        return Told("mass expiry delayed", fields)
+        return LogEvent("mass expiry delayed", fields)
 
     def _forget_tombstones(self, now_us: int) -> list[Change]:
         """Drop tombstones past their retention time, and the oldest ones beyond the maximum number."""
@@ -647,9 +649,9 @@
             self._group_versions[group] = max(record.version, self._group_versions.get(group, 0))
 
     def _update_ready_count(self, before: Record | None, after: Record | None) -> None:
-        self.ready += is_ready(after) - is_ready(before)
+        self.ready_count += is_ready(after) - is_ready(before)
 
-    def ready_after(self, changes: Iterable[Change]) -> int:
+    def ready_count_after(self, changes: Iterable[Change]) -> int:
         """How many records would be ready after these changes."""
         record_after: dict[Key, Record | None] = {}
         for change in changes:
@@ -660,14 +662,14 @@
         differences = (
             is_ready(after) - is_ready(self.records.get(key)) for key, after in record_after.items()
         )
-        return self.ready + sum(differences)
+        return self.ready_count + sum(differences)
 
     def _mark_applied(self, key: Key, version: int) -> None:
         if self.pending.get(key, version + 1) <= version:
             del self.pending[key]
         self._group_versions[key.group] = version
 
-    def withdraw(self, changes: Iterable[Change]) -> None:
+    def discard_pending(self, changes: Iterable[Change]) -> None:
         """Undo all decisions that are not applied, since they could not be made durable."""
         for change in changes:
             if isinstance(change, Forgotten):
@@ -677,14 +679,14 @@
 
     # --- reads ---
 
-    def newest(self, group: Group) -> int:
+    def latest_version(self, group: Group) -> int:
         """Version of the last change that concerns the group; 0 if none is known."""
         return max(
             self._group_versions.get(each_group, 0)
             for each_group in (group, zone_key(group.service, "").group)
         )
 
-    def feed(self, after: int) -> list[Change] | None:
+    def changes_after(self, after: int) -> list[Change] | None:
         """The changes after this version, for a follower; None if the history does not reach back so far."""
         if not self._history_start <= after <= self.version:
             return None
@@ -696,7 +698,7 @@
                 return
             yield change
 
-    def span(self, group: Group, after: int | None) -> ListUpdate:
+    def update_since(self, group: Group, after: int | None) -> ListUpdate:
         """What changed after this version; all records if it is None, unknown or older than the history."""
         if after is None or after < max(1, self._history_start) or after > self.version:
             group_records = tuple(self.groups.get(group, {}).values())
@@ -710,12 +712,12 @@
         for key in reversed(changed):
             item = self.records.get(key) or self.tombstones.get(key)
             if item is None:  # its tombstone was dropped, so only the full list shows that it is gone
-                return self.span(group, None)
+                return self.update_since(group, None)
             items.append(item)
         return ListUpdate(self.version, False, tuple(items))
 
 
-def listed(item: Record | Tombstone, view: str) -> Entry:
+def entry_in_view(item: Record | Tombstone, view: str) -> Entry:
     """The entry of a record with its address in this view, if it has one there."""
     address = item.views.get(view) if isinstance(item, Record) else None
     return item.entry if address is None else msgspec.structs.replace(item.entry, host_port=address)
--- a/eiderhub/registry/following.py
+++ b/eiderhub/registry/follower.py
@@ -12,13 +12,20 @@
 
 from eiderhub.address import parse_host_port
 from eiderhub.http1 import NoReplyError
-from eiderhub.registry import calls
-from eiderhub.registry.belief import Pace, Sizes, Sources
-from eiderhub.registry.client import UNCONFIRMED_RETRY_S, WATCH_GRACE_S, Line, Refused, now_us, read
+from eiderhub.registry import api
+from eiderhub.registry.adoption import AddressSelector, FleetBackoff, ShrinkGuard
+from eiderhub.registry.client import (
+    UNCONFIRMED_RETRY_S,
+    WATCH_GRACE_S,
+    RegistryClient,
+    RequestRefusedError,
+    decode_reply,
+    now_us,
+)
 from eiderhub.registry.core import Core, is_ready
 from eiderhub.registry.server import RegistryServer
 
-WAIT_MS = 1000  # short, because the age of the list is bounded by the time of the last answered request
+FEED_WAIT_MS = 1000  # short, because the age of the list is bounded by the time of the last answered request
 log = structlog.get_logger()
 
 
@@ -28,10 +35,10 @@
     def __init__(self, server: RegistryServer, addresses: list[str], rng: random.Random) -> None:
         self._server = server
         self._rng = rng
-        self._clients = [Line(parse_host_port(address)) for address in addresses]
-        self._address_selector = Sources(len(self._clients))
-        self._backoff = Pace(rng)
-        self._shrink_guard = Sizes()
+        self._clients = [RegistryClient(parse_host_port(address)) for address in addresses]
+        self._address_selector = AddressSelector(len(self._clients))
+        self._backoff = FleetBackoff(rng)
+        self._shrink_guard = ShrinkGuard()
         self._last_error = ""
         self._last_refusal = ""
 
@@ -50,22 +57,22 @@
         sent_us = now_us()
         headers = [f"Registry-Branch: {core.identity}/{core.branch}"] if has_list else []
         try:
-            query = {"after": core.version, "wait_ms": WAIT_MS} if has_list else {}
-            reply = await client.get(calls.FEED, query, WAIT_MS / 1000 + WATCH_GRACE_S, *headers)
-            feed = read(reply, calls.FeedResponse)
-        except (NoReplyError, Refused) as error:
+            query = {"after": core.version, "wait_ms": FEED_WAIT_MS} if has_list else {}
+            reply = await client.get(api.FEED_PATH, query, FEED_WAIT_MS / 1000 + WATCH_GRACE_S, *headers)
+            feed = decode_reply(reply, api.FeedResponse)
+        except (NoReplyError, RequestRefusedError) as error:
             if str(error) != self._last_error:
                 self._last_error = str(error)
                 log.warning(
                     "the main service does not answer", address=str(client.address), reason=str(error)
                 )
-            self._address_selector.failed(now_us())
-            return self._backoff.failed() / 1e6
+            self._address_selector.record_failure(now_us())
+            return self._backoff.record_failure() / 1e6
         if self._last_error:
             log.info("the main service answers", address=str(client.address))
             self._last_error = ""
-        self._backoff.answered(None)
-        self._address_selector.answered(now_us())
+        self._backoff.record_answer(None)
+        self._address_selector.record_answer(now_us())
         self._server.main_address = str(client.address)
         refusal = self._adopt(core, feed, str(client.address))
         if refusal:
@@ -79,24 +86,30 @@
         self._server.as_of_us = sent_us
         return 0.0
 
-    def _adopt(self, core: Core, feed: calls.FeedResponse, source: str) -> str:
+    def _adopt(self, core: Core, feed: api.FeedResponse, source: str) -> str:
         """Apply the feed to the core; returns the reason if it is not adopted, else an empty string."""
         now = now_us()
         if feed.image is None:
             first_version = feed.changes[0].version if feed.changes else core.version + 1
             if feed.identity != core.identity or first_version <= core.version:
                 return "the changes do not continue the list in use"
-            ready_count = core.ready_after(feed.changes)
-            if not self._shrink_guard.believed(now, ready_count, feed.identity, source):
-                return f"{ready_count} ready endpoints where {self._shrink_guard.reference(now)} were in use"
+            ready_count = core.ready_count_after(feed.changes)
+            if not self._shrink_guard.accepts(now, ready_count, feed.identity, source):
+                return (
+                    f"{ready_count} ready endpoints where "
+                    f"{self._shrink_guard.recent_maximum(now)} were in use"
+                )
             self._server.apply(feed.changes)
         else:
             if feed.identity == core.identity and feed.version < core.version:
                 return f"version {feed.version} is older than {core.version}, which is in use"
             ready_count = sum(map(is_ready, feed.image.records))
-            if not self._shrink_guard.believed(now, ready_count, feed.identity, source):
-                return f"{ready_count} ready endpoints where {self._shrink_guard.reference(now)} were in use"
+            if not self._shrink_guard.accepts(now, ready_count, feed.identity, source):
+                return (
+                    f"{ready_count} ready endpoints where "
+                    f"{self._shrink_guard.recent_maximum(now)} were in use"
+                )
             core.restore(now, feed.image)
             self._server.image_restored()
-        self._shrink_guard.taken(now, core.ready)
+        self._shrink_guard.record_adopted(now, core.ready_count)
         return ""
--- a/eiderhub/registry/process.py
+++ b/eiderhub/registry/process.py
@@ -10,15 +10,15 @@
 
 import structlog
 
-from eiderhub.registry.config import Document
-from eiderhub.registry.following import Follower
-from eiderhub.registry.server import RegistryServer, new_core, recover
+from eiderhub.registry.config import RegistryConfig
+from eiderhub.registry.follower import Follower
+from eiderhub.registry.server import RegistryServer, create_core, recover_core
 from eiderhub.registry.store import Folder, Store, StoreError
 
 log = structlog.get_logger()
 
 
-async def serve(config: Document) -> None:
+async def serve(config: RegistryConfig) -> None:
     """Serve until SIGTERM or SIGINT.
 
     Raises:
@@ -30,7 +30,7 @@
     stop = asyncio.Event()
     for signum in (signal.SIGTERM, signal.SIGINT):
         asyncio.get_running_loop().add_signal_handler(signum, stop.set)
-    core = new_core(config)
+    core = create_core(config)
     if config.store is None:
         server = RegistryServer(config, core, None)
         await _serve_until(stop, server, Follower(server, config.follow, random.SystemRandom()))
@@ -39,9 +39,9 @@
     try:
         try:
             store = Store(folder)
-            for warning in store.contents.notes:
+            for warning in store.contents.warnings:
                 log.warning("store repaired at start", reason=warning)
-            recover(core, store.contents)
+            recover_core(core, store.contents)
         except ValueError as error:
             raise StoreError(f"{config.store}: {error}") from None
         except StoreError as error:
--- a/eiderhub/registry/records.py
+++ b/eiderhub/registry/records.py
@@ -9,7 +9,7 @@
 
 from eiderhub.address import AddressText
 from eiderhub.interface import Readiness
-from eiderhub.registry.names import MIN_ORDER_MS, MOST_ORDER_MS, MOST_VIEWS, Lease, Name, NameOrNone
+from eiderhub.registry.field_types import MAX_ORDER_MS, MAX_VIEWS, MIN_ORDER_MS, LeaseMs, Name, NameOrEmpty
 
 Version = Annotated[int, Meta(ge=0)]
 
@@ -19,8 +19,8 @@
 
     instance_id: Name
     host_port: AddressText
-    zone: NameOrNone = ""
-    machine_type: NameOrNone = ""
+    zone: NameOrEmpty = ""
+    machine_type: NameOrEmpty = ""
     cell: Annotated[int, Meta(ge=-1, le=1 << 31)] = 0
     lifecycle: Readiness = Readiness.READY
     weight: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
@@ -71,10 +71,10 @@
     service: Name = "default"
     tier: Name = "default"
     entry: Entry
-    owner: NameOrNone = ""  # token of the process that renews it; empty if nobody does
-    lease_ms: Lease | None = None  # None: listed until it is removed
-    region: NameOrNone = ""  # of its zone
-    views: Annotated[dict[Name, AddressText], Meta(max_length=MOST_VIEWS)] = {}
+    owner: NameOrEmpty = ""  # token of the process that renews it; empty if nobody does
+    lease_ms: LeaseMs | None = None  # None: listed until it is removed
+    region: NameOrEmpty = ""  # of its zone
+    views: Annotated[dict[Name, AddressText], Meta(max_length=MAX_VIEWS)] = {}
     drained: bool = False  # by an operator; the owner can't undo it
     version: Version = 0  # of its last change
 
@@ -112,7 +112,7 @@
     service: Name = "default"
     zone: Name
     share: Annotated[float, Meta(ge=0, le=1)] = 0.0  # of the calls that it would get without the order
-    for_ms: Annotated[int, Meta(ge=MIN_ORDER_MS, le=MOST_ORDER_MS)]
+    for_ms: Annotated[int, Meta(ge=MIN_ORDER_MS, le=MAX_ORDER_MS)]
     until_ms: Annotated[int, Meta(ge=0)] = 0  # Unix time; set by the service
     version: Version = 0
 
--- a/eiderhub/registry/server.py
+++ b/eiderhub/registry/server.py
@@ -20,9 +20,9 @@
 from eiderhub.documents import DocumentError, convert
 from eiderhub.http1 import ConnectionLimits, Exchange, ServerConnection
 from eiderhub.interface import Readiness
-from eiderhub.registry import calls
-from eiderhub.registry.config import Document, ServeSettings
-from eiderhub.registry.core import Core, Decision, Refusal, Told, is_ready, listed
+from eiderhub.registry import api
+from eiderhub.registry.config import RegistryConfig, ServeSettings
+from eiderhub.registry.core import Core, Decision, LogEvent, Refusal, entry_in_view, is_ready
 from eiderhub.registry.records import (
     Change,
     DiscoveryResponse,
@@ -78,7 +78,7 @@
         self.branch = branch  # IDENTITY/BRANCH of `after`; empty for plain discovery clients
 
 
-def recover(core: Core, contents: Contents) -> None:
+def recover_core(core: Core, contents: Contents) -> None:
     """Rebuild the core from the snapshot and log of the store. Every lease restarts in full.
 
     Raises:
@@ -99,7 +99,7 @@
 class RegistryServer:
     """Serves requests. Without a store it is a follower, whose core `Follower` keeps up to date."""
 
-    def __init__(self, config: Document, core: Core, store: Store | None) -> None:
+    def __init__(self, config: RegistryConfig, core: Core, store: Store | None) -> None:
         self.config = config
         self.core = core
         self._store = store
@@ -164,7 +164,7 @@
         if self._store.sequence == 0:
             # Make the identity of a new store durable before any client can see it.
             await self._run_in_store_thread(self._store.snapshot, msgspec.json.encode(self.core.image()))
-        opened = self.core.open(now_us())
+        opened = self.core.open_branch(now_us())
         await self._run_in_store_thread(self._store.append, [msgspec.json.encode(opened)])
         self.core.apply(now_us(), opened)
 
@@ -211,33 +211,35 @@
     def _handle_exchange(self, exchange: Exchange, group: Group, view: str) -> None:
         target = urlsplit(exchange.url.decode("latin-1"))
         routes: dict[str, tuple[bytes, Callable[..., None]]] = {
-            calls.LIST: (b"GET", self._handle_list),
-            calls.FEED: (b"GET", self._handle_feed),
-            calls.STATUS: (b"GET", self._handle_status),
-            calls.PUT: (b"POST", self._handle_put),
-            calls.DRAIN: (b"POST", self._handle_drain),
-            calls.REMOVE: (b"POST", self._handle_remove),
-            calls.RENEW: (b"POST", self._handle_renew),
-            calls.ZONE: (b"POST", self._handle_zone),
-            calls.ZONES: (b"GET", self._handle_zones),
+            api.LIST_PATH: (b"GET", self._handle_list),
+            api.FEED_PATH: (b"GET", self._handle_feed),
+            api.STATUS_PATH: (b"GET", self._handle_status),
+            api.PUT_PATH: (b"POST", self._handle_put),
+            api.DRAIN_PATH: (b"POST", self._handle_drain),
+            api.REMOVE_PATH: (b"POST", self._handle_remove),
+            api.RENEW_PATH: (b"POST", self._handle_renew),
+            api.ZONE_PATH: (b"POST", self._handle_zone),
+            api.ZONES_PATH: (b"GET", self._handle_zones),
         }
         route = routes.get(target.path)
         if route is None:
-            self._respond(exchange, 404, calls.Done(why=f"unknown path; available: {', '.join(routes)}"))
+            self._respond(
+                exchange, 404, api.WriteResponse(why=f"unknown path; available: {', '.join(routes)}")
+            )
         elif exchange.method != route[0]:
-            self._respond(exchange, 405, calls.Done(why=f"{route[0].decode()} only"))
+            self._respond(exchange, 405, api.WriteResponse(why=f"{route[0].decode()} only"))
         elif route[0] == b"GET":
             try:
                 query = {name: values[-1] for name, values in parse_qs(target.query).items()}
                 route[1](exchange, _Query(query, group, view))
             except _QueryError as error:
-                self._respond(exchange, 400, calls.Done(why=str(error)))
+                self._respond(exchange, 400, api.WriteResponse(why=str(error)))
         elif self.is_follower:
             why = (
                 f"this is a follower; the main service is at "
                 f"{self.main_address or ', '.join(self.config.follow)}"
             )
-            self._respond(exchange, 421, calls.Done(why=why))
+            self._respond(exchange, 421, api.WriteResponse(why=why))
         else:
             route[1](exchange)
 
@@ -249,22 +251,22 @@
 
     def _respond_busy(self, exchange: Exchange, why: str) -> None:
         self._counters["refused"] += 1
-        self._respond(exchange, 503, calls.Done(why=why), BUSY_RETRY_AFTER_S)
+        self._respond(exchange, 503, api.WriteResponse(why=why), BUSY_RETRY_AFTER_S)
 
     def _decode_body(self, exchange: Exchange, body_type: type[T]) -> T | None:
         """Decode the body of a write request; answers 400 and returns None if it is invalid."""
         try:
             return convert(msgspec.json.decode(exchange.body), body_type)
         except DocumentError as error:
-            self._respond(exchange, 400, calls.Done(why="; ".join(error.fault_lines()[:5])))
+            self._respond(exchange, 400, api.WriteResponse(why="; ".join(error.fault_lines()[:5])))
         except (msgspec.DecodeError, RecursionError) as error:
-            self._respond(exchange, 400, calls.Done(why=f"body is not valid JSON: {error}"))
+            self._respond(exchange, 400, api.WriteResponse(why=f"body is not valid JSON: {error}"))
         return None
 
     # --- writes ---
 
     def _handle_put(self, exchange: Exchange) -> None:
-        request = self._decode_body(exchange, calls.PutCall)
+        request = self._decode_body(exchange, api.PutRequest)
         if request is not None:
             record, if_version = request.record, request.if_version
             self._enqueue_write(
@@ -272,7 +274,7 @@
             )
 
     def _handle_drain(self, exchange: Exchange) -> None:
-        request = self._decode_body(exchange, calls.RecordCall)
+        request = self._decode_body(exchange, api.RecordRequest)
         if request is not None:
             key, owner, if_version, undo = (
                 _record_key(request),
@@ -285,7 +287,7 @@
             )
 
     def _handle_remove(self, exchange: Exchange) -> None:
-        request = self._decode_body(exchange, calls.RecordCall)
+        request = self._decode_body(exchange, api.RecordRequest)
         if request is not None:
             key, owner, if_version = _record_key(request), request.owner, request.if_version
             self._enqueue_write(
@@ -293,7 +295,7 @@
             )
 
     def _handle_renew(self, exchange: Exchange) -> None:
-        request = self._decode_body(exchange, calls.RenewRequest)
+        request = self._decode_body(exchange, api.RenewRequest)
         if request is None:
             return
         now = now_us()
@@ -304,20 +306,20 @@
         self._respond(
             exchange,
             200,
-            calls.RenewResponse(
+            api.RenewResponse(
                 statuses=[200 if refusal is None else refusal.status for refusal in refusals],
-                why=["" if refusal is None else refusal.why for refusal in refusals],
+                why=["" if refusal is None else refusal.reason for refusal in refusals],
             ),
         )
 
     def _handle_zone(self, exchange: Exchange) -> None:
-        request = self._decode_body(exchange, calls.ZoneCall)
+        request = self._decode_body(exchange, api.ZoneOrderRequest)
         if request is None:
             return
         order, over, force = request.order, request.over, request.force
         if order is not None:
             self._enqueue_write(
-                PendingWrite(exchange, order.key, lambda now: self.core.order(now, order, force))
+                PendingWrite(exchange, order.key, lambda now: self.core.set_order(now, order, force))
             )
         elif over is not None:
             key = zone_key(over.service, over.zone)
@@ -348,7 +350,7 @@
         """Decide the queued writes, make them durable with one append, then apply and answer them."""
         await asyncio.sleep(0)  # includes writes that arrive in the same event loop iteration
         now = now_us()
-        changes, log_events = self.core.look(now)
+        changes, log_events = self.core.decide_expiries(now)
         self._log_events(log_events)
         queued, self._pending_writes = self._pending_writes, []
         decided: list[tuple[PendingWrite, Decision]] = []
@@ -374,7 +376,7 @@
         await self._write_snapshot()
 
     @staticmethod
-    def _log_events(events: list[Told]) -> None:
+    def _log_events(events: list[LogEvent]) -> None:
         for event in events:
             log.info(event.event, **event.fields)
 
@@ -384,7 +386,7 @@
         try:
             await self._run_in_store_thread(self._store.append, payloads)
         except OSError as error:
-            self.core.withdraw(changes)
+            self.core.discard_pending(changes)
             reason = error.strerror or str(error)
             if reason != self.store_error:
                 log.error("store write failed; writes are refused, lists are still served", reason=reason)
@@ -406,8 +408,8 @@
             group = _changed_group(change)
             if group is not None:
                 # A zone order affects the lists of all tiers of its service.
-                for changed_group in [group] if group.tier else self._watches.waiting(group.service):
-                    self._watches.changed(now, changed_group)
+                for changed_group in [group] if group.tier else self._watches.waiting_groups(group.service):
+                    self._watches.mark_changed(now, changed_group)
         for exchange in list(self._waiting_feeds):
             self._respond_to_waiting_feed(exchange)
         self._schedule_watch_timer()
@@ -417,20 +419,20 @@
         self._response_cache.clear()
         now = now_us()
         for group in self.core.groups:
-            self._watches.changed(now, group)
+            self._watches.mark_changed(now, group)
         self._schedule_watch_timer()
 
     def _respond_to_write(self, write: PendingWrite, decision: Decision) -> None:
         refusal = decision.refusal
         if refusal is None:
-            self._respond(write.exchange, 200, calls.Done(version=decision.version))
+            self._respond(write.exchange, 200, api.WriteResponse(version=decision.version))
             return
-        response = calls.Done(version=refusal.version, why=refusal.why)
+        response = api.WriteResponse(version=refusal.version, why=refusal.reason)
         self._respond(write.exchange, refusal.status, response, refusal.retry_us / 1e6)
 
     async def _write_snapshot(self) -> None:
         assert self._store is not None
-        if not self._store.worth_a_snapshot or time.monotonic() < self._next_snapshot_s:
+        if not self._store.needs_snapshot or time.monotonic() < self._next_snapshot_s:
             return
         image = self.core.image()
         try:
@@ -446,7 +448,7 @@
         """Expire leases periodically, independent of incoming requests."""
         while True:
             await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
-            self._log_events(self.core.tick(now_us()))
+            self._log_events(self.core.detect_pause(now_us()))
             self._schedule_flush()
 
     # --- reads ---
@@ -454,7 +456,7 @@
     def _handle_list(self, exchange: Exchange, query: _Query) -> None:
         group = Group(query.text("service", query.group.service), query.text("tier", query.group.tier))
         after = query.number("after")
-        wait_ms = min(calls.MAX_WAIT_MS, query.number("wait_ms") or 0)
+        wait_ms = min(api.MAX_WAIT_MS, query.number("wait_ms") or 0)
         branch = exchange.headers.get(b"registry-branch", b"").decode("latin-1")
         request = ListRequest(exchange, group, query.text("view", query.view), after, branch)
         if self.is_follower and self.as_of_us is None:
@@ -464,7 +466,7 @@
             self._respond_busy(exchange, "this follower is behind the version that the caller has")
             return
         if not self.is_follower and after is not None and not self._continues_ours(request):
-            self.core.ahead(branch.partition("/")[0], after)
+            self.core.report_lost_version(branch.partition("/")[0], after)
         if not branch and (after or 0) > self.core.version and now_us() < self._settled_at_us:
             # The caller has a newer list than the store, which was set back to an older state. Endpoints are
             # still registering again; an answer now would make the caller drop live ones.
@@ -479,9 +481,9 @@
                 return
             now = now_us()
             ticket = self._watches.add(request, group, now + wait_ms * 1000)
-            if (after or 0) < self.core.newest(group):
-                self._watches.changed(now, group)
-            exchange.on_disconnect = lambda _: self._watches.drop(ticket, group)
+            if (after or 0) < self.core.latest_version(group):
+                self._watches.mark_changed(now, group)
+            exchange.on_disconnect = lambda _: self._watches.remove(ticket, group)
             self._schedule_watch_timer()
         else:
             self._respond_with_list(request)
@@ -490,7 +492,7 @@
         if not request.branch:
             return True
         identity, _, branch = request.branch.partition("/")
-        return identity == self.core.identity and self.core.continues(branch, request.after or 0)
+        return identity == self.core.identity and self.core.contains_version(branch, request.after or 0)
 
     def _caller_is_ahead(self, request: ListRequest) -> bool:
         """Whether the caller has a newer list than this follower, which then has nothing to offer it."""
@@ -506,13 +508,13 @@
         cache_key = (request.group, request.view, after, self.core.version)
         body = self._response_cache.get(cache_key)
         if body is None:
-            update = self.core.span(request.group, after)
-            entries: list[Entry] = [listed(item, request.view) for item in update.entries]
+            update = self.core.update_since(request.group, after)
+            entries: list[Entry] = [entry_in_view(item, request.view) for item in update.items]
             service = request.group.service
-            orders = self.core.orders.of(service)
+            orders = self.core.orders.for_service(service)
             response = DiscoveryResponse(
                 generation=update.version,
-                reset=update.whole,
+                reset=update.is_full,
                 instances=entries,
                 regions=self.core.regions.get(service, {}),
                 orders=[
@@ -540,7 +542,7 @@
 
     def _schedule_watch_timer(self) -> None:
         """Set the timer to the time when the next watch is due."""
-        due = self._watches.next_us()
+        due = self._watches.next_due_us()
         if self._watch_timer is not None:
             self._watch_timer.cancel()
             self._watch_timer = None
@@ -550,18 +552,18 @@
 
     def _on_watch_timer(self) -> None:
         self._watch_timer = None
-        for request in self._watches.due(now_us()):
+        for request in self._watches.take_due(now_us()):
             self._respond_with_list(request)
         self._schedule_watch_timer()
 
     def _handle_feed(self, exchange: Exchange, query: _Query) -> None:
         after = query.number("after") or 0
-        wait_ms = min(calls.MAX_WAIT_MS, query.number("wait_ms") or 0)
+        wait_ms = min(api.MAX_WAIT_MS, query.number("wait_ms") or 0)
         identity, _, branch = exchange.headers.get(b"registry-branch", b"").decode("latin-1").partition("/")
         if self.is_follower:
-            self._respond(exchange, 421, calls.Done(why="this is a follower"))
+            self._respond(exchange, 421, api.WriteResponse(why="this is a follower"))
             return
-        if identity != self.core.identity or not self.core.continues(branch, after):
+        if identity != self.core.identity or not self.core.contains_version(branch, after):
             after = -1
         if after == self.core.version and wait_ms and len(self._waiting_feeds) < self._limits.watches:
             loop = asyncio.get_running_loop()
@@ -581,9 +583,9 @@
         self._respond_with_feed(exchange, after)
 
     def _respond_with_feed(self, exchange: Exchange, after: int) -> None:
-        changes = self.core.feed(after) if after >= 0 else None
+        changes = self.core.changes_after(after) if after >= 0 else None
         image = self.core.image() if changes is None else None
-        response = calls.FeedResponse(
+        response = api.FeedResponse(
             identity=self.core.identity, version=self.core.version, changes=changes or [], image=image
         )
         self._respond(exchange, 200, response)
@@ -591,12 +593,12 @@
     def _handle_zones(self, exchange: Exchange, query: _Query) -> None:
         service = query.text("service", query.group.service)
         records = [r for r in self.core.records.values() if r.service == service]
-        orders = {order.zone: order for order in self.core.orders.of(service)}
+        orders = {order.zone: order for order in self.core.orders.for_service(service)}
         states = []
         for zone in sorted({r.entry.zone for r in records} | orders.keys()):
             zone_records = [r for r in records if r.entry.zone == zone]
             states.append(
-                calls.ZoneState(
+                api.ZoneState(
                     zone=zone,
                     region=self.core.regions.get(service, {}).get(zone, ""),
                     ready=sum(map(is_ready, zone_records)),
@@ -604,7 +606,7 @@
                     order=orders.get(zone),
                 )
             )
-        response = calls.ZonesTold(version=self.core.version, age_ms=self.age_ms, zones=states)
+        response = api.ZonesResponse(version=self.core.version, age_ms=self.age_ms, zones=states)
         self._respond(exchange, 200, response)
 
     def _handle_status(self, exchange: Exchange, query: _Query) -> None:
@@ -613,7 +615,7 @@
         self._respond(
             exchange,
             200,
-            calls.Status(
+            api.StatusResponse(
                 role="follower" if self.is_follower else "main",
                 identity=core.identity,
                 branch=core.branch,
@@ -655,7 +657,7 @@
         return self._values.get(name, default)
 
 
-def _record_key(reference: calls.RecordReference) -> Key:
+def _record_key(reference: api.RecordReference) -> Key:
     return Key(reference.service, reference.tier, reference.id)
 
 
@@ -665,6 +667,6 @@
     return change.key.group if isinstance(change, Gone | Ordered | OrderOver) else None
 
 
-def new_core(config: Document) -> Core:
+def create_core(config: RegistryConfig) -> Core:
     offset_us = time.time_ns() // 1000 - now_us()
     return Core(random.SystemRandom(), config.limits.history, config.limits.records, offset_us)
--- a/eiderhub/registry/store.py
+++ b/eiderhub/registry/store.py
@@ -72,13 +72,13 @@
 class Folder:
     """A folder of the file system, locked against other processes."""
 
-    def __init__(self, path: Path, make: bool = True, lock: bool = True) -> None:
+    def __init__(self, path: Path, create: bool = True, lock: bool = True) -> None:
         """Raises StoreError if another process has the folder open, or it can't be used."""
         self.path = path
         self._files: dict[str, int] = {}
         self._lock: int | None = None
         try:
-            if make:
+            if create:
                 path.mkdir(parents=True, exist_ok=True)
             elif not path.is_dir():
                 raise StoreError(f"{path}: no such store")
@@ -241,7 +241,7 @@
     snapshot: Frame | None
     frames: list[Frame]  # after the snapshot, in order
     logs: list[Log]
-    notes: list[str]  # about unfinished files that are skipped or cut off
+    warnings: list[str]  # about unfinished files that are skipped or cut off
 
     @property
     def sequence(self) -> int:
@@ -249,7 +249,7 @@
         return last.sequence if last is not None else 0
 
 
-def read(disk: Disk) -> Contents:
+def read_store(disk: Disk) -> Contents:
     """Read a whole store without changing it.
 
     Raises:
@@ -299,7 +299,7 @@
     def __init__(self, disk: Disk) -> None:
         """Raises StoreError if the store is damaged, OSError if the disk fails."""
         self._disk = disk
-        self.contents = read(disk)
+        self.contents = read_store(disk)
         self.sequence = self.contents.sequence
         self._has_failed_append = False  # the log may have bytes after its last valid frame
         for name in [name for name in disk.names() if name.endswith(PARTIAL_SUFFIX)]:
@@ -351,7 +351,7 @@
             self._has_failed_append = False
 
     @property
-    def worth_a_snapshot(self) -> bool:
+    def needs_snapshot(self) -> bool:
         return self.log_bytes > SNAPSHOT_LOG_BYTES
 
     def snapshot(self, payload: bytes) -> None:
--- a/eiderhub/registry/kept.py
+++ b/eiderhub/registry/stored_list.py
@@ -9,14 +9,14 @@
 
 import msgspec
 
-from eiderhub.registry.belief import Steering
+from eiderhub.registry.adoption import ZoneData
 from eiderhub.registry.records import Entry, ZoneShare
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.settings import FollowSettings
 
 MAX_FILE_BYTES = 64 << 20
 
 
-class Whose(msgspec.Struct, frozen=True):
+class ListScope(msgspec.Struct, frozen=True):
     """Which list a file holds; a list of another service, tier or view can't be used."""
 
     service: str
@@ -24,12 +24,12 @@
     view: str
 
     @staticmethod
-    def of(follow: Follow) -> Whose:
-        return Whose(follow.service, follow.tier, follow.view)
+    def of(follow: FollowSettings) -> ListScope:
+        return ListScope(follow.service, follow.tier, follow.view)
 
 
 class _StoredFile(msgspec.Struct, frozen=True):
-    whose: Whose
+    whose: ListScope
     identity: str
     branch: str
     version: int
@@ -39,23 +39,23 @@
     orders: list[ZoneShare] = []
 
 
-class Kept(NamedTuple):
+class StoredList(NamedTuple):
     identity: str
     branch: str
     version: int
     age_s: float
     entries: list[Entry]
-    steering: Steering
+    zone_data: ZoneData
 
 
-def write(
+def write_list(
     path: str,
-    scope: Whose,
+    scope: ListScope,
     identity: str,
     branch: str,
     version: int,
     entries: list[Entry],
-    zone_data: Steering,
+    zone_data: ZoneData,
 ) -> None:
     """Replace the file atomically. Raises OSError."""
     written_ms = time.time_ns() // 1_000_000
@@ -70,7 +70,7 @@
         raise
 
 
-def read(path: str, max_age_s: float, scope: Whose) -> Kept | str:
+def read_list(path: str, max_age_s: float, scope: ListScope) -> StoredList | str:
     """The stored list, or why it can't be used.
 
     The age comes from the system clock. If the clock was set back, the file seems to come from the future;
@@ -90,5 +90,5 @@
     age_s = abs(time.time_ns() // 1_000_000 - file.written_ms) / 1000
     if age_s > max_age_s:
         return f"the list is {age_s:.0f} s old, or the clock is off by that; the limit is {max_age_s:g} s"
-    zone_data = Steering(file.regions, tuple(file.orders))
-    return Kept(file.identity, file.branch, file.version, age_s, file.entries, zone_data)
+    zone_data = ZoneData(file.regions, tuple(file.orders))
+    return StoredList(file.identity, file.branch, file.version, age_s, file.entries, zone_data)
--- a/eiderhub/registry/watches.py
+++ b/eiderhub/registry/watches.py
@@ -7,8 +7,8 @@
 
 from eiderhub.registry.records import Group
 
-GATHER_US = 5_000  # delay after a change, so that further changes are answered with it
-EACH_US = 100  # pause between answers to a group, for each of its watches: the time they take
+COALESCE_DELAY_US = 5_000  # delay after a change, so that further changes are answered with it
+INTERVAL_PER_WATCH_US = 100  # pause between answers to a group, for each of its watches: the time they take
 T = TypeVar("T")
 
 
@@ -49,7 +49,7 @@
         heapq.heappush(self._deadlines, (deadline_us, watch.ticket, group))
         return watch.ticket
 
-    def drop(self, ticket: int, group: Group) -> None:
+    def remove(self, ticket: int, group: Group) -> None:
         self._callers.pop(ticket, None)
         self._remove_from_group(ticket, group)
 
@@ -59,18 +59,20 @@
         if not waiting:  # groups come from callers' queries: keep no empty ones
             self._waiting.pop(group, None)
 
-    def waiting(self, service: str) -> list[Group]:
+    def waiting_groups(self, service: str) -> list[Group]:
         """The groups of a service that have watches."""
         return [group for group in self._waiting if group.service == service]
 
-    def changed(self, now_us: int, group: Group) -> None:
+    def mark_changed(self, now_us: int, group: Group) -> None:
         if group not in self._answer_times:
             # Most of the watches just answered are about to return, so they count as well.
             last_us, last_count = self._last_answered.get(group, (now_us, 0))
-            interval_us = EACH_US * max(last_count, len(self._waiting.get(group, ())) if last_count else 0)
-            self._answer_times[group] = max(now_us + GATHER_US, last_us + interval_us)
+            interval_us = INTERVAL_PER_WATCH_US * max(
+                last_count, len(self._waiting.get(group, ())) if last_count else 0
+            )
+            self._answer_times[group] = max(now_us + COALESCE_DELAY_US, last_us + interval_us)
 
-    def due(self, now_us: int) -> list[T]:
+    def take_due(self, now_us: int) -> list[T]:
         """Remove and return the calls to answer now: their group changed, or their wait is over."""
         callers: list[T] = []
         for group in [group for group, when in self._answer_times.items() if when <= now_us]:
@@ -88,6 +90,6 @@
                 self._remove_from_group(ticket, group)
         return callers
 
-    def next_us(self) -> int | None:
+    def next_due_us(self) -> int | None:
         due_times = [*self._answer_times.values(), *(until for until, _, _ in self._deadlines[:1])]
         return min(due_times, default=None)
--- a/eiderhub/registry/orders.py
+++ b/eiderhub/registry/zone_orders.py
@@ -50,7 +50,7 @@
     def all(self) -> list[Order]:
         return [active.order for active in self._active.values()]
 
-    def of(self, service: str) -> list[Order]:
+    def for_service(self, service: str) -> list[Order]:
         return [held.order for key, held in self._active.items() if key.service == service]
 
     def expired(self, now_us: int) -> list[Key]:
@@ -61,7 +61,7 @@
         """Tiers that the order would leave without a ready zone that may get calls."""
         if order.share:
             return []
-        closed_zones = {one.zone for one in self.of(order.service) if not one.share} | {order.zone}
+        closed_zones = {one.zone for one in self.for_service(order.service) if not one.share} | {order.zone}
         tiers = []
         for group, records in groups.items():
             if group.service == order.service:
--- a/eiderhub/scale/changes.py
+++ b/eiderhub/scale/changes.py
@@ -12,8 +12,8 @@
 
 from eiderhub.address import Address
 from eiderhub.http1 import NoReplyError
-from eiderhub.registry import calls
-from eiderhub.registry.client import Line, Refused
+from eiderhub.registry import api
+from eiderhub.registry.client import RegistryClient, RequestRefusedError
 from eiderhub.scale.hollow import Change, Settle, Settled, delay_ms
 from eiderhub.scale.plan import Seat
 from eiderhub.scale.topology import Topology
@@ -35,7 +35,7 @@
     """An operator who drains records and takes it back, by turns; each call leaves when it is due."""
 
     def __init__(self, address: Address, seats: Sequence[Seat], seed: int) -> None:
-        self._lines = [Line(address) for _ in range(LINES)]
+        self._lines = [RegistryClient(address) for _ in range(LINES)]
         self._seats = seats
         self._rng = random.Random(seed)
         self._busy: set[asyncio.Task[None]] = set()
@@ -57,12 +57,12 @@
             await asyncio.gather(*self._busy)
         await asyncio.sleep(max(0.0, begun + seconds - time.monotonic()))
 
-    async def _turn(self, line: Line, seat: Seat, undo: bool) -> None:
+    async def _turn(self, line: RegistryClient, seat: Seat, undo: bool) -> None:
         self.written.tried += 1
-        call = calls.RecordCall(service=seat.service, id=seat.id, undo=undo)
+        call = api.RecordRequest(service=seat.service, id=seat.id, undo=undo)
         try:
-            done = await line.post(calls.DRAIN, call, calls.Done, WRITE_S)
-        except (NoReplyError, Refused):
+            done = await line.post(api.DRAIN_PATH, call, api.WriteResponse, WRITE_S)
+        except (NoReplyError, RequestRefusedError):
             self.written.failed += 1
             return
         self.written.made.append(Change(seat.service, done.version, time.monotonic()))
--- a/eiderhub/scale/counts.py
+++ b/eiderhub/scale/counts.py
@@ -15,18 +15,18 @@
 from msgspec import Struct
 
 from eiderhub.emulator.processes import PAGE_BYTES, TICKS_PER_S
-from eiderhub.registry import calls
+from eiderhub.registry import api
 from eiderhub.scale.result import Machine
 
 NAME = b'"instanceId"'  # stands once in each entry of a list
 KINDS = {
-    calls.LIST.encode(): "list",
-    calls.FEED.encode(): "feed",
-    calls.STATUS.encode(): "status",
-    calls.RENEW.encode(): "renew",
-    calls.PUT.encode(): "put",
-    calls.DRAIN.encode(): "drain",
-    calls.REMOVE.encode(): "remove",
+    api.LIST_PATH.encode(): "list",
+    api.FEED_PATH.encode(): "feed",
+    api.STATUS_PATH.encode(): "status",
+    api.RENEW_PATH.encode(): "renew",
+    api.PUT_PATH.encode(): "put",
+    api.DRAIN_PATH.encode(): "drain",
+    api.REMOVE_PATH.encode(): "remove",
 }
 WRITES = ("put", "drain", "remove")
 OTHER = "other"
--- a/eiderhub/scale/faults.py
+++ b/eiderhub/scale/faults.py
@@ -11,7 +11,7 @@
 
 from eiderhub.emulator.wires import How
 from eiderhub.http1 import NoReplyError
-from eiderhub.registry.client import Refused
+from eiderhub.registry.client import RequestRefusedError
 from eiderhub.scale.changes import Writer
 from eiderhub.scale.counts import peak, together
 from eiderhub.scale.hollow import EMPTIED, LOST, UNRENEWED, WENT_BACK, Nothing, Replace, Which
@@ -49,7 +49,7 @@
         while True:
             try:
                 self.least_records = min(self.least_records, (await self.topology.main.status()).records)
-            except (NoReplyError, Refused):
+            except (NoReplyError, RequestRefusedError):
                 self.notes.append("the main service did not answer a look")
             await asyncio.sleep(WATCH_S)
 
--- a/eiderhub/scale/hollow.py
+++ b/eiderhub/scale/hollow.py
@@ -32,9 +32,9 @@
 from eiderhub.documents import convert
 from eiderhub.http1 import ConnectionLimits, Exchange, ServerConnection
 from eiderhub.interface import ListForm, Settings
-from eiderhub.registry.client import Registration, now_us, record_of
+from eiderhub.registry.client import Registration, build_record, now_us
 from eiderhub.registry.records import Entry
-from eiderhub.registry.settings import Follow, Register
+from eiderhub.registry.settings import FollowSettings, RegisterSettings
 from eiderhub.scale.counts import CountingLoop, Told, counting
 from eiderhub.scale.plan import Seat
 from eiderhub.settings import Setup
@@ -184,7 +184,7 @@
         self._settings = dataclasses.replace(
             settings, zone=seat.zone, rank=seat.rank, balancers=seat.balancers
         )
-        follow = Follow(
+        follow = FollowSettings(
             addresses=part.followers[seat.region],
             service=seat.follows,
             wait_s=part.wait_s,
@@ -199,7 +199,7 @@
 
     def register(self, started_ms: int) -> Registration:
         seat, part = self.seat, self._part
-        told = Register(
+        told = RegisterSettings(
             id=seat.id,
             address=part.endpoint,
             service=seat.service,
@@ -208,7 +208,7 @@
             lease_ms=part.lease_ms,
         )
         addresses = [parse_host_port(text) for text in part.main[seat.region]]
-        self.registration = Registration(record_of(told, started_ms), addresses, _alive)
+        self.registration = Registration(build_record(told, started_ms), addresses, _alive)
         self.state = State.HELD
         self.registration.start()
         return self.registration
@@ -246,9 +246,9 @@
         if form is ListForm.CACHED:
             return
         self.lists += 1
-        if not self.following.watch.belief.entries:
+        if not self.following.watch.adopted_list.entries:
             log.warning(EMPTIED, id=self.seat.id)
-        version = self.following.watch.belief.version
+        version = self.following.watch.adopted_list.version
         if self.in_force and version < self.in_force[-1][1]:
             log.warning(WENT_BACK, id=self.seat.id)
         self.in_force.append((time.monotonic(), version))
@@ -342,7 +342,7 @@
         return Nothing()
 
     async def _put(self, sidecar: Hollow) -> None:
-        await sidecar.register(time.time_ns() // 1_000_000 - UP_MS).put.wait()
+        await sidecar.register(time.time_ns() // 1_000_000 - UP_MS).registered.wait()
 
     async def _follow(self, _: Nothing) -> Nothing:
         await _bounded(self._first(sidecar) for sidecar in self.sidecars.values())
@@ -362,7 +362,7 @@
         return Snapshot(
             connections=counting().told(),
             said=dict(self._said),
-            held=sum(s.registration is not None and s.registration.put.is_set() for s in living),
+            held=sum(s.registration is not None and s.registration.registered.is_set() for s in living),
             listed=sum(sidecar.listed.is_set() for sidecar in living),
             late_ms=[round(float(value), 2) for value in np.percentile(late, [50, 99, 100])] if late else [],
             lists=sum(sidecar.lists for sidecar in self.sidecars.values()),
@@ -392,7 +392,7 @@
         living = [sidecar for sidecar in self.sidecars.values() if sidecar.state is State.HELD]
         differ = 0
         for turn, sidecar in enumerate(living):
-            has = digest(sidecar.following.watch.belief.entries)
+            has = digest(sidecar.following.watch.adopted_list.entries)
             differ += has != call.digests.get(sidecar.seat.follows, digest({}))
             if not turn % 50:
                 await asyncio.sleep(0)  # the others' timers go on
@@ -421,7 +421,7 @@
                 del self.sidecars[name]
                 sidecar = self.sidecars[seat.id] = self._make(seat)
                 sidecar.follow()
-                await sidecar.register(time.time_ns() // 1_000_000).put.wait()
+                await sidecar.register(time.time_ns() // 1_000_000).registered.wait()
         return Nothing()
 
 
--- a/eiderhub/scale/looks.py
+++ b/eiderhub/scale/looks.py
@@ -10,7 +10,7 @@
 
 from msgspec import structs
 
-from eiderhub.registry import calls
+from eiderhub.registry import api
 from eiderhub.scale.counts import WRITES, Told, cost, peak, since, together
 from eiderhub.scale.hollow import Nothing, Snapshot
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, RUN, Phase, Role
@@ -30,7 +30,7 @@
     real: dict[str, Told]
     feed: Told  # what followers have said to the main one
     run: Told  # what this run itself has
-    statuses: dict[str, calls.Status]
+    statuses: dict[str, api.StatusResponse]
     held: int
     said: dict[str, int]
     late_ms: float
--- a/eiderhub/scale/registry_bench.py
+++ b/eiderhub/scale/registry_bench.py
@@ -17,11 +17,11 @@
 from eiderhub.emulator.processes import Process, new_folder
 from eiderhub.http1 import NoReplyError
 from eiderhub.interface import Readiness
-from eiderhub.registry import calls
-from eiderhub.registry.belief import Pace, S
-from eiderhub.registry.client import Line, Refused, read
+from eiderhub.registry import api
+from eiderhub.registry.adoption import US_PER_S, FleetBackoff
+from eiderhub.registry.client import RegistryClient, RequestRefusedError, decode_reply
 from eiderhub.registry.records import Branch, Entry, Opened, Put, Record
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.settings import FollowSettings
 from eiderhub.registry.store import Folder, Store
 from eiderhub.scale.counts import cost
 from eiderhub.scale.services import READY_S, ListService, spawn
@@ -80,7 +80,7 @@
         }
         self._service = ListService("registry", folder, {"limits": limits})
         self._address = self._service.address
-        self._follow = Follow(addresses=[str(self._address)])
+        self._follow = FollowSettings(addresses=[str(self._address)])
         self._watchers: list[Process] = []
         self._callers: list[Caller] = []
         try:
@@ -124,15 +124,15 @@
         await self._service.start()
 
     async def _fill(self) -> None:
-        lines = [Line(self._address) for _ in range(WRITERS)]
+        lines = [RegistryClient(self._address) for _ in range(WRITERS)]
         await asyncio.gather(
             *(self._put_all(line, range(i, self._records, WRITERS)) for i, line in enumerate(lines))
         )
         self._writers = lines
 
-    async def _put_all(self, line: Line, numbers: range) -> None:
+    async def _put_all(self, line: RegistryClient, numbers: range) -> None:
         for number in numbers:
-            await line.post(calls.PUT, calls.PutCall(record=_record(number)), calls.Done, 30.0)
+            await line.post(api.PUT_PATH, api.PutRequest(record=_record(number)), api.WriteResponse, 30.0)
 
     async def _writes(self) -> None:
         counts = [0] * WRITERS
@@ -152,16 +152,16 @@
             times.append((time.monotonic() - begun) * 1000)
         self.figures.one_write_ms = round(float(np.median(times)), 2)
 
-    async def _turn(self, line: Line, number: int, turn: int) -> int:
+    async def _turn(self, line: RegistryClient, number: int, turn: int) -> int:
         """One change of this record; returns its version."""
-        call = calls.RecordCall(id=f"e{number}", undo=bool(turn % 2))
-        return (await line.post(calls.DRAIN, call, calls.Done, 30.0)).version
+        call = api.RecordRequest(id=f"e{number}", undo=bool(turn % 2))
+        return (await line.post(api.DRAIN_PATH, call, api.WriteResponse, 30.0)).version
 
     def _watcher_file(self, number: int) -> Path:
         return self._folder / f"watchers-{number}.json"
 
-    async def _status(self) -> calls.Status:
-        return read(await self._writers[0].get(calls.STATUS, {}, 30.0), calls.Status)
+    async def _status(self) -> api.StatusResponse:
+        return decode_reply(await self._writers[0].get(api.STATUS_PATH, {}, 30.0), api.StatusResponse)
 
     async def _start_watchers(self) -> None:
         """In processes of their own; returns once all of them watch."""
@@ -239,7 +239,7 @@
         for jitter in (True, False):
             for caller in self._callers:
                 caller.line.close()
-                caller.line = Line(self._address)
+                caller.line = RegistryClient(self._address)
             await connect(self._callers)
             tried: list[float] = []
             back: list[float] = []
@@ -264,8 +264,8 @@
                 self.figures.storm_back_s_without = seconds
 
     async def _come_back(self, caller: Caller, jitter: bool, tried: list[float], back: list[float]) -> None:
-        pace = Pace(random.Random(len(self._callers) + id(caller)))
-        pace.answered(len(self._callers))
+        pace = FleetBackoff(random.Random(len(self._callers) + id(caller)))
+        pace.record_answer(len(self._callers))
         with_watch = True
         for turn in range(100):
             try:
@@ -276,9 +276,9 @@
                     await caller.once(0)
                     back.append(time.monotonic())
                     return
-            except (NoReplyError, Refused):
+            except (NoReplyError, RequestRefusedError):
                 with_watch = False
-                wait_s = pace.failed() / S if jitter else BASE_S * 2 ** min(turn, 6)
+                wait_s = pace.record_failure() / US_PER_S if jitter else BASE_S * 2 ** min(turn, 6)
                 await asyncio.sleep(wait_s)
 
 
--- a/eiderhub/scale/run.py
+++ b/eiderhub/scale/run.py
@@ -11,8 +11,8 @@
 
 from eiderhub.emulator.clock import IN_DOUBT_MS
 from eiderhub.emulator.processes import end_on_signals
-from eiderhub.registry.client import ask_list
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.client import fetch_list
+from eiderhub.registry.settings import FollowSettings
 from eiderhub.scale.changes import Writer, settled, spread
 from eiderhub.scale.counts import machine
 from eiderhub.scale.faults import COURSES, RETURN_S, Course, cut_region, told
@@ -184,8 +184,8 @@
         line = self.topology.main.line
         found: dict[str, str] = {}
         for service in self.plan.sizes:
-            answer = await ask_list(line, Follow(addresses=[str(line.address)], service=service))
-            found[service] = digest({entry.instance_id: entry for entry in answer.claim.entries})
+            answer = await fetch_list(line, FollowSettings(addresses=[str(line.address)], service=service))
+            found[service] = digest({entry.instance_id: entry for entry in answer.list_answer.entries})
         return found
 
     def _result(self, fleet: str, revision: str, agreed: bool, last: Look) -> Result:
--- a/eiderhub/scale/services.py
+++ b/eiderhub/scale/services.py
@@ -15,8 +15,8 @@
 from eiderhub.address import Address
 from eiderhub.emulator.processes import Process, Usage, claim, environment
 from eiderhub.http1 import NoReplyError
-from eiderhub.registry import calls
-from eiderhub.registry.client import Line, Refused, read
+from eiderhub.registry import api
+from eiderhub.registry.client import RegistryClient, RequestRefusedError, decode_reply
 
 HOST = "127.0.0.1"
 READY_S = 60.0
@@ -51,7 +51,7 @@
         self.name = name
         self._held = claim(HOST)
         self.address = Address(*self._held.getsockname())
-        self.line = Line(self.address)
+        self.line = RegistryClient(self.address)
         self.process: Process | None = None
         self._folder = folder
         self._settings = {"listen": str(self.address), **settings}
@@ -77,15 +77,15 @@
                 try:
                     if (await self.status()).branch:
                         return time.monotonic() - begun
-                except (NoReplyError, Refused):
+                except (NoReplyError, RequestRefusedError):
                     pass
                 if process.ended.is_set():
                     raise Ended(process)
                 await asyncio.sleep(LOOK_S)
 
-    async def status(self, wait_s: float = 2.0) -> calls.Status:
+    async def status(self, wait_s: float = 2.0) -> api.StatusResponse:
         """Raises Unanswered or Refused."""
-        return read(await self.line.get(calls.STATUS, {}, wait_s), calls.Status)
+        return decode_reply(await self.line.get(api.STATUS_PATH, {}, wait_s), api.StatusResponse)
 
     @property
     def running(self) -> Process:
--- a/eiderhub/scale/topology.py
+++ b/eiderhub/scale/topology.py
@@ -19,9 +19,9 @@
 from eiderhub.emulator.processes import Process, claim, new_folder
 from eiderhub.emulator.wires import How, Wire
 from eiderhub.http1 import NoReplyError
-from eiderhub.registry import calls
-from eiderhub.registry.client import Line
-from eiderhub.registry.settings import Follow, Register
+from eiderhub.registry import api
+from eiderhub.registry.client import RegistryClient
+from eiderhub.registry.settings import FollowSettings, RegisterSettings
 from eiderhub.scale.backends import Places
 from eiderhub.scale.counts import Tally, Told, cost, counting, together
 from eiderhub.scale.hollow import Nothing, Part, Snapshot
@@ -53,7 +53,7 @@
     def __init__(self, number: int, part: Part, held: socket.socket, folder: Path) -> None:
         self._held = held
         self.part = part
-        self.line = Line(Address(*held.getsockname()))
+        self.line = RegistryClient(Address(*held.getsockname()))
         path = folder / f"hollow-{number}.json"
         path.write_bytes(msgspec.json.encode(part))
         self.process = spawn(
@@ -297,13 +297,13 @@
                 "Balancers": seat.balancers,
             },
         }
-        follow = Follow(
+        follow = FollowSettings(
             addresses=[str(real.wires[name].address) for name in near],
             service=seat.follows,
             wait_s=self.plan.wait_s,
             calls_per_s=self.plan.calls_per_s,
         )
-        register = Register(
+        register = RegisterSettings(
             id=seat.id,
             address=str(real.endpoint),
             addresses=[str(real.wires["main"].address)],
@@ -343,7 +343,7 @@
             found["real"] = Placed(reals)
         return found
 
-    async def statuses(self) -> dict[str, calls.Status]:
+    async def statuses(self) -> dict[str, api.StatusResponse]:
         """By role. Raises Unanswered or Refused."""
         services = self.services
         asked = await asyncio.gather(*(service.status(30.0) for service in services))
--- a/eiderhub/scale/watchers.py
+++ b/eiderhub/scale/watchers.py
@@ -19,8 +19,8 @@
 
 from eiderhub.address import Address, parse_host_port
 from eiderhub.http1 import NoReplyError
-from eiderhub.registry.client import Line, ask_list
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.client import RegistryClient, fetch_list
+from eiderhub.registry.settings import FollowSettings
 
 WATCH_MS = 20_000
 TOGETHER = 25  # first calls that are under way at a time: each gets the whole list
@@ -38,17 +38,17 @@
 class Caller:
     """One watcher with a connection of its own."""
 
-    def __init__(self, address: Address, follow: Follow) -> None:
+    def __init__(self, address: Address, follow: FollowSettings) -> None:
         self.address = address
         self.follow = follow
-        self.line = Line(address)
+        self.line = RegistryClient(address)
         self.version = 0
         self.answers = 0
 
     async def once(self, wait_ms: int, whose: str = "") -> None:
         """Raises Unanswered or Refused."""
-        answer = await ask_list(self.line, self.follow, self.version or None, whose, wait_ms)
-        self.version = answer.claim.version
+        answer = await fetch_list(self.line, self.follow, self.version or None, whose, wait_ms)
+        self.version = answer.list_answer.version
         self.answers += 1
 
 
@@ -72,7 +72,7 @@
     """Watch until SIGTERM."""
     stop = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop.set)
-    callers = [Caller(address, Follow(addresses=[str(address)])) for _ in range(count)]
+    callers = [Caller(address, FollowSettings(addresses=[str(address)])) for _ in range(count)]
     told: list[list[tuple[float, int]]] = [[] for _ in callers]
     late: list[float] = []
 
--- a/eiderhub/sidecar/config.py
+++ b/eiderhub/sidecar/config.py
@@ -16,8 +16,8 @@
 from eiderhub.documents import DocumentError, convert, suggest_name
 from eiderhub.documents import load_document as parse_file
 from eiderhub.interface import Settings
-from eiderhub.registry.names import Name
-from eiderhub.registry.settings import Follow, Register
+from eiderhub.registry.field_types import Name
+from eiderhub.registry.settings import FollowSettings, RegisterSettings
 from eiderhub.settings import Setup
 from eiderhub.sidecar.discovery import DiscoveryResponse, EndpointList, is_readable
 from eiderhub.sidecar.logs import DEFAULT_LINES_PER_S, Form
@@ -58,8 +58,8 @@
     limits: Bounds = Bounds()
     log: Log = Log()
     known: DiscoveryResponse | None = None  # the last known endpoint list
-    registry: Follow | None = None  # the project's own registry, instead of `discovery`
-    register: Register | None = None  # registers the local endpoint with that registry
+    registry: FollowSettings | None = None  # the project's own registry, instead of `discovery`
+    register: RegisterSettings | None = None  # registers the local endpoint with that registry
     regions: dict[Name, Annotated[list[Name], Meta(min_length=1)]] = {}  # the zones of each region
 
     def __post_init__(self) -> None:
@@ -90,8 +90,8 @@
     memory_bytes: int = DEFAULT_MEMORY_MB << 20
     log: Log = field(default_factory=Log)
     tier: str = ""
-    follow: Follow | None = None
-    register: Register | None = None
+    follow: FollowSettings | None = None
+    register: RegisterSettings | None = None
 
 
 def parse_address(text: str | None, key: str) -> Address:
@@ -144,7 +144,7 @@
         raise ConfigError(str(error)) from None
 
 
-def load_discovery(environ: Mapping[str, str]) -> Address | Follow:
+def load_discovery(environ: Mapping[str, str]) -> Address | FollowSettings:
     """The discovery address from the file alone: after SIGHUP the environment variable is out of date."""
     document = _document_from_environment(environ)
     return document.registry or parse_address(document.discovery, "discovery")
@@ -185,7 +185,7 @@
     )
 
 
-def _register_settings(document: Document) -> Register | None:
+def _register_settings(document: Document) -> RegisterSettings | None:
     register, follow = document.register, document.registry
     if register is None or register.addresses or follow is None:
         return register
--- a/eiderhub/sidecar/process.py
+++ b/eiderhub/sidecar/process.py
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from eiderhub.registry.client import Registration
-    from eiderhub.registry.settings import Register
+    from eiderhub.registry.settings import RegisterSettings
 
 CALLER_SOCKETS_FRACTION = 0.55  # of the file descriptors, for callers
 UPSTREAM_SOCKETS_FRACTION = 0.4  # for connections to endpoints; the rest is for other uses
@@ -128,15 +128,19 @@
         self._task = asyncio.get_running_loop().create_task(reload(self._host))
 
 
-def start_registration(register: Register) -> Registration:
+def start_registration(register: RegisterSettings) -> Registration:
     """Register the local endpoint for as long as it is alive and this process runs."""
     from eiderhub.address import parse_host_port
-    from eiderhub.registry.client import Registration, lives, record_of  # imported only if configured
+    from eiderhub.registry.client import (  # imported only if configured
+        Registration,
+        build_record,
+        is_endpoint_alive,
+    )
 
     endpoint = parse_host_port(register.address)
-    record = record_of(register, time.time_ns() // 1_000_000)
+    record = build_record(register, time.time_ns() // 1_000_000)
     addresses = [parse_host_port(text) for text in register.addresses]
-    is_alive = partial(lives, endpoint, register.alive)
+    is_alive = partial(is_endpoint_alive, endpoint, register.alive)
     registration = Registration(record, addresses, is_alive, register.alive_every_s)
     registration.start()
     return registration
--- a/eiderhub/sidecar/registry_watcher.py
+++ b/eiderhub/sidecar/registry_watcher.py
@@ -9,10 +9,10 @@
 import structlog
 
 from eiderhub.interface import ListForm
-from eiderhub.registry.belief import Verdict
-from eiderhub.registry.client import Watch
+from eiderhub.registry.adoption import AdoptionResult
+from eiderhub.registry.client import ListWatch
 from eiderhub.registry.records import Entry
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.settings import FollowSettings
 from eiderhub.sidecar.discovery import Instance, ListedEndpoint
 
 MAX_RECHECK_DELAY_S = 3600.0  # orders are re-evaluated at least this often, since the system clock may be set
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        follow: Follow,
+        follow: FollowSettings,
         on_list: Callable[[ListForm, list[ListedEndpoint]], None],
         on_steering: Callable[[Mapping[str, float], Mapping[str, str]], None],
     ) -> None:
@@ -33,13 +33,13 @@
         self._on_steering = on_steering
         self._order_end_timer: asyncio.TimerHandle | None = None
         self._restoring = False
-        self.watch = Watch(follow, self._on_verdict)
+        self.watch = ListWatch(follow, self._on_verdict)
 
     def restore(self) -> bool:
         """Start from the list cached on disk; return whether there is one."""
         self._restoring = True
         try:
-            return self.watch.recall()
+            return self.watch.load_stored_list()
         finally:
             self._restoring = False
 
@@ -48,34 +48,34 @@
         if on:
             self.watch.start()
 
-    def set_registry(self, follow: Follow) -> None:
+    def set_registry(self, follow: FollowSettings) -> None:
         """Switch to other registry addresses, keeping the current list."""
-        self.watch.move(follow)
+        self.watch.update_settings(follow)
 
     def metric_lines(self) -> list[str]:
         age_us = self.watch.age_us()
         return [] if age_us is None else [f"svc.list_age_ms={age_us // 1000}"]
 
-    def _on_verdict(self, verdict: Verdict) -> None:
+    def _on_verdict(self, verdict: AdoptionResult) -> None:
         form = ListForm.DELTA
-        if verdict.whole:
+        if verdict.is_full:
             form = ListForm.CACHED if self._restoring else ListForm.FULL
-        if verdict.entries or verdict.whole:
+        if verdict.entries or verdict.is_full:
             self._on_list(form, [_to_listed_endpoint(entry) for entry in verdict.entries])
-        if verdict.steered:
+        if verdict.zone_data_changed:
             self._apply_orders()
 
     def _apply_orders(self) -> None:
         """Apply the current orders; each is ended locally, since the registry may be down at that time."""
-        steering, unix_ms = self.watch.belief.steering, time.time_ns() // 1_000_000
-        shares = steering.shares(unix_ms)
+        steering, unix_ms = self.watch.adopted_list.zone_data, time.time_ns() // 1_000_000
+        shares = steering.shares_at(unix_ms)
         shares_text = ", ".join(f"{zone} {share:g}" for zone, share in sorted(shares.items())) or "none"
         log.info("operators' orders on zones", shares=shares_text)
         self._on_steering(shares, steering.regions)
         if self._order_end_timer is not None:
             self._order_end_timer.cancel()
             self._order_end_timer = None
-        next_change_ms = steering.next_ms(unix_ms)
+        next_change_ms = steering.next_expiry_ms(unix_ms)
         if next_change_ms is not None:
             delay_s = min((next_change_ms - unix_ms) / 1000 + 0.001, MAX_RECHECK_DELAY_S)
             self._order_end_timer = asyncio.get_running_loop().call_later(delay_s, self._apply_orders)
--- a/tests/registry_support.py
+++ b/tests/registry_support.py
@@ -16,17 +16,17 @@
 from eiderhub.emulator.processes import Process, Usage, claim, environment
 from eiderhub.emulator.wires import Wire
 from eiderhub.http1 import NoReplyError
-from eiderhub.registry import calls
-from eiderhub.registry.belief import Verdict
-from eiderhub.registry.client import Line, Refused, Watch, read
+from eiderhub.registry import api
+from eiderhub.registry.adoption import AdoptionResult
+from eiderhub.registry.client import ListWatch, RegistryClient, RequestRefusedError, decode_reply
 from eiderhub.registry.records import Entry, Record
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.settings import FollowSettings
 from tests import sidecar_support
 
 TEST_TIMEOUT_S = 60.0
 
 
-def run(test: Coroutine[Any, Any, None]) -> None:
+def run_async(test: Coroutine[Any, Any, None]) -> None:
     sidecar_support.run(test, TEST_TIMEOUT_S)
 
 
@@ -35,7 +35,7 @@
         await asyncio.sleep(0.01)
 
 
-async def until_true(condition: Callable[[], Awaitable[bool]]) -> None:
+async def wait_until_true(condition: Callable[[], Awaitable[bool]]) -> None:
     while not await condition():
         await asyncio.sleep(0.02)
 
@@ -47,7 +47,7 @@
     return Record(entry=entry, owner=f"{name}.{started}", lease_ms=lease_ms)
 
 
-class Node:
+class RegistryNode:
     """A service process at a fixed address; it can be killed and restarted."""
 
     def __init__(self, folder: Path, name: str, follow: list[Address] | None = None, **limits: float) -> None:
@@ -56,7 +56,7 @@
         self.name = name
         self._reserved_port = claim("127.0.0.1")
         self.address = Address(*self._reserved_port.getsockname())
-        self.line = Line(self.address)
+        self.client = RegistryClient(self.address)
         self.process: Process | None = None
         self.exit_status = 0  # of the most recent process
         document: dict[str, Any] = {"listen": str(self.address), "limits": {"settle_s": 0.5, **limits}}
@@ -82,19 +82,19 @@
     def _ended(self, process: Process, status: int) -> None:
         self.exit_status = status
 
-    async def start(self) -> Node:
+    async def start(self) -> RegistryNode:
         self.process = self.spawn()
-        await until_true(self.is_serving)
+        await wait_until_true(self.is_serving)
         return self
 
     async def is_serving(self) -> bool:
         try:
             return bool((await self.fetch_status()).branch)
-        except (NoReplyError, Refused):
+        except (NoReplyError, RequestRefusedError):
             return False
 
-    async def fetch_status(self) -> calls.Status:
-        return read(await self.line.get(calls.STATUS, {}, 2.0), calls.Status)
+    async def fetch_status(self) -> api.StatusResponse:
+        return decode_reply(await self.client.get(api.STATUS_PATH, {}, 2.0), api.StatusResponse)
 
     async def fetch_version(self) -> int:
         return (await self.fetch_status()).version
@@ -105,21 +105,25 @@
             await self.process.ended.wait()
 
     async def put(self, record: Record, **condition: int) -> int:
-        call = calls.PutCall(record=record, **condition)
-        return (await self.line.post(calls.PUT, call, calls.Done, 10.0)).version
+        call = api.PutRequest(record=record, **condition)
+        return (await self.client.post(api.PUT_PATH, call, api.WriteResponse, 10.0)).version
 
     async def drain(self, name: str) -> int:
-        return (await self.line.post(calls.DRAIN, calls.RecordCall(id=name), calls.Done, 10.0)).version
+        return (
+            await self.client.post(api.DRAIN_PATH, api.RecordRequest(id=name), api.WriteResponse, 10.0)
+        ).version
 
     async def remove(self, name: str) -> int:
-        return (await self.line.post(calls.REMOVE, calls.RecordCall(id=name), calls.Done, 10.0)).version
+        return (
+            await self.client.post(api.REMOVE_PATH, api.RecordRequest(id=name), api.WriteResponse, 10.0)
+        ).version
 
     def read_log(self) -> str:
         path = self.folder / "log"
         return path.read_text(encoding="utf-8") if path.exists() else ""
 
     def close(self) -> None:
-        self.line.close()
+        self.client.close()
         self._reserved_port.close()
 
 
@@ -128,7 +132,7 @@
 
     def __init__(self) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="registry-test-"))
-        self.nodes: list[Node] = []
+        self.nodes: list[RegistryNode] = []
         self.wires: list[Wire] = []
         self.watchers: list[Watcher] = []
 
@@ -145,18 +149,18 @@
             node.close()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    async def node(self, name: str, follow: list[Address] | None = None, **limits: Any) -> Node:
-        self.nodes.append(Node(self.folder, name, follow, **limits))
+    async def add_node(self, name: str, follow: list[Address] | None = None, **limits: Any) -> RegistryNode:
+        self.nodes.append(RegistryNode(self.folder, name, follow, **limits))
         return await self.nodes[-1].start()
 
-    async def wire(self, node: Node) -> Wire:
+    async def add_wire(self, node: RegistryNode) -> Wire:
         wire = Wire("127.0.0.1", lambda: node.address)
         self.wires.append(wire)
         await wire.open()
         return wire
 
     def add_watcher(self, *addresses: Address, **settings: Any) -> Watcher:
-        follow = Follow(addresses=[str(a) for a in addresses], **{"wait_s": 2.0, **settings})
+        follow = FollowSettings(addresses=[str(a) for a in addresses], **{"wait_s": 2.0, **settings})
         self.watchers.append(Watcher(follow))
         return self.watchers[-1]
 
@@ -164,20 +168,20 @@
 class Watcher:
     """A client that records the list, the adopted versions and its own log lines."""
 
-    def __init__(self, follow: Follow) -> None:
+    def __init__(self, follow: FollowSettings) -> None:
         self.lifecycles: dict[str, str] = {}  # by endpoint ID
         self.started_at_ms: dict[str, int] = {}
         self.versions: list[tuple[str, int]] = []  # (identity, version) in order of adoption
         self.log_lines: list[str] = []
-        self.watch = Watch(follow, self._on_change, told=self)
+        self.watch = ListWatch(follow, self._on_change, logger=self)
 
     @staticmethod
     def unused_logger() -> Watcher:
         """A watcher that only serves as a logger."""
-        return Watcher(Follow(addresses=["127.0.0.1:1"]))
+        return Watcher(FollowSettings(addresses=["127.0.0.1:1"]))
 
-    def _on_change(self, verdict: Verdict) -> None:
-        if verdict.whole:
+    def _on_change(self, verdict: AdoptionResult) -> None:
+        if verdict.is_full:
             self.lifecycles.clear()
         for entry in verdict.entries:
             if entry.lifecycle.value == "gone":
@@ -185,7 +189,7 @@
             else:
                 self.lifecycles[entry.instance_id] = entry.lifecycle.value
                 self.started_at_ms[entry.instance_id] = entry.started_at_ms
-        self.versions.append((self.watch.belief.identity, self.watch.belief.version))
+        self.versions.append((self.watch.adopted_list.identity, self.watch.adopted_list.version))
 
     def info(self, event: str, **fields: object) -> None:
         self.log_lines.append(f"{event} {fields}")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -22,9 +22,9 @@
 from eiderhub.capacity.slopes import KNOWN, Slope, Slopes
 from eiderhub.cli.__main__ import main
 from eiderhub.documents import convert, load_document
-from eiderhub.registry import belief, client, core, following, watches
+from eiderhub.registry import adoption, client, core, follower, watches
 from eiderhub.registry.config import Limits
-from eiderhub.registry.settings import Follow, Register
+from eiderhub.registry.settings import FollowSettings, RegisterSettings
 
 ROOT = Path(__file__).parent.parent
 FLEET = ROOT / "deploy" / "fleet.toml"
@@ -354,16 +354,16 @@
 
 
 def test_the_model_has_the_codes_own_constants() -> None:
-    assert model.RENEW_PART == client.RENEW_PART
-    assert model.WAIT_PART == (client.WAIT_FROM + 1) / 2
-    assert (model.GATHER_US, model.EACH_US) == (watches.GATHER_US, watches.EACH_US)
-    assert model.FEED_WAIT_S == following.WAIT_MS / 1000
-    assert model.HISTORY == Limits().history == core.HISTORY
-    fleet, follow = stated(), Follow(addresses=["127.0.0.1:1"])
-    register = Register(id="a", address="127.0.0.1:1")
+    assert model.RENEW_PART == client.RENEW_INTERVAL_FRACTION
+    assert model.WAIT_PART == (client.MIN_WAIT_FRACTION + 1) / 2
+    assert (model.GATHER_US, model.EACH_US) == (watches.COALESCE_DELAY_US, watches.INTERVAL_PER_WATCH_US)
+    assert model.FEED_WAIT_S == follower.FEED_WAIT_MS / 1000
+    assert model.HISTORY == Limits().history == core.MAX_HISTORY_CHANGES
+    fleet, follow = stated(), FollowSettings(addresses=["127.0.0.1:1"])
+    register = RegisterSettings(id="a", address="127.0.0.1:1")
     assert fleet.follow.lease_s * 1000 == register.lease_ms
     assert fleet.follow.watch_wait_s == follow.wait_s
-    assert fleet.follow.calls_per_s == follow.calls_per_s == belief.CALLS_PER_S
+    assert fleet.follow.calls_per_s == follow.calls_per_s == adoption.MAX_FLEET_CALLS_PER_S
     limits = Limits()
     assert (fleet.list_service.callers, fleet.list_service.watches) == (limits.callers, limits.watches)
     assert fleet.list_service.records == limits.records
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from eiderhub.documents import DocumentError, convert
-from eiderhub.registry.settings import Follow, Register
+from eiderhub.registry.settings import FollowSettings, RegisterSettings
 from eiderhub.sidecar.config import Document, load, read_document
 from tests.sidecar_support import SETUP
 
@@ -100,9 +100,9 @@
     path.write_text(with_tables, encoding="utf-8")
     found = read_document(str(path))
     assert found.registry is not None and found.register is not None
-    defaults = Register(id=found.register.id, address=found.register.address)
+    defaults = RegisterSettings(id=found.register.id, address=found.register.address)
     assert found.register == defaults
-    assert found.registry == Follow(addresses=found.registry.addresses, keep=found.registry.keep)
+    assert found.registry == FollowSettings(addresses=found.registry.addresses, keep=found.registry.keep)
     # In the platform's format these tables are ignored.
     path = path.with_suffix(".json")
     path.write_bytes(msgspec.json.encode(found))
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -26,27 +26,43 @@
 from eiderhub.emulator.processes import Process, Usage, claim, environment
 from eiderhub.emulator.wires import How
 from eiderhub.http1 import ConnectionPool, NoReplyError, fetch
-from eiderhub.registry import calls, kept
-from eiderhub.registry.belief import BELIEVE_US, CALLS_PER_S, Belief, Claim, Pace, S, Steering
-from eiderhub.registry.client import Refused, Registration, Watch
-from eiderhub.registry.config import Document
+from eiderhub.registry import api, stored_list
+from eiderhub.registry.adoption import (
+    CONFIRMATION_US,
+    MAX_FLEET_CALLS_PER_S,
+    US_PER_S,
+    AdoptedList,
+    FleetBackoff,
+    ListAnswer,
+    ZoneData,
+)
+from eiderhub.registry.client import ListWatch, Registration, RequestRefusedError
+from eiderhub.registry.config import RegistryConfig
 from eiderhub.registry.records import Entry
-from eiderhub.registry.server import RegistryServer, new_core
-from eiderhub.registry.settings import Follow
+from eiderhub.registry.server import RegistryServer, create_core
+from eiderhub.registry.settings import FollowSettings
 from eiderhub.registry.store import Store
 from eiderhub.sidecar.discovery import parse_endpoint_list
-from tests.registry_support import Fleet, Node, Watcher, make_record, run, until_true, wait_until
-from tests.test_registry_store import Memory
+from tests.registry_support import (
+    Fleet,
+    RegistryNode,
+    Watcher,
+    make_record,
+    run_async,
+    wait_until,
+    wait_until_true,
+)
+from tests.test_registry_store import MemoryDisk
 
 
 async def always_alive() -> bool:
     return True
 
 
-def make_registration(main: Node, name: str, lease_ms: int) -> Registration:
+def make_registration(main: RegistryNode, name: str, lease_ms: int) -> Registration:
     """The registration of an endpoint that is always alive, with start time 5."""
     return Registration(
-        make_record(name, 5, lease_ms), [main.address], always_alive, told=Watcher.unused_logger()
+        make_record(name, 5, lease_ms), [main.address], always_alive, logger=Watcher.unused_logger()
     )
 
 
@@ -61,8 +77,8 @@
 def test_killed_during_a_rollout_it_keeps_acknowledged_writes_and_versions_never_decrease() -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
-            follower = await fleet.node("follower", [main.address])
+            main = await fleet.add_node("main")
+            follower = await fleet.add_node("follower", [main.address])
             watcher = fleet.add_watcher(follower.address, main.address)
             watcher.watch.start()
             rng = random.Random(4)
@@ -89,19 +105,19 @@
                 await main.kill()
                 # The follower keeps serving and reports the growing age of its lists.
                 sent_at = time.monotonic()
-                reply = await follower.line.get(calls.LIST, {}, 2.0)
+                reply = await follower.client.get(api.LIST_PATH, {}, 2.0)
                 answered_at = time.monotonic()
                 await asyncio.sleep(0.1)
                 elapsed_ms = int(
                     (time.monotonic() - answered_at) * 1000
                 )  # the timer may fire a millisecond early
-                second_reply = await follower.line.get(calls.LIST, {}, 2.0)
-                ages = [int(each.headers[calls.AGE_MS_HEADER]) for each in (reply, second_reply)]
+                second_reply = await follower.client.get(api.LIST_PATH, {}, 2.0)
+                ages = [int(each.headers[api.AGE_MS_HEADER]) for each in (reply, second_reply)]
                 assert reply.status == second_reply.status == 200 and ages[1] >= ages[0] + elapsed_ms
                 assert ages[1] <= (time.monotonic() - sent_at) * 1000 + 5000
                 await main.start()
                 assert await main.fetch_version() >= acknowledged
-                listing = parse_endpoint_list((await main.line.get(calls.LIST, {}, 2.0)).body)
+                listing = parse_endpoint_list((await main.client.get(api.LIST_PATH, {}, 2.0)).body)
                 found = {one.endpoint.id: one.endpoint.readiness.value for one in listing.entries}
                 assert {n: s for n, s in found.items() if n not in uncertain} == {
                     n: s for n, s in expected.items() if n not in uncertain
@@ -109,12 +125,12 @@
                 expected = found
             last = await main.drain("e7")
             expected["e7"] = "draining"
-            await wait_until(lambda: watcher.watch.belief.version >= last)
+            await wait_until(lambda: watcher.watch.adopted_list.version >= last)
             assert watcher.lifecycles == expected
             versions = [version for _, version in watcher.versions]
             assert versions == sorted(versions)
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize("store_state", ["older", "empty"])
@@ -123,11 +139,11 @@
 ) -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
+            main = await fleet.add_node("main")
             names = [f"e{n}" for n in range(8)]
             registrations = [
                 Registration(
-                    make_record(n, 5, 1000), [main.address], always_alive, told=Watcher.unused_logger()
+                    make_record(n, 5, 1000), [main.address], always_alive, logger=Watcher.unused_logger()
                 )
                 for n in names
             ]
@@ -139,10 +155,10 @@
             watcher.watch.start()
             await wait_until(lambda: len(watcher.lifecycles) == 9)
             for turn in range(40):  # puts the older store many versions behind
-                call = calls.RecordCall(id="old", undo=bool(turn % 2))
-                await main.line.post(calls.DRAIN, call, calls.Done)
+                call = api.RecordRequest(id="old", undo=bool(turn % 2))
+                await main.client.post(api.DRAIN_PATH, call, api.WriteResponse)
             latest_version = await main.fetch_version()
-            await wait_until(lambda: watcher.watch.belief.version == latest_version)
+            await wait_until(lambda: watcher.watch.adopted_list.version == latest_version)
             for registration in registrations:
                 registration.abandon()
             await main.kill()
@@ -156,10 +172,11 @@
             else:
                 await wait_until(lambda: watcher.has_logged("ready endpoints where 9 were in use"))
             assert (
-                set(watcher.lifecycles) == {*names, "old"} and watcher.watch.belief.version == latest_version
+                set(watcher.lifecycles) == {*names, "old"}
+                and watcher.watch.adopted_list.version == latest_version
             )
             # At first a plain discovery client with a newer version gets a 503 with Retry-After.
-            reply = await main.line.get(calls.LIST, {"after": latest_version}, 2.0)
+            reply = await main.client.get(api.LIST_PATH, {"after": latest_version}, 2.0)
             assert reply.status == 200 or b"retry-after" in reply.headers
             start_all(*[make_registration(main, n, 1000) for n in names])
             await wait_until(lambda: watcher.has_logged("another service, or one whose store was set back"))
@@ -167,17 +184,17 @@
             assert set(watcher.lifecycles) == ({*names, "old"} if store_state == "older" else set(names))
             assert {watcher.started_at_ms[n] for n in names} == {5}  # endpoints keep their start times
 
-    run(test())
+    run_async(test())
 
 
 def test_a_service_paused_beyond_all_leases_expires_only_the_endpoint_that_died() -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
+            main = await fleet.add_node("main")
             registrations = [make_registration(main, f"e{n}", 1500) for n in range(6)]
             start_all(*registrations)
             for registration in registrations:
-                await registration.put.wait()
+                await registration.registered.wait()
             version = await main.fetch_version()
             assert main.process is not None
             main.process.send(signal.SIGSTOP)
@@ -188,22 +205,22 @@
             async def one_removed() -> bool:
                 return (await main.fetch_status()).records == 5
 
-            await until_true(one_removed)
+            await wait_until_true(one_removed)
             assert await main.fetch_version() == version + 1  # no other endpoint was removed, even briefly
             assert "stood still" in main.read_log() and main.read_log().count('"expired"') == 1
 
-    run(test())
+    run_async(test())
 
 
 def test_a_store_or_port_in_use_ends_the_start_with_one_line_and_status_1() -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
+            main = await fleet.add_node("main")
             second = main.spawn()
             await second.ended.wait()
             assert main.exit_status == 1
             assert second.tail()[-1] == f"ottercleat: {main.store}: another process has this store open"
-            other = Node(fleet.folder, "other")
+            other = RegistryNode(fleet.folder, "other")
             fleet.nodes.append(other)
             text = other.config.read_text(encoding="utf-8")
             other.config.write_text(text.replace(str(other.address), str(main.address)), encoding="utf-8")
@@ -212,13 +229,13 @@
             assert other.exit_status == 1 and "address already in use" in process.tail()[-1]
             assert "Traceback" not in other.read_log()
 
-    run(test())
+    run_async(test())
 
 
 def test_a_full_disk_refuses_writes_while_lists_are_still_served() -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
+            main = await fleet.add_node("main")
             await main.put(make_record("e0"))
             assert main.process is not None
             (log,) = [path for path in main.store.iterdir() if path.name.startswith("log-")]
@@ -226,13 +243,15 @@
             full = log.stat().st_size + 40
             resource.prlimit(main.process.pid, resource.RLIMIT_FSIZE, (full, resource.RLIM_INFINITY))
             for name in ("e1", "e2"):
-                with pytest.raises(Refused, match="the store does not accept writes") as refused:
+                with pytest.raises(RequestRefusedError, match="the store does not accept writes") as refused:
                     await main.put(make_record(name))
                 assert refused.value.status == 503 and refused.value.retry_after_s > 0
             state = await main.fetch_status()
             assert (state.records, state.store_failing) == (1, "File too large")
             assert (
-                parse_endpoint_list((await main.line.get(calls.LIST, {}, 2.0)).body).entries[0].endpoint.id
+                parse_endpoint_list((await main.client.get(api.LIST_PATH, {}, 2.0)).body)
+                .entries[0]
+                .endpoint.id
                 == "e0"
             )
             unlimited = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
@@ -242,16 +261,16 @@
             await main.kill()
             await main.start()
             assert await main.fetch_version() == version + 1  # one new branch, none of the refused writes
-            listing = parse_endpoint_list((await main.line.get(calls.LIST, {}, 2.0)).body)
+            listing = parse_endpoint_list((await main.client.get(api.LIST_PATH, {}, 2.0)).body)
             assert {one.endpoint.id for one in listing.entries} == {"e0", "e3"}
 
-    run(test())
+    run_async(test())
 
 
 def test_log_corruption_before_the_last_entry_ends_the_start_with_file_and_offset() -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
+            main = await fleet.add_node("main")
             for n in range(3):
                 await main.put(make_record(f"e{n}"))
             await main.kill()
@@ -273,7 +292,7 @@
             await main.start()
             assert (await main.fetch_status()).records == 2 and main.read_log().count("cut off") == 1
 
-    run(test())
+    run_async(test())
 
 
 # --- followers and network faults ---
@@ -282,11 +301,11 @@
 def test_a_watch_fails_over_when_an_address_stops_answering_and_rejects_a_lagging_follower() -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
-            feed = await fleet.wire(main)
-            follower = await fleet.node("follower", [feed.address])
+            main = await fleet.add_node("main")
+            feed = await fleet.add_wire(main)
+            follower = await fleet.add_node("follower", [feed.address])
             await main.put(make_record("e0"))
-            near = await fleet.wire(follower)
+            near = await fleet.add_wire(follower)
             watcher = fleet.add_watcher(near.address, main.address, wait_s=0.5)
             watcher.watch.start()
             await wait_until(lambda: "e0" in watcher.lifecycles)
@@ -301,8 +320,10 @@
             await wait_until(lambda: "unheard" in watcher.lifecycles)
             state = await follower.fetch_status()
             assert state.version < version
-            lagging = Watch(Follow(addresses=[str(follower.address)]), lambda _: None, told=watcher)
-            lagging.belief = watcher.watch.belief
+            lagging = ListWatch(
+                FollowSettings(addresses=[str(follower.address)]), lambda _: None, logger=watcher
+            )
+            lagging.adopted_list = watcher.watch.adopted_list
             lagging.start()
             await wait_until(
                 lambda: watcher.has_logged("this follower is behind the version that the caller has")
@@ -314,14 +335,14 @@
             async def caught_up() -> bool:
                 return await follower.fetch_version() >= version
 
-            await until_true(caught_up)
-            reply = await follower.line.get(calls.LIST, {}, 2.0)
+            await wait_until_true(caught_up)
+            reply = await follower.client.get(api.LIST_PATH, {}, 2.0)
             assert len(parse_endpoint_list(reply.body).entries) == 6
-            with pytest.raises(Refused, match="this is a follower") as refused:
+            with pytest.raises(RequestRefusedError, match="this is a follower") as refused:
                 await follower.put(make_record("x"))
             assert refused.value.status == 421
 
-    run(test())
+    run_async(test())
 
 
 async def read_refusals(count: int, reads: list[Coroutine[Any, Any, bytes]]) -> list[str]:
@@ -342,7 +363,7 @@
 def test_limits_on_callers_watches_body_size_and_slow_readers() -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node(
+            main = await fleet.add_node(
                 "main",
                 callers=12,
                 watches=4,
@@ -353,14 +374,14 @@
             )
             for n in range(300):
                 await main.put(make_record(f"e{n:03}"))
-            with pytest.raises(Refused, match="300 records") as refused:
+            with pytest.raises(RequestRefusedError, match="300 records") as refused:
                 await main.put(make_record("one-more"))
             assert refused.value.status == 503 and refused.value.retry_after_s > 0
             version = await main.fetch_version()
             opened = []
             for _ in range(10):
                 reader, writer = await asyncio.open_connection(*main.address)
-                writer.write(f"GET {calls.LIST}?after={version}&wait_ms=60000 HTTP/1.1\r\n\r\n".encode())
+                writer.write(f"GET {api.LIST_PATH}?after={version}&wait_ms=60000 HTTP/1.1\r\n\r\n".encode())
                 opened.append((reader, writer))
             # The order of the connections is up to the OS. Four may be answered with the last put, four wait.
             heads = await read_refusals(2, [reader.readuntil(b"\r\n\r\n") for reader, _ in opened])
@@ -369,7 +390,7 @@
                 writer.close()
             big = json.dumps({"record": {"entry": {"instanceId": "x" * 30_000}}})
             reader, writer = await asyncio.open_connection(*main.address)
-            writer.write(f"POST {calls.PUT} HTTP/1.1\r\nContent-Length: {len(big)}\r\n\r\n{big}".encode())
+            writer.write(f"POST {api.PUT_PATH} HTTP/1.1\r\nContent-Length: {len(big)}\r\n\r\n{big}".encode())
             assert (await reader.readuntil(b"\r\n")).startswith(b"HTTP/1.1 413")
             # A client that reads no answers is disconnected; other clients are not affected.
             loop = asyncio.get_running_loop()
@@ -379,7 +400,7 @@
                 await loop.sock_connect(slow, main.address)
                 with contextlib.suppress(ConnectionError):
                     while True:
-                        await loop.sock_sendall(slow, f"GET {calls.LIST} HTTP/1.1\r\n\r\n".encode())
+                        await loop.sock_sendall(slow, f"GET {api.LIST_PATH} HTTP/1.1\r\n\r\n".encode())
                         await asyncio.sleep(0.01)
             more = [await asyncio.open_connection(*main.address) for _ in range(16)]
             assert len(await read_refusals(3, [reader.readline() for reader, _ in more])) < len(more)
@@ -389,9 +410,9 @@
             async def answers() -> bool:
                 return await main.is_serving()
 
-            await until_true(answers)
+            await wait_until_true(answers)
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize(
@@ -428,11 +449,11 @@
     async def test() -> None:
         held_port = claim("127.0.0.1")
         port = held_port.getsockname()[1]
-        config = Document(listen=f"127.0.0.1:{port}", store="none")
-        service = RegistryServer(config, new_core(config), Store(Memory(1 << 40)))
+        config = RegistryConfig(listen=f"127.0.0.1:{port}", store="none")
+        service = RegistryServer(config, create_core(config), Store(MemoryDisk(1 << 40)))
         await service.open()
         pool = ConnectionPool("127.0.0.1", port)
-        data = f"POST {calls.PUT} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
+        data = f"POST {api.PUT_PATH} HTTP/1.1\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
         reply = await fetch(pool, data, 5.0)
         assert reply.status == 400 and expected_error in msgspec.json.decode(reply.body)["why"]
         assert service.core.version == 1 and not service.core.records
@@ -440,7 +461,7 @@
         await service.close()
         held_port.close()
 
-    run(test())
+    run_async(test())
 
 
 # --- clients ---
@@ -453,88 +474,94 @@
 
 def make_list_answer(
     version: int, rows: list[Entry], source: str = "one", identity: str = "s", whole: bool = True
-) -> Claim:
-    return Claim(source, identity, "b", True, version, whole, rows)
+) -> ListAnswer:
+    return ListAnswer(source, identity, "b", True, version, whole, rows)
 
 
 def test_a_much_smaller_list_needs_a_second_source_or_time_but_drains_apply_at_once() -> None:
-    def new_adopted_list() -> Belief:
-        adopted_list = Belief()
+    def new_adopted_list() -> AdoptedList:
+        adopted_list = AdoptedList()
         assert adopted_list.consider(0, make_list_answer(10, make_entries(10))).adopted
         return adopted_list
 
     adopted_list = new_adopted_list()
     assert adopted_list.consider(
-        S, make_list_answer(11, make_entries(5))
+        US_PER_S, make_list_answer(11, make_entries(5))
     ).adopted  # half the endpoints: within the limit
     assert not adopted_list.consider(
-        2 * S, make_list_answer(12, make_entries(4))
+        2 * US_PER_S, make_list_answer(12, make_entries(4))
     ).adopted  # four of the recent ten: below it
     assert adopted_list.version == 11 and len(adopted_list.entries) == 5
-    assert adopted_list.consider(3 * S, make_list_answer(13, make_entries(4), source="two")).adopted
+    assert adopted_list.consider(3 * US_PER_S, make_list_answer(13, make_entries(4), source="two")).adopted
     for rows in ([], make_entries(3)):
         adopted_list = new_adopted_list()
-        assert not adopted_list.consider(S, make_list_answer(11, rows)).adopted
-        assert not adopted_list.consider(S + BELIEVE_US - 1, make_list_answer(12, rows)).adopted
-        assert adopted_list.consider(S + BELIEVE_US, make_list_answer(13, rows)).adopted
+        assert not adopted_list.consider(US_PER_S, make_list_answer(11, rows)).adopted
+        assert not adopted_list.consider(US_PER_S + CONFIRMATION_US - 1, make_list_answer(12, rows)).adopted
+        assert adopted_list.consider(US_PER_S + CONFIRMATION_US, make_list_answer(13, rows)).adopted
     adopted_list = new_adopted_list()
     gone = msgspec.convert(
         [{"instanceId": f"e{n}", "hostPort": "a:1", "lifecycle": "gone"} for n in range(8)], list[Entry]
     )
     result = adopted_list.consider(
-        S, make_list_answer(11, [*gone, *make_entries(10, "draining")[8:]], whole=False)
+        US_PER_S, make_list_answer(11, [*gone, *make_entries(10, "draining")[8:]], whole=False)
     )
     assert not result.adopted and [e.instance_id for e in result.entries] == ["e8", "e9"]
     assert adopted_list.entries["e9"].lifecycle.value == "draining" and "e0" in adopted_list.entries
     # An older list of the same service is never adopted; another service may have lower versions.
     adopted_list = new_adopted_list()
-    assert not adopted_list.consider(100 * S, make_list_answer(9, make_entries(10))).adopted
-    assert adopted_list.consider(100 * S, make_list_answer(2, make_entries(10), identity="t")).adopted
-    assert not adopted_list.consider(100 * S, make_list_answer(1, make_entries(10), identity="t")).adopted
+    assert not adopted_list.consider(100 * US_PER_S, make_list_answer(9, make_entries(10))).adopted
+    assert adopted_list.consider(100 * US_PER_S, make_list_answer(2, make_entries(10), identity="t")).adopted
     assert not adopted_list.consider(
-        100 * S, make_list_answer(99, make_entries(1), identity="s", whole=False)
+        100 * US_PER_S, make_list_answer(1, make_entries(10), identity="t")
+    ).adopted
+    assert not adopted_list.consider(
+        100 * US_PER_S, make_list_answer(99, make_entries(1), identity="s", whole=False)
     ).adopted
 
 
 def test_a_thousand_reconnecting_clients_keep_to_the_fleet_limit_and_do_not_synchronize() -> None:
     rng = random.Random(11)
-    backoffs = [Pace(random.Random(rng.random())) for _ in range(1000)]
+    backoffs = [FleetBackoff(random.Random(rng.random())) for _ in range(1000)]
     for backoff in backoffs:
-        backoff.answered(1000)
+        backoff.record_answer(1000)
     call_times_us: list[int] = []
     for backoff in backoffs:  # a 20 s outage that starts for all clients at once
         now = 0
-        while now < 20 * S:
-            now += backoff.failed()
+        while now < 20 * US_PER_S:
+            now += backoff.record_failure()
             call_times_us.append(now)
     calls_per_second = [
-        sum(second * S <= at < (second + 1) * S for at in call_times_us) for second in range(20)
+        sum(second * US_PER_S <= at < (second + 1) * US_PER_S for at in call_times_us) for second in range(20)
     ]
-    assert max(calls_per_second) <= 1.3 * CALLS_PER_S
-    late_times_us = sorted(at for at in call_times_us if at >= 20 * S)
-    max_in_10_ms = max(sum(start <= at < start + S // 100 for at in late_times_us) for start in late_times_us)
+    assert max(calls_per_second) <= 1.3 * MAX_FLEET_CALLS_PER_S
+    late_times_us = sorted(at for at in call_times_us if at >= 20 * US_PER_S)
+    max_in_10_ms = max(
+        sum(start <= at < start + US_PER_S // 100 for at in late_times_us) for start in late_times_us
+    )
     assert len(late_times_us) == 1000 and max_in_10_ms <= 20
 
 
 def test_the_stored_list_is_used_up_to_its_maximum_age_even_if_the_clock_was_changed(tmp_path: Path) -> None:
-    scope = kept.Whose("default", "default", "")
+    scope = stored_list.ListScope("default", "default", "")
     path = str(tmp_path / "list.json")
-    assert kept.read(path, 60, scope) == "there is none"
-    kept.write(path, scope, "s", "b", 7, make_entries(3), Steering())
-    stored = kept.read(path, 60, scope)
-    assert isinstance(stored, kept.Kept) and stored.version == 7 and stored.age_s < 30
-    assert "is the list of" in str(kept.read(path, 60, kept.Whose("default", "other", "")))
+    assert stored_list.read_list(path, 60, scope) == "there is none"
+    stored_list.write_list(path, scope, "s", "b", 7, make_entries(3), ZoneData())
+    stored = stored_list.read_list(path, 60, scope)
+    assert isinstance(stored, stored_list.StoredList) and stored.version == 7 and stored.age_s < 30
+    assert "is the list of" in str(
+        stored_list.read_list(path, 60, stored_list.ListScope("default", "other", ""))
+    )
     document = json.loads(Path(path).read_text(encoding="utf-8"))
     for offset_ms, used in ((-50_000, True), (-70_000, False), (50_000, True), (70_000, False)):
         document["written_ms"] = time.time_ns() // 1_000_000 + offset_ms  # the clock was set back or forward
         Path(path).write_text(json.dumps(document), encoding="utf-8")
-        assert isinstance(kept.read(path, 60, scope), kept.Kept) is used
+        assert isinstance(stored_list.read_list(path, 60, scope), stored_list.StoredList) is used
     Path(path).write_text(Path(path).read_text(encoding="utf-8")[:-5], encoding="utf-8")
-    assert "damaged" in str(kept.read(path, 60, scope))
+    assert "damaged" in str(stored_list.read_list(path, 60, scope))
 
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
+            main = await fleet.add_node("main")
             await main.put(make_record("e0"))
             file = str(tmp_path / "kept.json")
             first = fleet.add_watcher(main.address, keep=file)
@@ -543,7 +570,7 @@
             first.watch.stop()
             await main.kill()
             second = fleet.add_watcher(main.address, keep=file)
-            assert second.watch.recall() and second.lifecycles == {"e0": "ready"}
+            assert second.watch.load_stored_list() and second.lifecycles == {"e0": "ready"}
             second.watch.start()
             await wait_until(lambda: second.has_logged("does not answer"))
             assert second.lifecycles == {"e0": "ready"}
@@ -551,7 +578,7 @@
             await main.put(make_record("e1"))
             await wait_until(lambda: set(second.lifecycles) == {"e0", "e1"})
 
-    run(test())
+    run_async(test())
 
 
 # --- a sidecar that registers its endpoint ---
@@ -560,7 +587,7 @@
 def test_a_sidecar_registers_its_endpoint_drains_on_sigterm_and_uses_the_list_itself() -> None:
     async def test() -> None:
         async with Fleet() as fleet:
-            main = await fleet.node("main")
+            main = await fleet.add_node("main")
             watcher = fleet.add_watcher(main.address)
             watcher.watch.start()
             endpoint = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
@@ -598,9 +625,9 @@
                 async def lists_hosts(count: int) -> bool:
                     return await listed_hosts() == count
 
-                await until_true(lambda: lists_hosts(1))
+                await wait_until_true(lambda: lists_hosts(1))
                 await main.put(make_record("another"))
-                await until_true(lambda: lists_hosts(2))
+                await wait_until_true(lambda: lists_hosts(2))
                 # After the service loses its store, the endpoint registers again with the same start time.
                 await main.kill()
                 shutil.rmtree(main.store)
@@ -609,10 +636,10 @@
                 async def registered() -> bool:
                     return (await main.fetch_status()).records == 1
 
-                await until_true(registered)
+                await wait_until_true(registered)
                 # The list with one of two endpoints is adopted; the empty one was not.
                 assert await listed_hosts() in (1, 2)
-                reply = await main.line.get(calls.LIST, {}, 2.0)
+                reply = await main.client.get(api.LIST_PATH, {}, 2.0)
                 assert json.loads(reply.body)["instances"][0]["startedAtMs"] == started_at_ms
                 # An endpoint that is down for a lease expires, and returns with a new start time.
                 endpoint.close()
@@ -621,17 +648,17 @@
                 async def expired() -> bool:
                     return (await main.fetch_status()).records == 0
 
-                await until_true(expired)
+                await wait_until_true(expired)
                 endpoint = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", port)
-                await until_true(registered)
-                reply = await main.line.get(calls.LIST, {}, 2.0)
+                await wait_until_true(registered)
+                reply = await main.client.get(api.LIST_PATH, {}, 2.0)
                 assert json.loads(reply.body)["instances"][0]["startedAtMs"] > started_at_ms
                 process.terminate()
 
                 async def drains() -> bool:
                     return (await main.fetch_status()).draining == 1
 
-                await until_true(drains)  # while the sidecar is still running
+                await wait_until_true(drains)  # while the sidecar is still running
                 assert not process.ended.is_set()
                 await process.ended.wait()
                 state = await main.fetch_status()
@@ -643,4 +670,4 @@
                 for sock in ports:
                     sock.close()
 
-    run(test())
+    run_async(test())
--- a/tests/test_registry_core.py
+++ b/tests/test_registry_core.py
@@ -12,9 +12,9 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, invariant, rule
 
 from eiderhub.interface import Readiness
-from eiderhub.registry.core import MAX_REGISTRATIONS, MAX_TICK_GAP_US, US_PER_S, Core, Decision, Told
+from eiderhub.registry.core import MAX_REGISTRATIONS, MAX_TICK_GAP_US, US_PER_S, Core, Decision, LogEvent
 from eiderhub.registry.records import Entry, Gone, Group, Key, Put, Record, RemovalReason, Tombstone
-from eiderhub.registry.watches import EACH_US, GATHER_US, Watches
+from eiderhub.registry.watches import COALESCE_DELAY_US, INTERVAL_PER_WATCH_US, Watches
 
 GROUP = Group("shop", "front")
 LEASE_US = 3 * US_PER_S
@@ -45,11 +45,11 @@
         self.entry_by_id: dict[str, Entry] = {}
 
     def poll(self, core: Core) -> None:
-        update = core.span(GROUP, self.after)
+        update = core.update_since(GROUP, self.after)
         assert update.version >= (self.after or 0)
-        if update.whole:
+        if update.is_full:
             self.entry_by_id.clear()
-        for item in update.entries:
+        for item in update.items:
             if isinstance(item, Tombstone):
                 self.entry_by_id.pop(item.entry.instance_id, None)
             else:
@@ -66,7 +66,7 @@
         super().__init__()
         self.now_us = 0
         self.core = Core(random.Random(1), max_history=8)
-        self.core.apply(0, self.core.open(0))
+        self.core.apply(0, self.core.open_branch(0))
         self.expected: dict[str, tuple[str, int, Readiness]] = {}  # the model: id -> owner, start, lifecycle
         self.drained_owners: dict[str, str] = {}  # id -> owner that was drained by an operator
         self.barred_owners: set[str] = set()  # owners that were removed or replaced
@@ -127,20 +127,20 @@
         decision = self.core.remove(self.now_us, key(name), None, if_version=version)
         if current is None or current.version != version:
             assert decision.change is None
-        self.core.withdraw([decision.change] if decision.change else [])
+        self.core.discard_pending([decision.change] if decision.change else [])
 
     @rule(process=processes, fails=st.booleans())
     def disk_fails(self, process: tuple[str, str, int], fails: bool) -> None:
         image_before = self.core.image()
         decision = self.core.put(self.now_us, record(*process))
-        self.core.withdraw([decision.change] if decision.change else [])
+        self.core.discard_pending([decision.change] if decision.change else [])
         assert self.core.image() == image_before
 
     @rule(steps=st.integers(1, 16))
     def time_passes(self, steps: int) -> None:
         for _ in range(steps):
             self.now_us += US_PER_S // 4
-            changes, _ = self.core.look(self.now_us)
+            changes, _ = self.core.decide_expiries(self.now_us)
             for change in changes:
                 self.core.apply(self.now_us, change)
                 if isinstance(change, Gone):
@@ -153,11 +153,11 @@
         version_before = self.core.version
         self.core = Core(random.Random(self.core.version), max_history=8)
         self.core.restore(self.now_us, image)
-        self.core.apply(self.now_us, self.core.open(self.now_us))
+        self.core.apply(self.now_us, self.core.open_branch(self.now_us))
         # An up-to-date client has nothing to fetch, so a whole fleet can reconnect without a burst of lists.
         assert (
-            not self.core.span(GROUP, version_before).whole
-            and not self.core.span(GROUP, version_before).entries
+            not self.core.update_since(GROUP, version_before).is_full
+            and not self.core.update_since(GROUP, version_before).items
         )
 
     @rule(number=st.integers(0, 1))
@@ -175,7 +175,7 @@
         }
         assert found == self.expected
         assert not self.core.pending
-        assert self.core.ready == sum(row[2] is Readiness.READY for row in self.expected.values())
+        assert self.core.ready_count == sum(row[2] is Readiness.READY for row in self.expected.values())
 
 
 TestCoreModel = CoreModel.TestCase
@@ -190,13 +190,13 @@
 
     def __init__(self, count: int = 12) -> None:
         self.core = Core(random.Random(3))
-        self.core.apply(0, self.core.open(0))
+        self.core.apply(0, self.core.open_branch(0))
         self.now_us = 0
         self.names = [f"e{i}" for i in range(count)]
         self.silent_names: set[str] = set()
         self.next_renewal_us: dict[str, int] = {}
         self.expired_at_s: dict[str, float] = {}  # by name
-        self.events: list[Told] = []
+        self.events: list[LogEvent] = []
         rng = random.Random(5)
         for i, name in enumerate(self.names):
             assert (
@@ -220,7 +220,7 @@
                 self.end_due_leases()
 
     def end_due_leases(self) -> None:
-        changes, new_events = self.core.look(self.now_us)
+        changes, new_events = self.core.decide_expiries(self.now_us)
         self.events += new_events
         for change in changes:
             self.core.apply(self.now_us, change)
@@ -348,7 +348,7 @@
 
 def test_a_store_restored_to_an_older_state_skips_the_lost_versions_after_a_lease_duration() -> None:
     core = Core(random.Random(1))
-    core.apply(0, core.open(0))
+    core.apply(0, core.open_branch(0))
     apply_decision(core, 0, core.put(0, record("x", start_ms=1)))
     old_image = core.image()
     for turn in range(20):
@@ -356,20 +356,22 @@
     before_loss = core.version, core.branch
     core = Core(random.Random(2))
     core.restore(0, old_image)
-    core.apply(0, core.open(0))
-    assert not core.continues(before_loss[1], before_loss[0]) and core.continues(
+    core.apply(0, core.open_branch(0))
+    assert not core.contains_version(before_loss[1], before_loss[0]) and core.contains_version(
         before_loss[1], old_image.version
     )
-    core.ahead("another", 1 << 20)
-    core.ahead(core.identity, before_loss[0])
+    core.report_lost_version("another", 1 << 20)
+    core.report_lost_version(core.identity, before_loss[0])
     versions: list[int] = []
     for quarter in range(50):
         core.renew(quarter * US_PER_S // 4, key("x"), "x")
-        for change in core.look(quarter * US_PER_S // 4)[0]:
+        for change in core.decide_expiries(quarter * US_PER_S // 4)[0]:
             core.apply(quarter * US_PER_S // 4, change)
             versions.append(change.version)
-    assert versions == [before_loss[0] + 1] and not core.continues(before_loss[1], before_loss[0])
-    assert core.span(GROUP, before_loss[0]).whole  # the history has no changes for the lost versions
+    assert versions == [before_loss[0] + 1] and not core.contains_version(before_loss[1], before_loss[0])
+    assert core.update_since(
+        GROUP, before_loss[0]
+    ).is_full  # the history has no changes for the lost versions
 
 
 def test_watches_are_answered_once_for_many_changes_and_no_more_often_than_all_can_be() -> None:
@@ -377,13 +379,13 @@
     for caller in range(1000):
         watches.add(caller, GROUP, 60 * US_PER_S)
     removed_ticket = watches.add(-1, GROUP, 60 * US_PER_S)
-    watches.drop(removed_ticket, GROUP)
+    watches.remove(removed_ticket, GROUP)
     timed_ticket = watches.add(-2, Group("other", "tier"), US_PER_S // 2)
     rounds: list[tuple[int, list[int]]] = []
     for now_us in range(0, US_PER_S, 1000):
         if now_us % 10_000 == 0:
-            watches.changed(now_us, GROUP)
-        due = watches.due(now_us)
+            watches.mark_changed(now_us, GROUP)
+        due = watches.take_due(now_us)
         if due:
             rounds.append((now_us, due))
             for caller in due:
@@ -393,8 +395,8 @@
     group_rounds = [(now, [caller for caller in due if caller >= 0]) for now, due in rounds if due != [-2]]
     assert all(sorted(due) == list(range(1000)) for _, due in group_rounds)
     round_times = [now for now, _ in group_rounds]
-    assert round_times[0] == GATHER_US
-    assert all(b - a >= 1000 * EACH_US for a, b in itertools.pairwise(round_times))
+    assert round_times[0] == COALESCE_DELAY_US
+    assert all(b - a >= 1000 * INTERVAL_PER_WATCH_US for a, b in itertools.pairwise(round_times))
     assert len(round_times) >= 8
 
 
--- a/tests/test_registry_store.py
+++ b/tests/test_registry_store.py
@@ -10,14 +10,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from eiderhub.registry.store import FILE_MAGIC, Folder, Store, StoreError, read
+from eiderhub.registry.store import FILE_MAGIC, Folder, Store, StoreError, read_store
 
 
 class Crash(BaseException):
     """The process ends here."""
 
 
-class Memory:
+class MemoryDisk:
     """A disk that crashes the process after `steps` steps: an appended byte or any other call is one step.
 
     `is_full`: it raises OSError from then on, instead of a crash.
@@ -77,23 +77,23 @@
             self._fail()
         del self.files[name]
 
-    def after_crash(self, lose_unsynced: bool) -> Memory:
+    def after_crash(self, lose_unsynced: bool) -> MemoryDisk:
         """The disk as the next process finds it; `lose_unsynced`: without bytes that were not synced."""
-        disk = Memory(1 << 40)
+        disk = MemoryDisk(1 << 40)
         for name, data in self.files.items():
             disk.files[name] = data[: self.synced_bytes.get(name, 0)] if lose_unsynced else data
             disk.synced_bytes[name] = len(disk.files[name])
         return disk
 
 
-def stored_payloads(disk: Memory) -> list[bytes]:
+def stored_payloads(disk: MemoryDisk) -> list[bytes]:
     """All payloads of a store: those in its snapshot, then those of its log."""
-    contents = read(disk)
+    contents = read_store(disk)
     in_snapshot = json.loads(contents.snapshot.payload) if contents.snapshot else []
     return [*(text.encode() for text in in_snapshot), *(frame.payload for frame in contents.frames)]
 
 
-def run_script(disk: Memory, script: list[int], acknowledged: list[bytes]) -> list[bytes]:
+def run_script(disk: MemoryDisk, script: list[int], acknowledged: list[bytes]) -> list[bytes]:
     """Append a group of each size in the script, or write a snapshot for 0; returns the last group begun."""
     store = Store(disk)
     number = 0
@@ -117,7 +117,7 @@
 
 
 def total_steps() -> int:
-    disk = Memory(1 << 30)
+    disk = MemoryDisk(1 << 30)
     run_script(disk, SCRIPT, [])
     return (1 << 30) - disk.steps_left
 
@@ -128,7 +128,7 @@
     assert total > 500
     for steps in range(total):
         acknowledged: list[bytes] = []
-        disk = Memory(steps)
+        disk = MemoryDisk(steps)
         with pytest.raises(Crash):
             run_script(disk, SCRIPT, acknowledged)
         disk_after_crash = disk.after_crash(lose_unsynced)
@@ -145,7 +145,7 @@
 def test_a_full_disk_loses_only_payloads_that_were_rejected() -> None:
     for steps in range(60, total_steps(), 7):
         acknowledged: list[bytes] = []
-        disk = Memory(steps, is_full=True)
+        disk = MemoryDisk(steps, is_full=True)
         run_script(disk, SCRIPT, acknowledged)
         assert stored_payloads(disk.after_crash(lose_unsynced=False)) == acknowledged
         disk.steps_left = 1 << 30
@@ -159,7 +159,7 @@
     groups: list[int], data: st.DataObject
 ) -> None:
     acknowledged: list[bytes] = []
-    disk = Memory(1 << 30)
+    disk = MemoryDisk(1 << 30)
     last_payloads = run_script(disk, groups, acknowledged)
     (name,) = disk.files
     intact = disk.files[name]
@@ -169,11 +169,11 @@
     disk.files[name] = intact[:offset] + bytes([intact[offset] ^ 1 << bit]) + intact[offset + 1 :]
     if offset < last_group_offset:
         with pytest.raises(StoreError, match=rf"{name}: offset \d+: "):
-            read(disk)
+            read_store(disk)
     else:  # this looks like a group that was not synced before a crash
         found = stored_payloads(disk)
         assert found == acknowledged[: len(found)] and len(found) >= len(acknowledged) - len(last_payloads)
-        assert read(disk).notes
+        assert read_store(disk).warnings
 
 
 def test_a_folder_is_locked_by_one_process_and_readable_by_others(tmp_path: Path) -> None:
@@ -182,8 +182,8 @@
     store.append([b"one"])
     with pytest.raises(StoreError, match="another process has this store open"):
         Folder(tmp_path / "store")
-    read_only = Folder(tmp_path / "store", make=False, lock=False)
-    assert [frame.payload for frame in read(read_only).frames] == [b"one"]
+    read_only = Folder(tmp_path / "store", create=False, lock=False)
+    assert [frame.payload for frame in read_store(read_only).frames] == [b"one"]
     store.snapshot(b"[]")
     store.append([b"two"])
     folder.close()
@@ -193,4 +193,4 @@
     reopened = Store(Folder(tmp_path / "store"))
     assert reopened.contents.snapshot is not None and reopened.sequence == 2
     with pytest.raises(StoreError, match="no such store"):
-        Folder(tmp_path / "none", make=False)
+        Folder(tmp_path / "none", create=False)
--- a/tests/test_zone_orders.py
+++ b/tests/test_zone_orders.py
@@ -18,10 +18,10 @@
 from eiderhub.emulator.processes import Process, Usage, claim, environment
 from eiderhub.emulator.wires import How, Wire
 from eiderhub.http1 import ConnectionPool, Exchange, NoReplyError, ServerConnection, fetch
-from eiderhub.registry import calls
+from eiderhub.registry import api
 from eiderhub.registry.core import Core, Decision
 from eiderhub.registry.records import Entry, Image, Order, Record
-from tests.registry_support import Fleet, Node, run, until_true
+from tests.registry_support import Fleet, RegistryNode, run_async, wait_until_true
 
 US_PER_S = 1_000_000
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "sidecar.toml"
@@ -57,13 +57,13 @@
     duration_s: int, restart_s: int, clock_step_s: int
 ) -> None:
     core = core_with_zones("west", "north")
-    apply_decision(core, 0, core.order(0, order("west", duration_s)))
+    apply_decision(core, 0, core.set_order(0, order("west", duration_s)))
     stored: Image = msgspec.json.decode(msgspec.json.encode(core.image()), type=Image)
     restarted = Core(random.Random(2), unix_offset_us=10**15 + clock_step_s * US_PER_S)
     restarted.restore(restart_s * US_PER_S, stored)
     end_us = restart_s * US_PER_S
     for _ in range(3):
-        changes, _ = restarted.look(end_us)
+        changes, _ = restarted.decide_expiries(end_us)
         for change in changes:
             restarted.apply(end_us, change)
         if not restarted.orders.all():
@@ -73,18 +73,18 @@
     assert end_us <= max(restart_s, 0) * US_PER_S + duration_s * US_PER_S
     # Without a restart or a clock step it lasts exactly its duration.
     just_before_us = max(0, duration_s * US_PER_S - 1)
-    assert core.look(just_before_us)[0] == [] and core.look(duration_s * US_PER_S)[0]
+    assert core.decide_expiries(just_before_us)[0] == [] and core.decide_expiries(duration_s * US_PER_S)[0]
 
 
 def test_the_last_zone_of_a_tier_closes_only_by_force_and_unknown_zones_never() -> None:
     core = core_with_zones("west", "north")
-    assert apply_decision(core, 0, core.order(0, order("west"))).refusal is None
-    refused = core.order(0, order("north")).refusal
-    assert refused is not None and refused.status == 409 and "default" in refused.why
-    assert apply_decision(core, 0, core.order(0, order("north", share=0.1))).refusal is None
-    assert apply_decision(core, 0, core.order(0, order("north"), force=True)).refusal is None
-    unknown = core.order(0, order("east")).refusal
-    assert unknown is not None and unknown.status == 404 and "north, west" in unknown.why
+    assert apply_decision(core, 0, core.set_order(0, order("west"))).refusal is None
+    refused = core.set_order(0, order("north")).refusal
+    assert refused is not None and refused.status == 409 and "default" in refused.reason
+    assert apply_decision(core, 0, core.set_order(0, order("north", share=0.1))).refusal is None
+    assert apply_decision(core, 0, core.set_order(0, order("north"), force=True)).refusal is None
+    unknown = core.set_order(0, order("east")).refusal
+    assert unknown is not None and unknown.status == 404 and "north, west" in unknown.reason
     assert core.end_order("default", "east").refusal is not None
 
 
@@ -98,7 +98,7 @@
     assert put("a", "coast").refusal is None
     assert put("b", "").refusal is None
     refused = put("c", "inland").refusal
-    assert refused is not None and "coast" in refused.why
+    assert refused is not None and "coast" in refused.reason
     assert put("a", "inland").refusal is None  # the only record that named the old region
     assert core.regions == {"default": {"west": "inland"}}
 
@@ -189,9 +189,9 @@
     return completed.returncode, completed.stdout + completed.stderr
 
 
-async def orders_by_zone(node: Node) -> dict[str, Order | None]:
-    reply = await node.line.get(calls.ZONES, {}, 5.0)
-    zones_response = msgspec.json.decode(reply.body, type=calls.ZonesTold)
+async def orders_by_zone(node: RegistryNode) -> dict[str, Order | None]:
+    reply = await node.client.get(api.ZONES_PATH, {}, 5.0)
+    zones_response = msgspec.json.decode(reply.body, type=api.ZonesResponse)
     return {state.zone: state.order for state in zones_response.zones}
 
 
@@ -200,15 +200,15 @@
         endpoints = [Endpoint("west"), Endpoint("north")]
         sidecars: list[SidecarProcess] = []
         async with Fleet() as fleet:
-            main = await fleet.node("main")
-            follower = await fleet.node("follower", [main.address])
+            main = await fleet.add_node("main")
+            follower = await fleet.add_node("follower", [main.address])
             try:
                 for endpoint in endpoints:
                     address = await endpoint.start()
                     entry = Entry(instance_id=endpoint.name, host_port=str(address), zone=endpoint.name)
                     await main.put(Record(entry=entry))
                 for name in ("one", "two"):
-                    wires = [await fleet.wire(node) for node in (follower, main)]
+                    wires = [await fleet.add_wire(node) for node in (follower, main)]
                     sidecars.append(SidecarProcess(fleet, name, wires))
                     sidecars[-1].start()
                 one, two = sidecars
@@ -249,7 +249,7 @@
                 async def order_is_over() -> bool:
                     return (await orders_by_zone(main))["west"] is None
 
-                await until_true(order_is_over)
+                await wait_until_true(order_is_over)
             finally:
                 for sidecar in sidecars:
                     await sidecar.kill()
@@ -257,7 +257,7 @@
                 for endpoint in endpoints:
                     endpoint.close()
 
-    run(test())
+    run_async(test())
 
 
 @pytest.mark.parametrize(
