--- a/eiderhub/balancer.py
+++ b/eiderhub/balancer.py
@@ -54,7 +54,7 @@
 SHORT_WINDOW_US, LONG_WINDOW_US = 1_500_000, 20_000_000  # a p95 covers between one and two windows
 RATIO_INTERVAL_US = 250_000
 RATIO_MIN_SAMPLES = 12  # with fewer short-term samples a few long calls would swing the p95
-MAX_NORMAL_LATENCY = 0.5  # fraction of the aim; a long-term p95 above it never counts as normal
+MAX_NORMAL = 0.5  # fraction of the aim; a long-term p95 above it never counts as normal
 STRESS_THRESHOLD = 0.7  # below this ratio calls of low worth are charged more
 MAX_STRESS_PENALTY = 3.0  # at full stress a worthless call costs 1 + this times its price
 
@@ -69,7 +69,7 @@
 BURST_FACTOR_INNER, BURST_FACTOR_OUTER = 2.0, 0.5  # calls above the cap, as a multiple of its square root
 TARGET_FACTOR = 2.0  # target of the median latency, as a multiple of the uncongested median
 MIN_TARGET_FACTOR = 1.3  # lower bound of that, where the uncongested median is near the maximum target
-MAX_TARGET_LATENCY = 0.3  # maximum target, as a fraction of the aim, divided by layer + 1
+MAX_TARGET = 0.3  # maximum target, as a fraction of the aim, divided by layer + 1
 MEDIAN_WEIGHT = 0.3  # weight of the newest round in the median that the baseline is taken from
 BASELINE_DRIFT = 1.01  # growth of the baseline per uncongested round, to follow a lasting change
 ROUND_SAMPLES, ROUND_SAMPLES_PER_CALL = 8, 1.5  # outcomes per round: constant, and per call of the cap
@@ -77,7 +77,7 @@
 FAST_GROWTH_SHARE = 0.5  # the same before the first congestion, while the capacity is unknown
 MIN_CUT_FACTOR = 0.6  # a bad round keeps at least this share of the cap
 FULL_LATENCY = 1.0  # latency, as a fraction of the aim, that a FULL outcome counts as
-BINDING_SHARE = 0.7  # the cap limits sending when this share of it is in use
+BINDING = 0.7  # the cap limits sending when this share of it is in use
 LOW_TIER_WORTH, LOW_TIER_CAP_SHARE = 0.5, 0.8  # low tiers: below this part of the best worth; cap share
 
 # --- hold queue ---
@@ -266,7 +266,7 @@
             self.value = 1.0
             return
         # Without the bound, latencies that were high from the start would count as normal.
-        normal = min(self.long[0].upper_quantile(0.05, self.long[1]), MAX_NORMAL_LATENCY)
+        normal = min(self.long[0].upper_quantile(0.05, self.long[1]), MAX_NORMAL)
         self.value = normal / self.short[0].upper_quantile(0.05, self.short[1])
 
     def stress(self) -> float:
@@ -284,10 +284,7 @@
         self.min_cap = MIN_CAP
         self.in_flight = self.next_dither = self.changed_at = 0
         self.dither = self.median = self.baseline = 0.0
-        self.max_target, self.max_baseline = (
-            MAX_TARGET_LATENCY / (layer + 1),
-            MAX_NORMAL_LATENCY / (layer + 1),
-        )
+        self.max_target, self.max_baseline = MAX_TARGET / (layer + 1), MAX_NORMAL / (layer + 1)
         self.round, self.was_binding = Histogram(), False  # whether the cap limited sending in this round
         self.burst_factor = BURST_FACTOR_INNER if layer else BURST_FACTOR_OUTER
         self.slack = 0.5  # 1 uncongested, 0 with the median at its target
@@ -326,7 +323,7 @@
         if sent_at < self.changed_at or now - self.changed_at < self.max_baseline * aim_us:
             return
         self.round.add(latency)
-        self.was_binding = self.was_binding or self.in_flight >= BINDING_SHARE * self.cap
+        self.was_binding = self.was_binding or self.in_flight >= BINDING * self.cap
         if self.round.total < ROUND_SAMPLES + ROUND_SAMPLES_PER_CALL * self.cap:
             return
         median = self.round.upper_quantile(0.5)
@@ -680,9 +677,7 @@
                 call.attempts[i] = attempt._replace(overdue_recorded=True)
         limits = [p.limit for placement in self.placements for p in placement.pools if p.subset.members]
         # Failures without any room or under stress are due to load.
-        overloaded = self.ratio.stress() > 0 or all(
-            each.in_flight >= BINDING_SHARE * each.cap for each in limits
-        )
+        overloaded = self.ratio.stress() > 0 or all(each.in_flight >= BINDING * each.cap for each in limits)
         changed, evacuated = self.zones.review(now, {e.zone for e in endpoints if e.ready}, overloaded)
         for call, i, attempt in pending:
             if attempt.endpoint.zone in evacuated:  # frees its slot for calls that may be answered
@@ -724,11 +719,9 @@
 
     def hosts_down(self, now_us: int) -> list[str]:
         """Ids of endpoints that get no calls or single trials: draining, backed off or ejected."""
-        endpoints = self.endpoints.values()
-        down = [
-            e for e in endpoints if not e.ready or e.on_trial or now_us < max(e.backoff_end, e.ejected_until)
-        ]
-        return [e.id for e in down]
+        known = self.endpoints.values()
+        out = [e for e in known if not e.ready or e.on_trial or now_us < max(e.backoff_end, e.ejected_until)]
+        return [e.id for e in out]
 
     def _limits(self) -> list[ConcurrencyLimit]:
         return [pool.limit for placement in self.placements for pool in placement.pools]
--- a/eiderhub/zones.py
+++ b/eiderhub/zones.py
@@ -15,7 +15,7 @@
 EVIDENCE_DECAY = 0.94  # retained per review: a memory of four seconds, which instances with few calls need
 MIN_CALLS = 4.0  # weighted calls needed for a verdict on a zone
 IGNORED_SHARE = 1 / 3  # of the endpoints tried, the worst ones: a few bad endpoints are no zone failure
-EXCESS_SHARE = 0.1  # failure share above that of other zones from which a zone counts as degraded
+EXCESS = 0.1  # failure share above that of other zones from which a zone counts as degraded
 # A run of failures is no chance if its probability, at other zones' failure share and this more, is lower.
 MIN_PROBABILITY, EXTRA_SHARE = 1e-8, 0.03
 COMMON_FAILURE_SHARE = 0.8  # failure share of other zones from which the cause lies outside of the zone
@@ -52,10 +52,8 @@
 
     def is_silent(self, now: int, failure_share: float) -> bool:
         """Whether the run of failures is too long and too improbable at this failure share to be chance."""
-        widespread = (
-            2 * len(self.streak) >= max(4, len(self.counts)) and now - self.answered_at >= MIN_SILENCE_US
-        )
-        return widespread and failure_share ** sum(self.streak.values()) < MIN_PROBABILITY
+        wide = 2 * len(self.streak) >= max(4, len(self.counts)) and now - self.answered_at >= MIN_SILENCE_US
+        return wide and failure_share ** sum(self.streak.values()) < MIN_PROBABILITY
 
 
 class Zones:
@@ -125,22 +123,15 @@
             calls, failed = evidence[name]
             other_calls, other_failures = all_calls - calls, all_failures - failed
             comparable = other_calls >= MIN_CALLS
-            lost = z.is_silent(
-                now, (other_failures / other_calls if comparable else EXCESS_SHARE) + EXTRA_SHARE
-            )
+            lost = z.is_silent(now, (other_failures / other_calls if comparable else EXCESS) + EXTRA_SHARE)
             if lost:
                 calls = failed = float(sum(z.streak.values()))
             fields: dict[str, str | float] = {"zone": name, "ill": round(failed, 1), "of": round(calls, 1)}
             fields |= {"ill_elsewhere": round(other_failures, 1), "of_elsewhere": round(other_calls, 1)}
             usual = other_failures / other_calls if comparable else 0.0  # failure share
-            degraded = (
-                failed > EXCESS_SHARE * calls + SIGMAS * math.sqrt(failed)
-                and failed > (usual + EXCESS_SHARE) * calls
-            )
+            gray = failed > EXCESS * calls + SIGMAS * math.sqrt(failed) and failed > (usual + EXCESS) * calls
             # Uncompared zones lose only a part. Without room elsewhere, a call that may fail beats a refusal.
-            reduce = (
-                degraded and not overloaded and now >= z.until and (comparable or z.share > UNCOMPARED_SHARE)
-            )
+            reduce = gray and not overloaded and now >= z.until and (comparable or z.share > UNCOMPARED_SHARE)
             if z.share and self.adaptive and (lost or reduce):
                 if not any(min(o.share, o.bound) for o in map(self.find, ready) if o is not z):
                     self._log("all zones fail: the backends fail, or this instance is cut off", fields)
@@ -153,11 +144,7 @@
                 self._log("other zones fail as well: the backends fail, or this instance is cut off", fields)
             elif not z.share and z.streak:
                 self._reduce(now, z, 0.0, fields)
-            elif (
-                z.share < 1.0
-                and now >= z.until
-                and failed <= (usual + EXCESS_SHARE / 2) * max(calls, MIN_CALLS)
-            ):
+            elif z.share < 1.0 and now >= z.until and failed <= (usual + EXCESS / 2) * max(calls, MIN_CALLS):
                 self._restore(now, z, fields)
             elif z.share == 1.0 and now - z.grown_at >= RELAPSE_MEMORY_BACKOFFS * z.backoff_us:
                 z.relapses, z.backoff_us = 0, BACKOFF_US
