--- a/eiderhub/http1.py
+++ b/eiderhub/http1.py
@@ -442,7 +442,7 @@
     """Send a request and wait for its reply.
 
     Raises:
-        Unanswered: timed out, could not connect, or lost the connection.
+        NoReplyError: timed out, could not connect, or lost the connection.
     """
     handler = _FetchHandler()
     pending = pool.send(data, handler, new_connection)
--- a/eiderhub/scale/looks.py
+++ b/eiderhub/scale/looks.py
@@ -38,7 +38,7 @@
 
 
 async def look(topology: Topology) -> Look:
-    """Raises Unanswered, Refused or Ended."""
+    """Raises NoReplyError, Refused or Ended."""
     topology.check()
     statuses, snapshots = await asyncio.gather(
         topology.statuses(), topology.each("/snapshot", Nothing(), Snapshot)
--- a/eiderhub/scale/run.py
+++ b/eiderhub/scale/run.py
@@ -67,7 +67,7 @@
         """All of it; ends its processes and removes its files, whatever happens. `fleet`: its file's name.
 
         Raises:
-            Ended, Unanswered, Refused, TimeoutError: a process has ended, or does not answer.
+            Ended, NoReplyError, Refused, TimeoutError: a process has ended, or does not answer.
         """
         end_on_signals()
         async with Topology(self.plan, self.seed) as self.topology:
--- a/eiderhub/scale/services.py
+++ b/eiderhub/scale/services.py
@@ -84,7 +84,7 @@
                 await asyncio.sleep(LOOK_S)
 
     async def status(self, wait_s: float = 2.0) -> calls.Status:
-        """Raises Unanswered or Refused."""
+        """Raises NoReplyError or Refused."""
         return read(await self.line.get(calls.STATUS, {}, wait_s), calls.Status)
 
     @property
--- a/eiderhub/scale/topology.py
+++ b/eiderhub/scale/topology.py
@@ -61,7 +61,7 @@
         )
 
     async def call(self, path: str, call: msgspec.Struct, kind: type[T], wait_s: float = LONG_S) -> T:
-        """Raises Unanswered or Refused; Ended where its process has."""
+        """Raises NoReplyError or Refused; Ended where its process has."""
         asking = asyncio.ensure_future(self.line.post(path, call, kind, wait_s))
         ending = asyncio.ensure_future(self.process.ended.wait())
         try:
@@ -344,7 +344,7 @@
         return found
 
     async def statuses(self) -> dict[str, calls.Status]:
-        """By role. Raises Unanswered or Refused."""
+        """By role. Raises NoReplyError or Refused."""
         services = self.services
         asked = await asyncio.gather(*(service.status(30.0) for service in services))
         return {service.name: status for service, status in zip(services, asked, strict=True)}
--- a/eiderhub/scale/watchers.py
+++ b/eiderhub/scale/watchers.py
@@ -46,7 +46,7 @@
         self.answers = 0
 
     async def once(self, wait_ms: int, whose: str = "") -> None:
-        """Raises Unanswered or Refused."""
+        """Raises NoReplyError or Refused."""
         answer = await ask_list(self.line, self.follow, self.version or None, whose, wait_ms)
         self.version = answer.claim.version
         self.answers += 1
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -301,7 +301,7 @@
 
 
 class RecordingAsker:
-    """Implements `http1.Asker`; records the replies of an exchange and its end."""
+    """Implements `http1.ReplyHandler`; records the replies of an exchange and its end."""
 
     def __init__(self) -> None:
         self.replies: list[Reply] = []
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -56,7 +56,7 @@
 
 
 def after_parameter(asked: Any) -> str:
-    return str(asked.message.first).partition("?")[2].partition("&")[0]
+    return str(asked.message.start_line).partition("?")[2].partition("&")[0]
 
 
 def test_poll_racing_with_close_of_reused_connection_is_retried() -> None:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -172,7 +172,7 @@
         async with Sidecar(endpoints=2) as sidecar:
             asked, client = await one_attempt(sidecar)
             asked.reply(status, b"")
-            assert (await client.answer()).status == 502
+            assert (await client.read_answer()).status == 502
             assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
@@ -185,7 +185,7 @@
             asked, client = await one_attempt(sidecar)
             asked.reply(status, b"", "Srv-Declined: 1")
             (await next_request_at_any(sidecar)).reply()
-            assert (await client.answer()).status == 200
+            assert (await client.read_answer()).status == 200
 
     run(test())
 
@@ -214,7 +214,7 @@
             if cut == "body":
                 asked.writer.write(b"\r\nhalf")
             asked.writer.close()
-            assert (await client.answer()).status == 502
+            assert (await client.read_answer()).status == 502
             assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
