--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar on loopback sockets: what reaches callers and endpoints, and what never may."""
+"""The sidecar over loopback sockets: what callers and endpoints receive, and what they never may."""
 
 from __future__ import annotations
 
@@ -45,17 +45,17 @@
 )
 
 
-class Answers:
-    """A caller inside this process."""
+class InProcessCaller:
+    """A caller in the test process; records the statuses of its answers."""
 
     def __init__(self) -> None:
-        self.all: asyncio.Queue[int] = asyncio.Queue()
+        self.statuses: asyncio.Queue[int] = asyncio.Queue()
 
     def answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        self.all.put_nowait(status)
+        self.statuses.put_nowait(status)
 
     def start_streaming(self, head: Response, source: Source) -> Receiver:
-        raise AssertionError("no long answer is expected here")
+        raise AssertionError("no streamed answer is expected here")
 
     finish = abort_answer = lambda self: None
 
@@ -63,28 +63,28 @@
         return False
 
 
-def direct(caller: Answers, grade: str = "pay") -> Request:
-    """A request as the server hands it over; its head only has to end where the deadline's value follows."""
+def request_from(caller: InProcessCaller, class_name: str = "pay") -> Request:
+    """Build a request as the server passes it to the host, which appends the deadline to its head."""
     head = b"POST /pay HTTP/1.1\r\nHost: e\r\nReq-Id: d1\r\nContent-Length: 0\r\n"
-    return Request(caller, grade, "acme", None, now_us(), 2_000_000, head, b"")
+    return Request(caller, class_name, "acme", None, now_us(), 2_000_000, head, b"")
 
 
-# --- what passes through ---
+# --- forwarding ---
 
 
-def test_request_and_answer_pass_unchanged() -> None:
+def test_request_and_answer_are_forwarded_unchanged() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send("hold", deadline_ms=900, body=b"\x00\x01two", request_id="00aa")
-            asked = await sidecar.endpoints[0].next_request()
-            assert asked.message.start_line == "POST /hold/a?b=1 HTTP/1.1"
-            assert asked.message.headers["host"] == "service.internal"
-            assert asked.message.headers["req-id"] == "00aa"
-            assert asked.message.headers["idempotency-key"] == "k1"
-            assert 500 < int(asked.message.headers["req-deadline-ms"]) <= 860
-            assert asked.message.body == b"\x00\x01two"
-            asked.reply(200, b"\x00answer", "Content-Type: a/b")
+            received = await sidecar.endpoints[0].next_request()
+            assert received.message.start_line == "POST /hold/a?b=1 HTTP/1.1"
+            assert received.message.headers["host"] == "service.internal"
+            assert received.message.headers["req-id"] == "00aa"
+            assert received.message.headers["idempotency-key"] == "k1"
+            assert 500 < int(received.message.headers["req-deadline-ms"]) <= 860
+            assert received.message.body == b"\x00\x01two"
+            received.reply(200, b"\x00answer", "Content-Type: a/b")
             answer = await client.read_answer()
             assert (answer.status, answer.body) == (200, b"\x00answer")
             assert answer.headers["content-type"] == "a/b"
@@ -92,16 +92,16 @@
     run(test())
 
 
-def test_connections_are_kept_and_used_again() -> None:
-    """Seen on the first calm day: each attempt had its own connection, for a fifth of the result."""
+def test_connections_to_endpoints_are_reused() -> None:
+    """Guards against a new connection for each attempt, which cost a fifth of the result."""
 
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             for _ in range(3):
                 client.send()
-                asked = await sidecar.endpoints[0].next_request()
-                asked.reply()
+                received = await sidecar.endpoints[0].next_request()
+                received.reply()
                 assert (await client.read_answer()).status == 200
             assert sidecar.endpoints[0].connections == 1
 
@@ -115,38 +115,38 @@
             for i in range(3):
                 client.send(body=b"%d" % i)
             for _ in range(3):
-                asked = await sidecar.endpoints[0].next_request()
-                asked.reply(200, asked.message.body)
+                received = await sidecar.endpoints[0].next_request()
+                received.reply(200, received.message.body)
             assert [(await client.read_answer()).body for _ in range(3)] == [b"0", b"1", b"2"]
 
     run(test())
 
 
-def test_request_that_waits_behind_another_is_answered_while_draining() -> None:
+def test_pipelined_request_is_answered_while_draining() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send(body=b"0")
             client.send(body=b"1")
-            asked = await sidecar.endpoints[0].next_request()
+            received = await sidecar.endpoints[0].next_request()
             sidecar.server.intake = Intake.LAST
-            asked.reply(200, asked.message.body)
-            asked = await sidecar.endpoints[0].next_request()
-            asked.reply(200, asked.message.body)
+            received.reply(200, received.message.body)
+            received = await sidecar.endpoints[0].next_request()
+            received.reply(200, received.message.body)
             assert [(await client.read_answer()).body for _ in range(2)] == [b"0", b"1"]
             assert await client.reader.read() == b""
 
     run(test())
 
 
-def test_upgrade_is_not_taken_up_and_the_request_has_one_answer() -> None:
+def test_upgrade_is_ignored_and_request_gets_one_answer() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send("look", Connection="Upgrade", Upgrade="websocket")
-            asked = await sidecar.endpoints[0].next_request()
-            assert "upgrade" not in asked.message.headers
-            asked.reply()
+            received = await sidecar.endpoints[0].next_request()
+            assert "upgrade" not in received.message.headers
+            received.reply()
             answer = await client.read_answer()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
             assert await client.reader.read() == b""
@@ -154,24 +154,24 @@
     run(test())
 
 
-# --- how attempts end ---
+# --- outcomes of attempts ---
 
 
-async def one_attempt(sidecar: Sidecar, grade: str = "pay") -> Any:
-    """Send one request and return the endpoint's side of it, wherever it went, and the client."""
+async def send_one_request(sidecar: Sidecar, class_name: str = "pay") -> Any:
+    """Send one request; return it as it arrived at an endpoint, and the client."""
     client = await sidecar.client()
-    client.send(grade)
+    client.send(class_name)
     return await next_request_at_any(sidecar), client
 
 
 @pytest.mark.parametrize("status", [500, 503, 504, 429, 404])
-def test_error_that_may_have_run_is_no_refusal_and_unsafe_is_not_sent_again(status: int) -> None:
-    """Rule 2: an endpoint's own 503 must not reach the client as a promise that a retry is harmless."""
+def test_error_after_which_unsafe_request_may_have_run_gives_502_without_retry(status: int) -> None:
+    """Rule 2: an endpoint's own 503 must not reach the client, which would take it that a retry is safe."""
 
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
-            asked.reply(status, b"")
+            received, client = await send_one_request(sidecar)
+            received.reply(status, b"")
             assert (await client.read_answer()).status == 502
             assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
@@ -179,23 +179,23 @@
 
 
 @pytest.mark.parametrize("status", [503, 504])
-def test_what_an_endpoint_turned_away_goes_to_another(status: int) -> None:
+def test_declined_request_is_retried_at_another_endpoint(status: int) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
-            asked.reply(status, b"", "Srv-Declined: 1")
+            received, client = await send_one_request(sidecar)
+            received.reply(status, b"", "Srv-Declined: 1")
             (await next_request_at_any(sidecar)).reply()
             assert (await client.read_answer()).status == 200
 
     run(test())
 
 
-def test_refused_connection_goes_to_another() -> None:
+def test_request_with_refused_connection_is_retried_at_another_endpoint() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
             sidecar.endpoints[0].server.close()
             await sidecar.endpoints[0].server.wait_closed()
-            for _ in range(8):  # each draws its endpoint at random
+            for _ in range(8):  # each goes to an endpoint chosen at random
                 client = await sidecar.client()
                 client.send()
                 (await sidecar.endpoints[1].next_request()).reply()
@@ -204,46 +204,46 @@
     run(test())
 
 
-@pytest.mark.parametrize("cut", ["nothing", "head", "body"])
-def test_answer_cut_short_is_a_failure_and_unsafe_is_not_sent_again(cut: str) -> None:
+@pytest.mark.parametrize("sent", ["nothing", "head", "body"])
+def test_truncated_answer_to_unsafe_request_gives_502_without_retry(sent: str) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            asked, client = await one_attempt(sidecar)
-            if cut != "nothing":
-                asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")
-            if cut == "body":
-                asked.writer.write(b"\r\nhalf")
-            asked.writer.close()
+            received, client = await send_one_request(sidecar)
+            if sent != "nothing":
+                received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n")
+            if sent == "body":
+                received.writer.write(b"\r\nhalf")
+            received.writer.close()
             assert (await client.read_answer()).status == 502
             assert all(fake.requests.empty() for fake in sidecar.endpoints)
 
     run(test())
 
 
-def test_silent_endpoint_ends_by_time_and_its_late_answer_reaches_nobody(
+def test_silent_endpoint_times_out_and_its_late_answer_is_discarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
-        monkeypatch.setattr(hosting, "ANSWER_MARGIN_US", 1_800_000)  # leaves a slow machine ample time
+        monkeypatch.setattr(hosting, "ANSWER_MARGIN_US", 1_800_000)  # leaves enough time on a slow machine
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            begun = time.monotonic()
+            started_s = time.monotonic()
             client.send(deadline_ms=2000)
-            asked = await sidecar.endpoints[0].next_request()
+            received = await sidecar.endpoints[0].next_request()
             answer = await client.read_answer()
             assert answer.status == 504
-            assert time.monotonic() - begun < 1.5
-            asked.reply(200, b"late")
+            assert time.monotonic() - started_s < 1.5
+            received.reply(200, b"late")
             client.send(deadline_ms=8000)
             fresh = await sidecar.endpoints[0].next_request()
-            assert fresh.connection != asked.connection
+            assert fresh.connection != received.connection
             fresh.reply(200, b"fresh")
             assert (await client.read_answer()).body == b"fresh"
 
     run(test())
 
 
-def test_break_before_the_last_byte_never_ran_and_after_it_may_have() -> None:
+def test_reset_counts_as_failed_connect_only_before_the_last_byte_is_sent() -> None:
     async def test() -> None:
         for size, expected in ((16 << 20, Outcome.CONNECT_FAILED), (16, Outcome.RESET)):
             listener = socket.create_server(("127.0.0.1", 0))
@@ -259,7 +259,7 @@
 
             upstream.send(Attempt(0, "e", lambda *_, size=size: b"x" * size, on_end))
             peer, _ = await asyncio.get_running_loop().sock_accept(listener)
-            assert await asyncio.get_running_loop().sock_recv(peer, 16)  # the first bytes have come
+            assert await asyncio.get_running_loop().sock_recv(peer, 16)  # the first bytes have arrived
             peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\0\0\0\0\0\0\0")
             peer.close()
             assert await ended.get() is expected
@@ -269,11 +269,11 @@
     run(test())
 
 
-def test_connection_that_does_not_come_up_is_given_up() -> None:
+def test_connect_without_response_times_out() -> None:
     async def test() -> None:
         full = socket.create_server(("127.0.0.1", 0), backlog=0)
         fillers = [socket.socket() for _ in range(3)]
-        for filler in fillers:  # take what the backlog holds: the next handshake gets no answer
+        for filler in fillers:  # fill the backlog, so that the next handshake gets no answer
             filler.setblocking(False)
             filler.connect_ex(full.getsockname())
         upstream = Upstream(0, 100_000, 4, RequestMetrics(()))
@@ -287,8 +287,11 @@
     run(test())
 
 
-def test_idle_connection_that_has_ended_is_not_used() -> None:
-    """Its end may wait in the kernel while the loop is at work: a send would be a reset that may have run."""
+def test_closed_idle_connection_is_not_reused() -> None:
+    """The close may be unread in the kernel while the event loop runs a callback.
+
+    A request sent on the connection would end in a reset after which it may have run.
+    """
 
     async def test() -> None:
         listener = socket.create_server(("127.0.0.1", 0))
@@ -311,7 +314,7 @@
         peer = await serve()
         assert await ended.get() is Outcome.OK
         peer.close()
-        send()  # no turn of the loop lies between
+        send()  # without an iteration of the event loop in between
         (await serve()).close()
         assert await ended.get() is Outcome.OK
         listener.close()
@@ -319,7 +322,7 @@
     run(test())
 
 
-def test_idle_connections_close_before_their_endpoint_closes_them() -> None:
+def test_idle_connections_are_closed_before_the_endpoint_closes_them() -> None:
     async def test() -> None:
         async with Sidecar(Allowed={**SETUP["Allowed"], "ConnIdleUs": 300_000}) as sidecar:
             client = await sidecar.client()
@@ -332,17 +335,17 @@
     run(test())
 
 
-def test_connections_to_endpoints_stay_within_their_bound() -> None:
+def test_connections_to_endpoints_stay_within_their_limit() -> None:
     async def test() -> None:
-        async with Sidecar(endpoints=2, sockets=2) as sidecar:  # so one connection in all
+        async with Sidecar(endpoints=2, sockets=2) as sidecar:  # allows one connection in total
             client = await sidecar.client()
-            seen: set[int] = set()
-            while len(seen) < 2:
+            reached: set[int] = set()
+            while len(reached) < 2:
                 client.send()
-                asked = await next_request_at_any(sidecar)
-                asked.reply()
+                received = await next_request_at_any(sidecar)
+                received.reply()
                 await client.read_answer()
-                seen.add(next(i for i, f in enumerate(sidecar.endpoints) if asked.writer in f.writers))
+                reached.add(next(i for i, f in enumerate(sidecar.endpoints) if received.writer in f.writers))
                 assert sidecar.host.upstream.open_connections == 1
 
     run(test())
@@ -351,11 +354,11 @@
 # --- callers ---
 
 
-def test_client_gone_stops_the_attempt() -> None:
+def test_client_disconnect_cancels_the_attempt() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            client.send(deadline_ms=3_000_000)  # so that no attempt ends by time within the test
+            client.send(deadline_ms=3_000_000)  # so that no attempt times out during the test
             await sidecar.endpoints[0].next_request()
             client.writer.close()
             assert await sidecar.endpoints[0].disconnects.get() == 0
@@ -365,14 +368,14 @@
     run(test())
 
 
-def test_refusal_comes_when_the_module_gives_up_and_tells_when_to_come_back() -> None:
+def test_rejection_comes_before_the_deadline_and_has_retry_after() -> None:
     async def test() -> None:
         async with Sidecar(endpoints=0) as sidecar:
-            begun = time.monotonic()
+            started_s = time.monotonic()
             answer = await (await sidecar.client()).send_and_read("look", deadline_ms=3000)
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
-            assert time.monotonic() - begun < 2.0
+            assert time.monotonic() - started_s < 2.0
 
     run(test())
 
@@ -390,7 +393,7 @@
 @pytest.mark.parametrize(
     ("raw", "status", "closes"), [b[1:] for b in BAD_INPUT], ids=[b[0] for b in BAD_INPUT]
 )
-def test_bad_input_is_answered_and_reaches_nobody(raw: str, status: int, closes: bool) -> None:
+def test_bad_input_gets_an_error_and_is_not_forwarded(raw: str, status: int, closes: bool) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
@@ -408,7 +411,7 @@
     run(test())
 
 
-def test_request_that_never_comes_whole_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(calling, "READ_TIMEOUT_S", 0.05)
         monkeypatch.setattr(server, "TIMEOUT_CHECK_INTERVAL_S", 0.02)
@@ -425,7 +428,7 @@
 
 
 @pytest.mark.parametrize(
-    ("grade", "changes", "status"),
+    ("class_name", "changes", "status"),
     [
         ("pay", {"Req_Id": ""}, 400),
         ("pay", {"Req_Id": "a b"}, 400),
@@ -440,18 +443,20 @@
         ("hold", {"Idempotency_Key": ""}, 400),
     ],
 )
-def test_bad_headers_are_answered_and_reach_nobody(grade: str, changes: dict[str, str], status: int) -> None:
+def test_bad_headers_get_an_error_and_are_not_forwarded(
+    class_name: str, changes: dict[str, str], status: int
+) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
-            assert (await client.send_and_read(grade, **changes)).status == status
+            assert (await client.send_and_read(class_name, **changes)).status == status
             assert sidecar.host.last_serial == 0
             assert sidecar.endpoints[0].connections == 0
 
     run(test())
 
 
-def test_method_must_fit_the_class() -> None:
+def test_method_must_match_the_request_class() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
@@ -464,14 +469,14 @@
     run(test())
 
 
-def test_id_that_is_open_is_not_taken_twice() -> None:
+def test_id_of_a_pending_request_is_rejected() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             first, second = await sidecar.client(), await sidecar.client()
             first.send(request_id="0a")
-            asked = await sidecar.endpoints[0].next_request()
+            received = await sidecar.endpoints[0].next_request()
             assert (await second.send_and_read(request_id="0a")).status == 409
-            asked.reply()
+            received.reply()
             assert (await first.read_answer()).status == 200
             second.send(request_id="0a")
             (await sidecar.endpoints[0].next_request()).reply()
@@ -480,10 +485,13 @@
     run(test())
 
 
-def test_caller_that_sends_nothing_is_closed_and_one_that_has_asked_is_kept(
+def test_caller_that_sends_nothing_is_closed_and_one_that_sent_a_request_is_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """TERMS: who sends no request is owed an end within 3 s. Seen on case9367: it kept its place."""
+    """TERMS: a caller that sends no request must be closed within 3 s.
+
+    Guards against such callers keeping their connections, which count towards the limit.
+    """
     assert calling.READ_TIMEOUT_S + server.TIMEOUT_CHECK_INTERVAL_S < 3.0
 
     async def test() -> None:
@@ -506,7 +514,7 @@
     run(test())
 
 
-def test_callers_past_the_bound_close_the_idle_and_are_refused_while_all_are_busy() -> None:
+def test_callers_over_the_limit_replace_idle_ones_and_get_503_while_all_are_busy() -> None:
     async def test() -> None:
         async with Sidecar(max_callers=1) as sidecar:
             idle = await sidecar.client()
@@ -514,42 +522,42 @@
             busy = await sidecar.client()
             assert await idle.reader.read() == b""
             busy.send()
-            asked = await sidecar.endpoints[0].next_request()
+            received = await sidecar.endpoints[0].next_request()
             extra = await sidecar.client()
             answer = await extra.send_and_read()
             assert (answer.status, answer.headers["connection"]) == (503, "close")
-            asked.reply()
+            received.reply()
             assert (await busy.read_answer()).status == 200
 
     run(test())
 
 
-def test_crowd_of_callers_that_stay_makes_room_for_those_that_ask(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Found on the operators' days: hundreds were refused while most connections stood idle."""
+def test_idle_callers_are_closed_in_favour_of_those_with_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against refusing hundreds of callers while most connections are idle."""
     monkeypatch.setattr(server, "FIRST_REQUEST_GRACE_S", 0.0)
 
     async def test() -> None:
         async with Sidecar(max_callers=4) as sidecar:
             active = await sidecar.client()
-            crowd = [await sidecar.client() for _ in range(3)]
-            for client in crowd:
+            idle_clients = [await sidecar.client() for _ in range(3)]
+            for client in idle_clients:
                 assert await ready(client) == 200
-            assert await ready(active) == 200  # served after them, so it stays
-            # Two come within one turn of the loop, with their requests.
-            fresh = [socket.create_connection(("127.0.0.1", sidecar.port)) for _ in range(2)]
-            for sock in fresh:
+            assert await ready(active) == 200  # served after them, so it is kept
+            # Two connect within one iteration of the event loop and send requests.
+            new_sockets = [socket.create_connection(("127.0.0.1", sidecar.port)) for _ in range(2)]
+            for sock in new_sockets:
                 sock.sendall(b"GET /look/a HTTP/1.1\r\nReq-Id: %d\r\n" % sock.fileno())
                 sock.sendall(b"Req-Owner: acme\r\nReq-Deadline-Ms: 60000\r\n\r\n")
-            for _ in fresh:
+            for _ in new_sockets:
                 (await sidecar.endpoints[0].next_request()).reply()
-            for sock in fresh:
+            for sock in new_sockets:
                 sock.setblocking(False)
                 answer = await asyncio.get_running_loop().sock_recv(sock, 100)
                 assert answer.startswith(b"HTTP/1.1 200 ")
-            assert [await c.reader.read() for c in crowd[:2]] == [b"", b""]
+            assert [await c.reader.read() for c in idle_clients[:2]] == [b"", b""]
             assert sidecar.host.figures.busy["look"] == 0
-            half = [await sidecar.client() for _ in range(20)]
-            for client in half:  # they begin a request and leave it at that
+            incomplete = [await sidecar.client() for _ in range(20)]
+            for client in incomplete:  # each sends an incomplete head
                 client.writer.write(HEAD.encode())
             while sum(caller.receiving for caller in sidecar.server.callers) < 4:
                 await asyncio.sleep(0.01)
@@ -558,7 +566,7 @@
             late.send("look")
             (await sidecar.endpoints[0].next_request()).reply()
             assert (await late.read_answer()).status == 200
-            for sock in fresh:
+            for sock in new_sockets:
                 sock.close()
 
     run(test())
@@ -569,11 +577,11 @@
     return (await client.read_answer()).status
 
 
-# --- the module fails ---
+# --- failures of the balancer ---
 
 
 @pytest.mark.parametrize("event", ["order", "reply"])
-def test_exception_in_the_module_fails_the_request_and_nothing_else(
+def test_exception_in_the_balancer_fails_the_request_and_nothing_else(
     event: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     def broken(*_: Any) -> None:
@@ -596,16 +604,16 @@
     run(test())
 
 
-def test_request_that_the_module_forgets_is_answered_before_its_deadline(
+def test_request_that_the_balancer_drops_is_answered_before_its_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             monkeypatch.setattr(hosting, "ANSWER_MARGIN_US", 1_800_000)
             monkeypatch.setattr(sidecar.host.balancer, "order", lambda *_: None)
-            begun = time.monotonic()
+            started_s = time.monotonic()
             assert (await (await sidecar.client()).send_and_read(deadline_ms=2000)).status == 504
-            assert time.monotonic() - begun < 1.5
+            assert time.monotonic() - started_s < 1.5
 
     run(test())
 
@@ -613,16 +621,16 @@
 # --- discovery ---
 
 
-def test_known_list_serves_and_the_watch_goes_on_from_it() -> None:
+def test_configured_list_is_served_and_polls_continue_from_its_generation() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             assert await ready(await sidecar.client()) == 200
-            asked = await sidecar.discovery.next_request()
-            assert asked.message.start_line.startswith("GET /discovery/hosts?after=1&wait_ms=")
-            asked.reply(200, discovery_response(4, False))
+            received = await sidecar.discovery.next_request()
+            assert received.message.start_line.startswith("GET /discovery/hosts?after=1&wait_ms=")
+            received.reply(200, discovery_response(4, False))
             again = await sidecar.discovery.next_request()
             assert again.message.start_line.startswith("GET /discovery/hosts?after=4&")
-            assert again.connection == asked.connection
+            assert again.connection == received.connection
 
     run(test())
 
@@ -643,19 +651,19 @@
 
 
 @pytest.mark.parametrize("bad", ["503", "reset", "no list"])
-def test_failed_watch_keeps_the_list_and_is_asked_again(bad: str) -> None:
+def test_failed_poll_keeps_the_list_and_is_retried(bad: str) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            asked = await sidecar.discovery.next_request()
+            received = await sidecar.discovery.next_request()
             if bad == "503":
-                asked.reply(503, b"")
+                received.reply(503, b"")
             elif bad == "reset":
-                asked.reset()
+                received.reset()
             else:
-                asked.reply(200, b'{"instances": [{}]}')
-            begun = time.monotonic()
+                received.reply(200, b'{"instances": [{}]}')
+            started_s = time.monotonic()
             again = await sidecar.discovery.next_request()
-            assert time.monotonic() - begun > 0.2  # no tight loop
+            assert time.monotonic() - started_s > 0.2  # not in a tight loop
             assert again.message.start_line.startswith("GET /discovery/hosts?after=1&")
             client = await sidecar.client()
             client.send()
@@ -665,16 +673,16 @@
     run(test())
 
 
-def test_watch_that_falls_silent_is_asked_again_before_its_news_counts_as_told(
+def test_poll_without_response_is_retried_before_a_change_counts_as_announced(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Found on days of the large fleet: a third of all copies never heard of a release."""
+    """Guards against missed changes: in a large fleet, a third of the sidecars never learned of a release."""
     monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.05)
 
     async def test() -> None:
         async with Sidecar(Rules={"AskEveryUs": 200_000}) as sidecar:
             first = await sidecar.discovery.next_request()
-            assert "wait_ms=0 " in first.message.start_line  # who starts asks for what there is
+            assert "wait_ms=0 " in first.message.start_line  # the first poll asks for the present list
             first.reply(200, discovery_response(1, False))
             silent = await sidecar.discovery.next_request()
             assert 80 <= int(silent.message.start_line.split("wait_ms=")[1].split(" ")[0]) <= 100
@@ -686,29 +694,27 @@
 
 
 @pytest.mark.parametrize("end", ["stalls", "breaks off"])
-def test_list_that_does_not_come_whole_is_not_applied_and_asked_for_again(
+def test_incomplete_list_is_not_applied_and_is_requested_again(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "READ_GAP_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         async with Sidecar(endpoints=2, Rules={"AskEveryUs": 60_000_000}) as sidecar:
-            asked = await sidecar.discovery.next_request()
+            received = await sidecar.discovery.next_request()
             body = discovery_response(2, True, instance_entry("s-0", sidecar.endpoints[0].address))
-            asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
-            asked.writer.write(body[:-1])
+            received.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
+            received.writer.write(body[:-1])
             if end == "breaks off":
-                asked.writer.close()
-            again = (
-                await sidecar.discovery.next_request()
-            )  # long before the wait that was asked for has passed
+                received.writer.close()
+            again = await sidecar.discovery.next_request()  # long before the requested wait is over
             assert again.message.start_line.startswith("GET /discovery/hosts?after=1&")
-            assert again.connection != asked.connection
+            assert again.connection != received.connection
             assert sidecar.host.listed_endpoints == {"s-0", "s-1"}
             again.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
             monkeypatch.setattr(discovery, "READ_GAP_TIMEOUT_S", 5.0)
-            for piece in (body[:10], body[10:20], body[20:]):  # one that is slow, but goes on
-                again.writer.write(piece)
+            for part in (body[:10], body[10:20], body[20:]):  # a slow response that keeps arriving
+                again.writer.write(part)
                 await asyncio.sleep(0.02)
             await sidecar.discovery.next_request()
             assert sidecar.host.listed_endpoints == {"s-0"}
@@ -716,7 +722,7 @@
     run(test())
 
 
-def test_pushed_lists_are_watched_without_the_module_asking() -> None:
+def test_pushed_lists_are_polled_without_a_request_by_the_balancer() -> None:
     async def test() -> None:
         async with Sidecar(Discovery="push") as sidecar:
             (await sidecar.discovery.next_request()).reply(503, b"")
@@ -729,60 +735,60 @@
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_nothing_new_goes_to_an_endpoint_once_its_drain_or_end_is_told(reset: bool) -> None:
+def test_draining_or_removed_endpoint_gets_no_new_requests(reset: bool) -> None:
     async def test() -> None:
         async with Sidecar(endpoints=2) as sidecar:
-            stays, goes = sidecar.endpoints
-            rows = (
-                [instance_entry("s-0", stays.address)]
+            remaining, leaving = sidecar.endpoints
+            entries = (
+                [instance_entry("s-0", remaining.address)]
                 if reset
-                else [instance_entry("s-1", goes.address, "draining")]
+                else [instance_entry("s-1", leaving.address, "draining")]
             )
-            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, reset, *rows))
+            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, reset, *entries))
             await sidecar.discovery.next_request()
             for _ in range(8):
                 client = await sidecar.client()
                 client.send()
-                (await stays.next_request()).reply()
+                (await remaining.next_request()).reply()
                 assert (await client.read_answer()).status == 200
-            assert goes.connections == 0
+            assert leaving.connections == 0
 
     run(test())
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_idle_connections_to_an_endpoint_that_is_gone_close(reset: bool) -> None:
+def test_idle_connections_to_a_removed_endpoint_are_closed(reset: bool) -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
             client = await sidecar.client()
             client.send()
             (await sidecar.endpoints[0].next_request()).reply()
             await client.read_answer()
-            begun = time.monotonic()
-            rows = [] if reset else [instance_entry("s-0", sidecar.endpoints[0].address, "gone")]
-            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, reset, *rows))
+            started_s = time.monotonic()
+            entries = [] if reset else [instance_entry("s-0", sidecar.endpoints[0].address, "gone")]
+            (await sidecar.discovery.next_request()).reply(200, discovery_response(2, reset, *entries))
             assert await sidecar.endpoints[0].disconnects.get() == 0
-            assert time.monotonic() - begun < 2.0  # long before it would have been closed as idle
+            assert time.monotonic() - started_s < 2.0  # long before it would have been closed as idle
 
     run(test())
 
 
-def test_drain_told_while_a_connection_comes_up_keeps_the_request_from_it() -> None:
+def test_endpoint_that_drains_during_connect_gets_no_request() -> None:
     async def test() -> None:
         async with Sidecar() as sidecar:
-            caller = Answers()
-            sidecar.host.accept_request(direct(caller))
+            caller = InProcessCaller()
+            sidecar.host.accept_request(request_from(caller))
             listed = parse_endpoint_list(
                 discovery_response(2, False, instance_entry("s-0", "127.0.0.1:1", "draining"))
             )
             sidecar.host.on_list(ListForm.DELTA, listed.entries)
-            assert await caller.all.get() == 503
+            assert await caller.statuses.get() == 503
             assert sidecar.endpoints[0].requests.empty()
 
     run(test())
 
 
-def test_start_of_an_endpoint_is_told_on_the_monotonic_clock() -> None:
+def test_start_time_of_an_endpoint_is_on_the_monotonic_clock() -> None:
     started_ms = time.time_ns() // 1_000_000 - 2000
     document = discovery_response(1, True, instance_entry("s-0", "127.0.0.1:80", started_ms=started_ms))
     first, second = (parse_endpoint_list(document).entries[0].endpoint for _ in range(2))
@@ -793,24 +799,24 @@
     assert parse_endpoint_list(long_ago).entries[0].endpoint.launched_us == 0
 
 
-def test_alarms_never_ring_early() -> None:
+def test_alarms_never_fire_early() -> None:
     async def test() -> None:
-        late: asyncio.Queue[int] = asyncio.Queue()
+        delays_us: asyncio.Queue[int] = asyncio.Queue()
         for i in range(200):
             due = now_us() + 137 * i
-            Alarm(due, lambda due=due: late.put_nowait(now_us() - due))  # type: ignore[misc]
-        assert min([await late.get() for _ in range(200)]) >= 0
+            Alarm(due, lambda due=due: delays_us.put_nowait(now_us() - due))  # type: ignore[misc]
+        assert min([await delays_us.get() for _ in range(200)]) >= 0
 
     run(test())
 
 
-def test_lag_of_the_loop_is_logged(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_event_loop_lag_is_logged(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         monkeypatch.setattr(program, "LAG_SAMPLE_INTERVAL_S", 0.01)
         monkeypatch.setattr(program, "LAG_LOG_INTERVAL_S", 0.02)
         watch = asyncio.create_task(program.watch_lag())
         await asyncio.sleep(0)
-        time.sleep(0.1)  # what a slow handler does to all requests
+        time.sleep(0.1)  # blocks the loop, as a slow handler would
         while not logs:
             await asyncio.sleep(0.01)
         watch.cancel()
@@ -844,13 +850,13 @@
         run(test())
 
 
-def test_log_is_bounded_lines_of_json_that_tell_what_was_dropped() -> None:
+def test_log_is_rate_limited_json_with_the_count_of_dropped_lines() -> None:
     second = iter([7.0] * 30 + [8.0])
-    bounded = RateLimiter(20, lambda: next(second))
+    limiter = RateLimiter(20, lambda: next(second))
     stream = io.StringIO()
     try:
         configure({"name": "n0", "tier": "one"}, Form.JSON, stream=stream)
-        structlog.configure(processors=[bounded, *structlog.get_config()["processors"][1:]])
+        structlog.configure(processors=[limiter, *structlog.get_config()["processors"][1:]])
         for i in range(31):
             structlog.get_logger().info("line", number=i)
     finally:
@@ -862,8 +868,11 @@
     assert all((line["name"], line["tier"], line["level"]) == ("n0", "one", "info") for line in lines)
 
 
-def test_what_is_over_is_freed_without_the_collector() -> None:
-    """Seen on a day of five minutes: memory rose to its end, for collections of the oldest never come."""
+def test_finished_requests_and_connections_are_freed_without_garbage_collection() -> None:
+    """Guards against reference cycles.
+
+    They made memory grow during a run of five minutes, in which the oldest generation is never collected.
+    """
 
     def alive() -> int:
         kinds = (calling.CallerConnection, upstream.Connection, Request)
@@ -877,9 +886,9 @@
             for _ in range(3):
                 client = await sidecar.client()
                 client.send()
-                asked = await sidecar.endpoints[0].next_request()
+                received = await sidecar.endpoints[0].next_request()
                 assert alive() >= before + 3  # the caller's connection, its request and the endpoint's
-                asked.reply(200, b"done", "Connection: close")
+                received.reply(200, b"done", "Connection: close")
                 assert (await client.read_answer()).status == 200
                 client.writer.close()
             while alive() > before:
@@ -892,21 +901,24 @@
         gc.enable()
 
 
-def test_callers_may_use_what_they_hold_for_a_while_after_sigterm(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Seen in a rolling restart: callers turned away at once had no other sidecar, and a third failed."""
+def test_callers_may_use_open_connections_for_a_while_after_sigterm(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against refusing callers as soon as a rolling restart begins.
+
+    They had no other sidecar then, and a third of them failed.
+    """
 
     async def test() -> None:
         monkeypatch.setattr(program, "DRAIN_MARGIN_S", 1000.0)
         async with Sidecar() as sidecar:
-            held = await sidecar.client()
-            assert await ready(held) == 200
+            open_client = await sidecar.client()
+            assert await ready(open_client) == 200
             drain = asyncio.create_task(program.drain(sidecar.server.lifecycle, sidecar.server, sidecar.host))
-            while await ready(held) == 200:
+            while await ready(open_client) == 200:
                 pass
             for _ in range(2):
-                held.send()
+                open_client.send()
                 (await sidecar.endpoints[0].next_request()).reply()
-                answer = await held.read_answer()
+                answer = await open_client.read_answer()
                 assert (answer.status, "connection" in answer.headers) == (200, False)
             drain.cancel()
 
@@ -928,37 +940,37 @@
         ({"settings": SETUP, "management": "nowhere"}, "management"),
     ],
 )
-def test_bad_configuration_ends_with_one_plain_line(
+def test_bad_configuration_exits_with_one_line_on_stderr(
     tmp_path: Path, changes: dict[str, Any], reason: str, status: int = 2
 ) -> None:
     process = start_process(tmp_path, changes)
-    _, said = process.communicate(timeout=20)
+    _, stderr = process.communicate(timeout=20)
     assert process.returncode == status
-    assert len(said.splitlines()) == 1
-    assert reason in said
+    assert len(stderr.splitlines()) == 1
+    assert reason in stderr
 
 
 @pytest.mark.parametrize("key", ["listen", "management"])
-def test_address_in_use_ends_with_one_plain_line(tmp_path: Path, key: str) -> None:
+def test_address_in_use_exits_with_one_line_on_stderr(tmp_path: Path, key: str) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = f"127.0.0.1:{taken.getsockname()[1]}"
-        test_bad_configuration_ends_with_one_plain_line(
+        test_bad_configuration_exits_with_one_line_on_stderr(
             tmp_path, {"settings": SETUP, key: address}, "address already in use", 1
         )
 
 
-def test_variable_stands_above_the_file_and_neither_means_no_listener(tmp_path: Path) -> None:
+def test_variable_overrides_the_file_and_neither_means_no_listener(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     document = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1", "settings": SETUP}
     path.write_text(json.dumps(document), encoding="utf-8")
     assert load({"GW_CONFIG": str(path)}).management is None
     path.write_text(json.dumps({**document, "management": "127.0.0.1:3"}), encoding="utf-8")
     assert load({"GW_CONFIG": str(path)}).management == Address("127.0.0.1", 3)
-    told = load({"GW_CONFIG": str(path), "GW_MANAGEMENT": "127.0.0.1:4"})
-    assert told.management == Address("127.0.0.1", 4)
+    overridden = load({"GW_CONFIG": str(path), "GW_MANAGEMENT": "127.0.0.1:4"})
+    assert overridden.management == Address("127.0.0.1", 4)
 
 
-def test_sigterm_answers_what_was_taken_still_accepts_and_exits_with_0(tmp_path: Path) -> None:
+def test_sigterm_answers_pending_requests_still_accepts_and_exits_with_0(tmp_path: Path) -> None:
     async def test() -> None:
         fake = await FakeServer().start()
         with socket.create_server(("127.0.0.1", 0)) as free:
@@ -974,13 +986,13 @@
             idle, busy = [Client(*await asyncio.open_connection(*address)) for _ in range(2)]
             assert await ready(idle) == 200
             busy.send()
-            asked = await fake.next_request()
+            received = await fake.next_request()
             process.send_signal(signal.SIGTERM)
             late = Client(*await asyncio.open_connection(*address))
             late.send()
             (await fake.next_request()).reply()
             assert (await late.read_answer()).status == 200
-            asked.reply()
+            received.reply()
             assert (await busy.read_answer()).status == 200
             for client in (idle, busy, late):
                 assert await client.reader.read() == b""
@@ -992,8 +1004,8 @@
     run(test())
 
 
-def test_sighup_moves_the_watch_to_the_new_address_and_ends_nothing(tmp_path: Path) -> None:
-    """TERMS: a reload names another discovery; a sidecar that ends on the signal has crashed."""
+def test_sighup_moves_polls_to_the_new_address_without_ending_the_process(tmp_path: Path) -> None:
+    """TERMS: a reload may change the discovery address; a sidecar that exits on the signal has crashed."""
 
     async def test() -> None:
         before, after = await FakeServer().start(), await FakeServer().start()
@@ -1006,15 +1018,15 @@
             )
             while '"serves"' not in await asyncio.to_thread(process.stderr.readline):
                 pass
-            asked = await before.next_request()
+            received = await before.next_request()
             path = tmp_path / "config.json"
-            whole = path.read_text(encoding="utf-8")
+            valid_document = path.read_text(encoding="utf-8")
             path.write_text("{", encoding="utf-8")
             process.send_signal(signal.SIGHUP)
             while "was not reloaded" not in await asyncio.to_thread(process.stderr.readline):
                 pass
-            path.write_text(whole.replace(before.address, after.address), encoding="utf-8")
-            asked.reply(200, discovery_response(41, True, instance_entry("s-0", "127.0.0.1:1")))
+            path.write_text(valid_document.replace(before.address, after.address), encoding="utf-8")
+            received.reply(200, discovery_response(41, True, instance_entry("s-0", "127.0.0.1:1")))
             await before.next_request()
             process.send_signal(signal.SIGHUP)
             moved = await after.next_request()
