--- a/eiderhub/scale/services.py
+++ b/eiderhub/scale/services.py
@@ -84,7 +84,7 @@
                 await asyncio.sleep(LOOK_S)
 
     async def status(self, wait_s: float = 2.0) -> api.StatusResponse:
-        """Raises Unanswered or Refused."""
+        """Raises NoReplyError or RequestRefusedError."""
         return decode_reply(await self.line.get(api.STATUS_PATH, {}, wait_s), api.StatusResponse)
 
     @property
--- a/eiderhub/scale/topology.py
+++ b/eiderhub/scale/topology.py
@@ -344,7 +344,7 @@
         return found
 
     async def statuses(self) -> dict[str, api.StatusResponse]:
-        """By role. Raises Unanswered or Refused."""
+        """By role. Raises NoReplyError or RequestRefusedError."""
         services = self.services
         asked = await asyncio.gather(*(service.status(30.0) for service in services))
         return {service.name: status for service, status in zip(services, asked, strict=True)}
