--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -77,14 +77,14 @@
     run(test())
 
 
-@pytest.mark.parametrize("persist", [True, False])
+@pytest.mark.parametrize("retry_forever", [True, False])
 def test_poll_without_response_is_retried_on_new_connection(
-    persist: bool, monkeypatch: pytest.MonkeyPatch
+    retry_forever: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(discovery, "RESPONSE_GRACE_S", 0.05)
 
     async def test() -> None:
-        async with WatcherFixture(persist, ask_interval_us=100_000) as watched:
+        async with WatcherFixture(retry_forever, ask_interval_us=100_000) as watched:
             silent = await watched.fake.next_request()
             again = await watched.fake.next_request()
             assert again.connection != silent.connection
