--- a/eiderhub/scale/hollow.py
+++ b/eiderhub/scale/hollow.py
@@ -48,7 +48,7 @@
 UP_MS = 3_600_000  # sidecars of the fill have been up for so long: they are warm
 log = structlog.get_logger()
 # What is counted of what client code says.
-LOST = "the list service does not have us; registering again"
+LOST = "the list service has no record of this endpoint; registering again"
 UNANSWERED = "the list service does not answer"
 UNRENEWED = f"{UNANSWERED} a registration"
 EMPTIED = "a list became empty"
--- a/tests/test_early_requests.py
+++ b/tests/test_early_requests.py
@@ -45,24 +45,24 @@
         self.headers[b"token-usage"] = b"40,60"
         self.client_address = "c"
         self.held_s = 0.0
-        self.gone = False
-        self.on_gone: Callable[[Any], None] | None = None
+        self.finished = False
+        self.on_disconnect: Callable[[Any], None] | None = None
         self.refused: list[tuple[ErrorKind, int]] = []
         self.answered: list[int] = []
 
     def refuse(self, kind: ErrorKind, retry_after_us: int) -> None:
         self.refused.append((kind, retry_after_us))
 
-    def answer(self, status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> None:
+    def respond(self, status: int, body: bytes = b"", *headers: tuple[bytes, bytes]) -> None:
         self.answered.append(status)
 
     def abort(self) -> None:
         raise AssertionError("the sidecar aborted the exchange")
 
     def disconnect(self) -> None:
-        self.gone = True
-        if self.on_gone is not None:
-            self.on_gone(self)
+        self.finished = True
+        if self.on_disconnect is not None:
+            self.on_disconnect(self)
 
 
 def serve_all(service: EdgeService, *requests: FakeExchange) -> None:
