--- a/eiderhub/cli/__init__.py
+++ b/eiderhub/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command `ottercleat`: one module a command, imported only when that command is called."""
+"""The command `ottercleat`: one module per subcommand, imported only when that subcommand is invoked."""
--- a/eiderhub/cli/__main__.py
+++ b/eiderhub/cli/__main__.py
@@ -1,4 +1,4 @@
-"""The command's root: which commands there are, and what becomes of their errors."""
+"""The root command: the list of subcommands, and how their errors become messages and exit statuses."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 from eiderhub.documents import DocumentError
 
-COMMANDS = {  # each in a module of its own, which is imported only when it is called
+COMMANDS = {  # each has a module of its own, imported only when the command is invoked
     "bench": "Measure parts of the program on this machine.",
-    "capacity": "Say what a fleet needs, from measured costs, and which budgets break.",
-    "config": "Check a configuration, show what it comes to, or print its schema.",
-    "ctl": "Call a sidecar as its operator.",
-    "demo": "Play a small deployment for some seconds, and say how it went.",
-    "emulate": "Keep a deployment up on loopback until stopped.",
+    "capacity": "Estimate what a fleet needs from measured costs, and report exceeded budgets.",
+    "config": "Check a configuration, show it with its defaults, or print its schema.",
+    "ctl": "Send an operator call to a sidecar.",
+    "demo": "Run a small emulated deployment for some seconds, and report the result.",
+    "emulate": "Run an emulated deployment on loopback until stopped.",
     "load": "Send open-loop traffic to a sidecar on loopback.",
-    "registry": "Run the list service, or ask and tell it.",
+    "registry": "Run the list service, query it, or change its records.",
     "run": "Run one sidecar.",
     "tier": "Run and operate the serving tier.",
-    "zone": "Take traffic from a zone, and give it back.",
+    "zone": "Drain traffic from a zone, and return it.",
 }
 
 
-class Lazy(click.Group):
-    """A group whose commands are known by name, and imported when they are needed."""
+class LazyGroup(click.Group):
+    """A command group that lists its commands by name and imports each one on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return sorted(COMMANDS)
@@ -56,26 +56,27 @@
 def version() -> str:
     try:
         return metadata.version("ottercleat")
-    except metadata.PackageNotFoundError:  # run from a checkout that is not installed
+    except metadata.PackageNotFoundError:  # run from a checkout without installation
         return "uninstalled"
 
 
 @click.group(
-    cls=Lazy, context_settings={"help_option_names": ["-h", "--help"], "auto_envvar_prefix": "OTTERCLEAT"}
+    cls=LazyGroup,
+    context_settings={"help_option_names": ["-h", "--help"], "auto_envvar_prefix": "OTTERCLEAT"},
 )
 @click.version_option(version(), prog_name="ottercleat")
 def cli() -> None:
-    """A load-balancing sidecar, and the means to know what it will do before it serves.
+    """A load-balancing sidecar, and tools to test and measure it before it takes traffic.
 
-    Exit status: 0 as wanted; 1 what was asked about does not hold; 2 wrong use or configuration.
+    Exit status: 0 success; 1 a check, rule, budget or call failed; 2 usage or configuration error.
     """
 
 
 def main() -> int:
     try:
         status = cli.main(prog_name="ottercleat", standalone_mode=False)
-    except click.exceptions.Exit as ended:
-        return ended.exit_code
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.ClickException as error:
         error.show()
         return 2
@@ -87,7 +88,8 @@
         print("ottercleat: interrupted", file=sys.stderr)
         return 1
     except BrokenPipeError:
-        # Whoever read our output has gone; the interpreter would complain once more when it flushes.
+        # The reader of standard output has closed it; without this the interpreter reports a second
+        # error when it flushes at exit.
         sys.stdout = None
         return 1
     except OSError as error:
--- a/eiderhub/cli/bench.py
+++ b/eiderhub/cli/bench.py
@@ -1,4 +1,4 @@
-"""`ottercleat bench`: what parts of the program cost, measured on this machine."""
+"""`ottercleat bench`: measures the cost of parts of the program on this machine."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from rich.table import Table
 
 from eiderhub.cli import costs, screen
-from eiderhub.cli.options import MOST_SEED
+from eiderhub.cli.options import MAX_SEED
 
 if TYPE_CHECKING:
     from eiderhub.scale.result import Result
@@ -28,20 +28,30 @@
     """Measure parts of the program on this machine."""
 
 
-for _each in (costs.relay, costs.decisions, costs.slopes):
-    command.add_command(_each)
+for _subcommand in (costs.relay, costs.decisions, costs.slopes):
+    command.add_command(_subcommand)
 
 
 @command.command()
 @click.option("--watchers", type=click.IntRange(1, 20_000), default=1000, show_default=True)
 @click.option("--records", type=click.IntRange(1, 50_000), default=3000, show_default=True)
-@click.option("--rate", type=click.FloatRange(1, 5000), default=100.0, show_default=True, help="Changes/s.")
+@click.option(
+    "--rate", type=click.FloatRange(1, 5000), default=100.0, show_default=True, help="Changes per second."
+)
 @click.option("--seconds", type=click.FloatRange(1, 600), default=10.0, show_default=True)
 @click.option(
-    "--entries", type=click.IntRange(1, 2_000_000), default=100_000, show_default=True, help="Of a log."
+    "--entries",
+    type=click.IntRange(1, 2_000_000),
+    default=100_000,
+    show_default=True,
+    help="Entries in the log.",
 )
 @click.option(
-    "--processes", type=click.IntRange(1, 64), default=4, show_default=True, help="That the watchers are in."
+    "--processes",
+    type=click.IntRange(1, 64),
+    default=4,
+    show_default=True,
+    help="Processes that run the watchers.",
 )
 @click.option("--json", "json_file", metavar="FILE", help="Write all figures there; - for standard output.")
 def registry(
@@ -53,13 +63,16 @@
     processes: int,
     json_file: str | None,
 ) -> int:
-    """The list service: changes to many watchers, synced writes, a storm of callers, a restart."""
+    """Measure the list service: changes to many watchers, synced writes, a burst of callers, a restart."""
     from eiderhub.scale.registry_bench import Bench
 
     screen.check_writable(json_file)
     bench = Bench(watchers, records, rate, seconds, entries, processes)
-    with screen.progress("registry") as tell, asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        result = runner.run(bench.run(tell))
+    with (
+        screen.progress("registry") as report_progress,
+        asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
+    ):
+        result = runner.run(bench.run(report_progress))
     document: dict[str, Any] = dataclasses.asdict(result)
     screen.write_json(json_file, document)
     table = Table(box=None, show_header=False, pad_edge=False)
@@ -73,11 +86,13 @@
 
 
 @command.command()
-@click.option("--fleet", "fleet_file", metavar="FILE", help="In place of the repository's deploy/fleet.toml.")
-@click.option("--hollow", type=int, default=250, show_default=True, help="Sidecars without a data path.")
-@click.option("--real", type=int, default=0, show_default=True, help="Real sidecar processes beside them.")
+@click.option("--fleet", "fleet_file", metavar="FILE", help="Fleet file to use instead of deploy/fleet.toml.")
 @click.option(
-    "--seconds", type=click.FloatRange(1, 3600), default=20.0, show_default=True, help="Of each phase."
+    "--hollow", type=int, default=250, show_default=True, help="Hollow sidecars, without a data path."
+)
+@click.option("--real", type=int, default=0, show_default=True, help="Real sidecar processes, in addition.")
+@click.option(
+    "--seconds", type=click.FloatRange(1, 3600), default=20.0, show_default=True, help="Length of each phase."
 )
 @click.option("--fault", type=click.Choice(FAULTS), default="none", show_default=True)
 @click.option(
@@ -85,11 +100,13 @@
     type=click.FloatRange(1, 600),
     default=60.0,
     show_default=True,
-    help="How long it lasts.",
+    help="Length of the fault.",
+)
+@click.option("--followers", type=click.IntRange(1, 64), help="Followers; by default one per region.")
+@click.option(
+    "--lease", "lease_s", type=click.FloatRange(0.5, 600), help="Lease in seconds, instead of the fleet's."
 )
-@click.option("--followers", type=click.IntRange(1, 64), help="In place of one for each region.")
-@click.option("--lease", "lease_s", type=click.FloatRange(0.5, 600), help="Seconds, in place of the fleet's.")
-@click.option("--seed", type=click.IntRange(0, MOST_SEED), default=1, show_default=True)
+@click.option("--seed", type=click.IntRange(0, MAX_SEED), default=1, show_default=True)
 @click.option("--json", "json_file", metavar="FILE", help="Write all figures there; - for standard output.")
 def scale(
     fleet_file: str | None,
@@ -103,11 +120,11 @@
     seed: int,
     json_file: str | None,
 ) -> int:
-    """The list service under many sidecars: hollow and real ones, in calm, under changes, in a fault.
+    """Measure the list service with many sidecars, hollow and real: idle, under changes, and during a fault.
 
-    A hollow sidecar is the real client code (watch, belief, registration, decisions) over real
-    connections; only the data path is left out. What does not fit into half of the machine's memory, its
-    descriptors and its ports is refused.
+    A hollow sidecar runs the real client code (watch, believed list, registration, decisions) over real
+    connections; only the data path is left out. A run is refused if it does not fit into half of the
+    machine's memory, its file descriptors and its ports.
     """
     from eiderhub.cli.capacity import read_fleet
     from eiderhub.http1 import NoReplyError
@@ -121,38 +138,38 @@
     path = Path(fleet_file) if fleet_file else DEFAULT_FLEET
     fleet = read_fleet(path)
     try:
-        asked = Asked(hollow, real, seed, lease_s, followers)
-        plan = admitted(fleet, asked, bears(), fault == "region-cut")
+        request = Asked(hollow, real, seed, lease_s, followers)
+        plan = admitted(fleet, request, bears(), fault == "region-cut")
     except TooLarge as error:
         raise click.ClickException(str(error)) from None
     run = Run(plan, seconds, seed, fleet.calls_per_s / fleet.endpoints, fault, fault_seconds)
     try:
-        with screen.progress("scale") as tell, asyncio.Runner(loop_factory=CountingLoop) as runner:
-            result = runner.run(run.run(tell, path.name, costs.revision(costs.own_root())))
+        with screen.progress("scale") as report_progress, asyncio.Runner(loop_factory=CountingLoop) as runner:
+            result = runner.run(run.run(report_progress, path.name, costs.revision(costs.own_checkout())))
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
     except (Ended, NoReplyError, RequestRefusedError, TimeoutError) as error:
         print(f"ottercleat: the run ended early: {str(error) or type(error).__name__}", file=sys.stderr)
         return 1
     screen.write_json(json_file, msgspec.to_builtins(result))
-    _show_scale(result, Console(stderr=json_file == "-"))
+    _print_scale_result(result, Console(stderr=json_file == "-"))
     return 0
 
 
-COLUMNS = ("phase", "role", "cpu s", "MB", "calls", "kB in", "kB out", "open", "peak")
+PHASE_COLUMNS = ("phase", "role", "cpu s", "MB", "calls", "kB in", "kB out", "open", "peak")
 
 
-def _show_scale(result: Result, console: Console) -> None:
-    """The phases, one below the other, and what a fault did."""
-    told = result.settings
+def _print_scale_result(result: Result, console: Console) -> None:
+    """Print one table row per phase and role, then the effects of the fault."""
+    settings = result.settings
     console.print(
-        f"{told.hollow} hollow and {told.real} real sidecars, {told.followers} followers, "
-        f"{told.services} services; filled in {result.fill_s:g} s; timers late by {result.late_ms:g} ms",
+        f"{settings.hollow} hollow and {settings.real} real sidecars, {settings.followers} followers, "
+        f"{settings.services} services; filled in {result.fill_s:g} s; timers late by {result.late_ms:g} ms",
         highlight=False,
     )
     table = Table(box=None, pad_edge=False, padding=(0, 1, 0, 0))
-    for column in COLUMNS:
-        table.add_column(column, justify="left" if column in COLUMNS[:2] else "right", no_wrap=True)
+    for column in PHASE_COLUMNS:
+        table.add_column(column, justify="left" if column in PHASE_COLUMNS[:2] else "right", no_wrap=True)
     for phase in result.phases:
         for name, role in phase.roles.items():
             counts = (
@@ -171,8 +188,8 @@
         line = f"{phase.name}: {phase.seconds:g} s, {phase.changes} changes, {phase.renewals} renewals, "
         line += f"{phase.watch_answers} answers with {phase.entries_told} entries"
         if phase.in_force_ms:
-            spread = (f"{name} {ms:g} ms" for name, ms in phase.in_force_ms.items())
-            line += f"; in force after {', '.join(spread)}"
+            delays = (f"{name} {ms:g} ms" for name, ms in phase.in_force_ms.items())
+            line += f"; in force after {', '.join(delays)}"
         console.print(line, highlight=False)
     if result.added is not None:
         added = result.added
@@ -189,5 +206,5 @@
         ]
         for line in lines:
             console.print(line, highlight=False, markup=False)
-    for doubt in result.in_doubt:
-        console.print(f"IN DOUBT: {doubt}", highlight=False, markup=False)
+    for warning in result.in_doubt:
+        console.print(f"IN DOUBT: {warning}", highlight=False, markup=False)
--- a/eiderhub/cli/costs.py
+++ b/eiderhub/cli/costs.py
@@ -1,4 +1,4 @@
-"""`ottercleat bench relay`, `decisions`, `slopes`: what calls and decisions cost, and lines through that."""
+"""`ottercleat bench relay`, `decisions`, `slopes`: cost of calls and decisions, and lines fitted to it."""
 
 from __future__ import annotations
 
@@ -17,21 +17,25 @@
 
 from eiderhub.cli import playing, screen
 
-MOST_SEED = 2**32 - 1
-MOST_SECONDS = 600.0
-MOST_SIZE = 100_000  # endpoints in a list
+MAX_SEED = 2**32 - 1
+MAX_SECONDS = 600.0
+MAX_LIST_SIZE = 100_000
 
 
 def revision(root: Path) -> str:
-    """Of the checkout at `root`; `+` where its package holds changes, `unknown` outside of git."""
+    """Git revision of the checkout at `root`.
+
+    `+` is appended if its package has uncommitted changes. The result is `unknown` if `root` is not the
+    top folder of a git checkout.
+    """
 
     def git(*arguments: str) -> str:
-        asked = ["git", "-C", str(root), *arguments]
-        return subprocess.run(asked, capture_output=True, text=True, check=True, timeout=10).stdout.strip()
+        command = ["git", "-C", str(root), *arguments]
+        return subprocess.run(command, capture_output=True, text=True, check=True, timeout=10).stdout.strip()
 
     try:
-        top = Path(git("rev-parse", "--show-toplevel")).resolve()
-        if top != root.resolve():
+        repository_root = Path(git("rev-parse", "--show-toplevel")).resolve()
+        if repository_root != root.resolve():
             return "unknown"
         dirty = git("status", "--porcelain", "--", "eiderhub")
         return git("rev-parse", "--short", "HEAD") + ("+" if dirty else "")
@@ -39,8 +43,8 @@
         return "unknown"
 
 
-def machine() -> str:
-    """The processor and how many of it; no names of hosts."""
+def machine_description() -> str:
+    """Processor model, core count and Python version; deliberately without the host name."""
     model = platform.machine()
     try:
         for line in Path("/proc/cpuinfo").read_text(encoding="utf-8").splitlines():
@@ -52,7 +56,7 @@
     return f"{model}, {os.cpu_count()} cores, Python {platform.python_version()}"
 
 
-def own_root() -> Path:
+def own_checkout() -> Path:
     return Path(__file__).resolve().parents[2]
 
 
@@ -62,25 +66,27 @@
     "rates",
     type=click.FloatRange(1, 5000),
     multiple=True,
-    help="Calls/s, each way; any number of times.  [default: 116, 400]",
+    help="Calls per second on each path; may be repeated.  [default: 116, 400]",
 )
-@click.option("--seconds", type=click.FloatRange(0.1, MOST_SECONDS), default=12.0, show_default=True)
+@click.option("--seconds", type=click.FloatRange(0.1, MAX_SECONDS), default=12.0, show_default=True)
 @click.option("--endpoints", type=click.IntRange(1, 500), default=8, show_default=True)
 @click.option(
     "--service-us",
     type=click.IntRange(0, 1_000_000),
     default=1000,
     show_default=True,
-    help="An endpoint's time for a call.",
+    help="Service time of an endpoint per call.",
 )
-@click.option("--seed", type=click.IntRange(0, MOST_SEED), default=1, show_default=True)
+@click.option("--seed", type=click.IntRange(0, MAX_SEED), default=1, show_default=True)
 @click.option(
     "--sidecar",
     type=click.Path(path_type=Path),
     metavar="DIR",
-    help="Measure the sidecar of the checkout there.",
+    help="Checkout whose sidecar is measured.",
+)
+@click.option(
+    "--revision", "named", metavar="TEXT", help="Name of that checkout's revision, if it is not in git."
 )
-@click.option("--revision", "named", metavar="TEXT", help="What that checkout is called, if not in git.")
 @click.option("--json", "json_file", metavar="FILE", help="Write all figures there; - for standard output.")
 def relay(
     rates: tuple[float, ...],
@@ -92,22 +98,24 @@
     named: str | None,
     json_file: str | None,
 ) -> int:
-    """A call through a sidecar, beside the same call through a bare relay and with nothing in between.
+    """Compare calls through a sidecar with the same calls through a plain relay and with direct ones.
 
-    Exit status 1 where a call through the sidecar was not served.
+    Exit status 1 if a call through the sidecar was not served.
     """
     from eiderhub.scale.path import PathError, RelayBench
 
     screen.check_writable(json_file)
     if sidecar is not None and not (sidecar / "eiderhub" / "sidecar" / "__main__.py").is_file():
-        raise click.UsageError(f"--sidecar {sidecar}: no checkout; name the folder that holds eiderhub/")
-    root = (sidecar or own_root()).resolve()
+        raise click.UsageError(f"--sidecar {sidecar}: not a checkout; name the folder that holds eiderhub/")
+    root = (sidecar or own_checkout()).resolve()
     bench = RelayBench(
         rates or (116.0, 400.0), seconds, seed, endpoints, service_us, root if sidecar else None
     )
-    with screen.progress("relay") as tell:
+    with screen.progress("relay") as report_progress:
         try:
-            result = playing.run(lambda: bench.run(tell, named or revision(root), machine()))
+            result = playing.run_cancellable(
+                lambda: bench.run(report_progress, named or revision(root), machine_description())
+            )
         except PathError as error:
             raise click.ClickException(str(error)) from None
     document: dict[str, Any] = msgspec.to_builtins(result)
@@ -128,31 +136,40 @@
     for step in document["steps"]:
         table.add_column(f"{step['rate']:g}/s", justify="right")
 
-    def row(name: str, values: list[object]) -> None:
+    def add_row(name: str, values: list[object]) -> None:
         table.add_row(name, *(f"{v:g}" if isinstance(v, float) else str(v) for v in values))
 
     steps = document["steps"]
-    for way in ("sidecar", "relay", "direct"):
-        row(f"{way}: sent", [step[way]["sent"] for step in steps])
-        row(f"{way}: refused, failed", [f"{step[way]['refused']}, {step[way]['failed']}" for step in steps])
+    for path_kind in ("sidecar", "relay", "direct"):
+        add_row(f"{path_kind}: sent", [step[path_kind]["sent"] for step in steps])
+        add_row(
+            f"{path_kind}: refused, failed",
+            [f"{step[path_kind]['refused']}, {step[path_kind]['failed']}" for step in steps],
+        )
         for name in ("p50_ms", "p99_ms", "p999_ms"):
-            row(f"{way}: {name[:-3]} ms", [(step[way]["times"] or {}).get(name, "-") for step in steps])
-        row(f"{way}: connections/1000 calls", [step["connections_per_1000"][way] for step in steps])
-    for over in ("direct", "relay"):
+            add_row(
+                f"{path_kind}: {name[:-3]} ms",
+                [(step[path_kind]["times"] or {}).get(name, "-") for step in steps],
+            )
+        add_row(
+            f"{path_kind}: connections/1000 calls",
+            [step["connections_per_1000"][path_kind] for step in steps],
+        )
+    for baseline in ("direct", "relay"):
         for name in ("p50_ms", "p99_ms", "p999_ms"):
-            row(
-                f"added over {over}: {name[:-3]} ms",
-                [(step[f"over_{over}"] or {}).get(name, "-") for step in steps],
+            add_row(
+                f"added over {baseline}: {name[:-3]} ms",
+                [(step[f"over_{baseline}"] or {}).get(name, "-") for step in steps],
             )
-    row("sidecar: us of CPU a call", [step["sidecar_cpu_us_per_call"] for step in steps])
-    row("relay: us of CPU a call", [step["relay_cpu_us_per_call"] for step in steps])
-    row("callers late by p99 ms", [step["late"]["p99_ms"] for step in steps])
-    row("endpoints late by p99 ms", [step["endpoints_late_p99_ms"] for step in steps])
+    add_row("sidecar: us of CPU a call", [step["sidecar_cpu_us_per_call"] for step in steps])
+    add_row("relay: us of CPU a call", [step["relay_cpu_us_per_call"] for step in steps])
+    add_row("callers late by p99 ms", [step["late"]["p99_ms"] for step in steps])
+    add_row("endpoints late by p99 ms", [step["endpoints_late_p99_ms"] for step in steps])
     return table
 
 
 class SizesType(click.ParamType[list[int]]):
-    """N,N,..., rising or not; each once."""
+    """Comma-separated list sizes N,N,... in any order; duplicates are dropped."""
 
     name = "sizes"
 
@@ -160,56 +177,66 @@
         if isinstance(value, list):
             return value
         try:
-            found = sorted({int(piece) for piece in str(value).split(",")})
+            sizes = sorted({int(piece) for piece in str(value).split(",")})
         except ValueError:
-            found = [0]
-        if not 1 <= found[0] <= found[-1] <= MOST_SIZE:
-            why = f"{value!r} are no sizes; give whole numbers of 1 to {MOST_SIZE}, such as 15,150"
-            self.fail(why, param, ctx)
-        return found
+            sizes = [0]
+        if not 1 <= sizes[0] <= sizes[-1] <= MAX_LIST_SIZE:
+            reason = f"{value!r}: not a list of sizes; give integers of 1 to {MAX_LIST_SIZE}, such as 15,150"
+            self.fail(reason, param, ctx)
+        return sizes
 
 
 @click.command()
 @click.option(
-    "--sizes", type=SizesType(), default="15,150,1500,15000", show_default=True, help="Endpoints in a list."
+    "--sizes",
+    type=SizesType(),
+    default="15,150,1500,15000",
+    show_default=True,
+    help="List lengths, in endpoints.",
 )
 @click.option("--repeats", type=click.IntRange(1, 100), default=3, show_default=True)
 @click.option(
-    "--callers", type=click.IntRange(1, 1_000_000), help="Sidecars that follow the list.  [default: as many]"
+    "--callers",
+    type=click.IntRange(1, 1_000_000),
+    help="Sidecars that follow the list.  [default: as many as endpoints]",
 )
-@click.option("--seed", type=click.IntRange(0, MOST_SEED), default=1, show_default=True)
+@click.option("--seed", type=click.IntRange(0, MAX_SEED), default=1, show_default=True)
 @click.option("--json", "json_file", metavar="FILE", help="Write all figures there; - for standard output.")
 def decisions(sizes: list[int], repeats: int, callers: int | None, seed: int, json_file: str | None) -> int:
-    """What deciding costs, by the length of a list; and what a sidecar with such a list occupies.
+    """Measure the cost of decisions and the memory of a sidecar, by the length of the list.
 
-    Exit status 1 where a call found no room: the figures are of something else then.
+    Exit status 1 if a call found no room: the figures then do not measure normal decisions.
     """
-    from eiderhub.scale import decisions as costs
+    from eiderhub.scale import decisions as decision_costs
     from eiderhub.scale.path import PathError
 
     screen.check_writable(json_file)
-    with screen.progress("decisions") as tell:
-        samples = costs.run(sizes, repeats, callers, seed, lambda part, text: tell(part / 2, text))
+    with screen.progress("decisions") as report_progress:
+        samples = decision_costs.run(
+            sizes, repeats, callers, seed, lambda fraction, text: report_progress(fraction / 2, text)
+        )
         try:
-            held = playing.run(
-                lambda: costs.memory(sizes, seed, lambda part, text: tell(0.5 + part / 2, text))
+            memory_samples = playing.run_cancellable(
+                lambda: decision_costs.memory(
+                    sizes, seed, lambda fraction, text: report_progress(0.5 + fraction / 2, text)
+                )
             )
         except PathError as error:
             raise click.ClickException(str(error)) from None
     settings: dict[str, float | int | str] = {
         "callers": callers or "as many as endpoints",
-        "zones": len(costs.ZONES),
+        "zones": len(decision_costs.ZONES),
         "seed": seed,
         "repeats": repeats,
-        "calls_per_s": costs.INSTANTS_PER_S * costs.CALLS,
+        "calls_per_s": decision_costs.INSTANTS_PER_S * decision_costs.CALLS,
     }
-    result = costs.DecisionsResult(
-        revision=revision(own_root()),
-        machine=machine(),
+    result = decision_costs.DecisionsResult(
+        revision=revision(own_checkout()),
+        machine=machine_description(),
         measured=time.strftime("%Y-%m-%d"),
         settings=settings,
         samples=samples,
-        memory=held,
+        memory=memory_samples,
     )
     screen.write_json(json_file, msgspec.to_builtins(result))
     table = Table(box=None, pad_edge=False)
@@ -217,13 +244,13 @@
     for name in names:
         table.add_column(name, justify="right")
     for size in sizes:
-        own = [each for each in samples if each.size == size]
+        size_samples = [each for each in samples if each.size == size]
         figures = [
-            [getattr(each, name) for each in own]
+            [getattr(each, name) for each in size_samples]
             for name in ("order_us", "delta_us", "whole_list_us", "timers_us", "bytes_per_endpoint")
         ]
-        mb = next(each.mb for each in held if each.size == size)
-        table.add_row(str(size), *(_spread(values) for values in figures), f"{mb:g}")
+        memory_mb = next(each.mb for each in memory_samples if each.size == size)
+        table.add_row(str(size), *(_format_median_and_spread(values) for values in figures), f"{memory_mb:g}")
     console = Console(stderr=json_file == "-")
     console.print(table, highlight=False)
     refused = sum(each.refused for each in samples)
@@ -232,8 +259,8 @@
     return 1 if refused else 0
 
 
-def _spread(values: list[float]) -> str:
-    """The median, and half of what lies between the least and the most, as a share of it."""
+def _format_median_and_spread(values: list[float]) -> str:
+    """The median, and half of the range from minimum to maximum as a percentage of the median."""
     median = statistics.median(values)
     return f"{median:.4g} ±{(max(values) - min(values)) / 2 / median:.0%}" if median else f"{median:.4g}"
 
@@ -241,12 +268,21 @@
 @click.command()
 @click.argument("results", metavar="RESULT.json...", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("-o", "--output", metavar="FILE", help="Write the slopes there; - for standard output.")
-@click.option("--rate", type=click.FloatRange(1, 5000), default=116.0, show_default=True, help="The fleet's.")
 @click.option(
-    "--predict", type=click.IntRange(1, 10_000_000), metavar="N", help="What a run of N watchers comes to."
+    "--rate",
+    type=click.FloatRange(1, 5000),
+    default=116.0,
+    show_default=True,
+    help="Calls per second of the fleet.",
+)
+@click.option(
+    "--predict", type=click.IntRange(1, 10_000_000), metavar="N", help="Predict a run with N watchers."
 )
 @click.option(
-    "--outcome", type=click.Path(path_type=Path), metavar="FILE", help="That run's result, to put beside it."
+    "--outcome",
+    type=click.Path(path_type=Path),
+    metavar="FILE",
+    help="Measured result of that run, for comparison.",
 )
 def slopes(
     results: tuple[Path, ...],
@@ -255,49 +291,51 @@
     predict: int | None,
     outcome: Path | None,
 ) -> int:
-    """Lines through results of `bench scale`, `relay` and `decisions`, for `ottercleat capacity`."""
+    """Fit lines to results of `bench scale`, `relay` and `decisions`, for `ottercleat capacity`."""
     from eiderhub.scale import fit
 
     screen.check_writable(output)
-    lines = fit.Fit(fit.read(results), rate)
+    fitted = fit.Fit(fit.read(results), rate)
     console = Console(stderr=output == "-")
     try:
         if outcome is not None:
-            found = fit.read([outcome]).scale
-            if not found:
+            outcome_runs = fit.read([outcome]).scale
+            if not outcome_runs:
                 raise click.UsageError(f"--outcome {outcome}: no result of `ottercleat bench scale`")
-            run = next(iter(found.values()))
+            run = next(iter(outcome_runs.values()))
             if predict not in (None, run.watchers):
-                why = f"a run of {run.watchers} watchers, not {predict}"
-                raise click.UsageError(f"--outcome {outcome}: {why}")
+                reason = f"a run of {run.watchers} watchers, not {predict}"
+                raise click.UsageError(f"--outcome {outcome}: {reason}")
             if any(path.resolve() == outcome.resolve() for path in results):
-                why = "it is one of the results; leave it out of them"
-                raise click.UsageError(f"--outcome {outcome}: {why}")
-            _predicted(console, lines.predict(run.watchers), run.watchers, fit.outcome(run))
+                reason = "it is one of the results; leave it out of them"
+                raise click.UsageError(f"--outcome {outcome}: {reason}")
+            _print_prediction(console, fitted.predict(run.watchers), run.watchers, fit.outcome(run))
         elif predict is not None:
-            _predicted(console, lines.predict(predict), predict, {})
+            _print_prediction(console, fitted.predict(predict), predict, {})
         if output is not None or (predict is None and outcome is None):
-            document = lines.slopes()
+            document = fitted.slopes()
             screen.write_json(output, msgspec.to_builtins(document))
             if output != "-":
                 console.print(_slopes_table(msgspec.to_builtins(document)), highlight=False)
     except fit.FitError as error:
         raise click.UsageError(str(error)) from None
-    for note in lines.notes:
+    for note in fitted.notes:
         click.echo(f"ottercleat: {note}", err=True)
     return 0
 
 
-def _predicted(console: Console, told: dict[str, float], watchers: int, came: dict[str, float]) -> None:
+def _print_prediction(
+    console: Console, predictions: dict[str, float], watchers: int, measured: dict[str, float]
+) -> None:
     table = Table(box=None, pad_edge=False)
     table.add_column(f"{watchers} watchers")
-    for name in ("predicted", "outcome", "outcome / predicted") if came else ("predicted",):
+    for name in ("predicted", "outcome", "outcome / predicted") if measured else ("predicted",):
         table.add_column(name, justify="right")
-    for name, value in told.items():
+    for name, value in predictions.items():
         cells = [f"{value:.4g}"]
-        if came:
-            cells.append(f"{came[name]:.4g}" if name in came else "-")
-            cells.append(f"{came[name] / value:.3f}" if name in came and value else "-")
+        if measured:
+            cells.append(f"{measured[name]:.4g}" if name in measured else "-")
+            cells.append(f"{measured[name] / value:.3f}" if name in measured and value else "-")
         table.add_row(name, *cells)
     console.print(table, highlight=False)
 
--- a/eiderhub/cli/ctl.py
+++ b/eiderhub/cli/ctl.py
@@ -1,4 +1,4 @@
-"""`ottercleat ctl`: the operators' calls."""
+"""`ottercleat ctl`: sends operator calls to a sidecar."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from eiderhub.cli.options import AddressType
 from eiderhub.emulator import operators
 
-CALLS = ("status", "stats", "standby", "active")
+OPERATOR_CALLS = ("status", "stats", "standby", "active")
 
 
 @click.command("ctl")
 @click.argument("address", type=AddressType())
-@click.argument("call", type=click.Choice(CALLS))
+@click.argument("call", type=click.Choice(OPERATOR_CALLS))
 @click.option(
     "--wait",
     "wait_s",
     type=click.FloatRange(0.05, 60),
     default=2.0,
     show_default=True,
-    help="Seconds for an answer.",
+    help="Seconds to wait for an answer.",
 )
 def command(address: tuple[str, int], call: str, wait_s: float) -> int:
-    """Call the sidecar whose management ADDRESS this is: status, stats, standby or active.
+    """Call the sidecar at management address ADDRESS: status, stats, standby or active.
 
-    Exit status 0 where it answers OK, 1 where it answers ERR or not at all.
+    Exit status 0 if it answers OK, 1 if it answers ERR or not at all.
     """
     host, port = address
     try:
--- a/eiderhub/cli/demo.py
+++ b/eiderhub/cli/demo.py
@@ -1,4 +1,4 @@
-"""`ottercleat demo`: a deployment, some seconds of traffic and trouble, and a table."""
+"""`ottercleat demo`: runs an emulated deployment with traffic and faults, and prints a table of results."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from rich.console import Console
 
 from eiderhub.cli import playing, screen
-from eiderhub.cli.options import MOST_SECONDS, of_a_day
+from eiderhub.cli.options import MAX_SECONDS, deployment_options
 from eiderhub.emulator.deployment import DeploymentError
 from eiderhub.world import scenario as scenarios
 from eiderhub.world.day import draw
@@ -17,15 +17,15 @@
 
 @click.command("demo")
 @click.option(
-    "--scenario", default="demo", show_default=True, help="A scenario's name, or the path of its file."
+    "--scenario", default="demo", show_default=True, help="Name of a scenario, or path of its file."
 )
 @click.option(
     "--seconds",
-    type=click.FloatRange(0, MOST_SECONDS, min_open=True),
-    help="Length of the day, instead of the scenario's.",
+    type=click.FloatRange(0, MAX_SECONDS, min_open=True),
+    help="Length of the run, instead of the scenario's.",
 )
-@of_a_day
-@click.option("--list", "listed", is_flag=True, help="List the scenarios that come with the package.")
+@deployment_options
+@click.option("--list", "listed", is_flag=True, help="List the bundled scenarios.")
 def command(
     scenario: str,
     seconds: float | None,
@@ -36,10 +36,10 @@
     real_lists: bool,
     listed: bool,
 ) -> int:
-    """Play a deployment on loopback and print what came of it.
+    """Run an emulated deployment on loopback and print the result.
 
-    Real sidecar processes stand in front of endpoints, discovery and clients that the emulator plays. Exit
-    status 0 means that the four rules held, 1 that one was broken, or that the run ended early.
+    The sidecars are real processes; the emulator provides endpoints, discovery and clients. Exit status 0
+    means that the four rules held, 1 that one was broken or that the run ended early.
     """
     if listed:
         for name in scenarios.shipped():
@@ -49,14 +49,16 @@
     day = draw(scenarios.load(scenario), seed, Path(scenario).stem)
     if seconds is not None:
         day = dataclasses.replace(day, length_us=int(seconds * 1e6))
-    out = Console(stderr=json_file == "-")
+    console = Console(stderr=json_file == "-")
     try:
-        result, interrupted = playing.run(lambda: playing.play(day, playing.split(command), logs, real_lists))
-    except DeploymentError as error:  # it never began
-        screen.show_crash(str(error), error.tail, Console(stderr=True))
+        result, interrupted = playing.run_cancellable(
+            lambda: playing.run_scenario(day, playing.split_command(command), logs, real_lists)
+        )
+    except DeploymentError as error:  # the run did not start
+        screen.print_crash(str(error), error.tail, Console(stderr=True))
         return 1
     screen.write_json(json_file, result.document())
-    screen.show_result(result, out)
+    screen.print_result(result, console)
     if interrupted:
-        click.echo("ottercleat: interrupted; the figures are of what had ended by then", err=True)
+        click.echo("ottercleat: interrupted; the figures cover only what had ended by then", err=True)
     return 0 if result.held and not interrupted else 1
--- a/eiderhub/cli/options.py
+++ b/eiderhub/cli/options.py
@@ -1,4 +1,4 @@
-"""Options and types of arguments that several commands share."""
+"""Options and argument types that several commands share."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 F = TypeVar("F", bound=Callable[..., Any])
 
-MOST_SECONDS = 3600
-MOST_SEED = 2**32 - 1
+MAX_SECONDS = 3600
+MAX_SEED = 2**32 - 1
 
 
 class AddressType(click.ParamType[Address]):
-    """An address:port."""
+    """An address and port, written address:port."""
 
     name = "address"
 
@@ -29,29 +29,36 @@
         except ValueError:
             address = Address("", 0)
         if not address.port:
-            self.fail(f"{value!r} is no address:port, such as {ADDRESS_EXAMPLE}", param, ctx)
+            self.fail(f"{value!r} is not an address:port, such as {ADDRESS_EXAMPLE}", param, ctx)
         return address
 
 
-IN_SERVICE = click.option("--service", default="default", show_default=True, help="Whose endpoints.")
-JSON = click.option("--json", "as_json", is_flag=True, help="Print what the service answered, as JSON.")
+SERVICE_OPTION = click.option(
+    "--service", default="default", show_default=True, help="Service whose endpoints are meant."
+)
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="Print the service's answer as JSON.")
 
 
-def of_a_day(function: F) -> F:
-    """The options of commands that start a deployment."""
+def deployment_options(function: F) -> F:
+    """Add the options of commands that start an emulated deployment."""
     for option in (
         click.option(
-            "--registry", "real_lists", is_flag=True, help="The real list service, in place of the stand-in."
+            "--registry",
+            "real_lists",
+            is_flag=True,
+            help="Use the real list service instead of the emulated one.",
         ),
-        click.option("--command", help="What starts a sidecar, instead of this build."),
+        click.option("--command", help="Command that starts a sidecar, instead of this build."),
         click.option(
-            "--logs", type=click.Path(file_okay=False, path_type=Path), help="Keep the sidecars' logs there."
+            "--logs",
+            type=click.Path(file_okay=False, path_type=Path),
+            help="Folder in which the sidecars' logs are kept.",
         ),
         click.option(
             "--json", "json_file", metavar="FILE", help="Write all figures there; - for standard output."
         ),
         click.option(
-            "--seed", type=click.IntRange(0, MOST_SEED), default=1, show_default=True, help="The day's seed."
+            "--seed", type=click.IntRange(0, MAX_SEED), default=1, show_default=True, help="Seed of the run."
         ),
     ):
         function = option(function)
--- a/eiderhub/cli/playing.py
+++ b/eiderhub/cli/playing.py
@@ -1,4 +1,4 @@
-"""Plays a day with progress, and ends it in good order on Ctrl-C."""
+"""Runs an emulated scenario with a progress display, and shuts it down cleanly on Ctrl-C."""
 
 from __future__ import annotations
 
@@ -19,47 +19,51 @@
 T = TypeVar("T")
 
 
-def run(main: Callable[[], Coroutine[Any, Any, T]]) -> T:
-    """Run on uvloop. Ctrl-C or SIGTERM cancels the work, once: what then ends it must not be cut short.
+def run_cancellable(main: Callable[[], Coroutine[Any, Any, T]]) -> T:
+    """Run a coroutine on uvloop; the first Ctrl-C or SIGTERM cancels it.
+
+    Only the first one does, so that the clean-up that follows is not interrupted.
 
     Raises:
-        KeyboardInterrupt: where the work had nothing to show for itself yet.
+        KeyboardInterrupt: the coroutine was cancelled before it had a result.
     """
 
-    async def begin() -> T:
+    async def start() -> T:
         end_on_signals()
         return await main()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         try:
-            return runner.run(begin())
+            return runner.run(start())
         except asyncio.CancelledError:
             raise KeyboardInterrupt from None
 
 
-def split(command: str | None) -> list[str] | None:
+def split_command(command: str | None) -> list[str] | None:
     return shlex.split(command) if command else None
 
 
-def said(outside: Outside) -> str:
+def progress_text(outside: Outside) -> str:
     return f"{outside.ended} ended, {outside.served} served, {len(outside.open)} open"
 
 
-async def play(
+async def run_scenario(
     day: Day, command: list[str] | None, logs: Path | None, real_lists: bool = False
 ) -> tuple[Result, bool]:
-    """One day, from start to end; what was measured, and whether it was interrupted."""
+    """Run one scenario to its end; returns the result, and whether the run was interrupted."""
     interrupted = False
-    failed: DeploymentError | None = None
+    failure: DeploymentError | None = None
     deployment = Deployment(day, command, logs, real_lists=real_lists)
-    with progress(day.name) as tell:
-        tell(0.0, f"starting {len(day.posts)} sidecars")
+    with progress(day.name) as report_progress:
+        report_progress(0.0, f"starting {len(day.posts)} sidecars")
         async with deployment:
             try:
-                await deployment.play(lambda part, outside: tell(part, said(outside)))
+                await deployment.play(
+                    lambda fraction, outside: report_progress(fraction, progress_text(outside))
+                )
             except DeploymentError as error:
-                failed = error
+                failure = error
             except asyncio.CancelledError:
                 interrupted = True
-            result = deployment.result(failed)
+            result = deployment.result(failure)
     return result, interrupted
--- a/eiderhub/cli/registry.py
+++ b/eiderhub/cli/registry.py
@@ -1,4 +1,4 @@
-"""`ottercleat registry`: runs the list service, asks it, and tells it."""
+"""`ottercleat registry`: runs the list service, queries it, and changes its records."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from rich.table import Table
 
 from eiderhub.address import Address
-from eiderhub.cli.options import IN_SERVICE, JSON, AddressType
-from eiderhub.cli.service import ask, checked
+from eiderhub.cli.options import JSON_OPTION, SERVICE_OPTION, AddressType
+from eiderhub.cli.service import call_service, convert_arguments
 from eiderhub.registry import api
 from eiderhub.registry.client import ListReply, ListWatch, RegistryClient, decode_reply, fetch_list
 from eiderhub.registry.field_types import MAX_LEASE_MS
@@ -31,17 +31,19 @@
     from eiderhub.registry.store import Contents
 
 T = TypeVar("T")
-MOST_LEASE_S = MAX_LEASE_MS / 1000
+MAX_LEASE_S = MAX_LEASE_MS / 1000
 
 
 @click.group("registry")
 def command() -> None:
-    """Run the list service, or ask and tell it: which endpoints there are, and what becomes of them."""
+    """Run the list service, query its endpoint lists, or add, drain and remove endpoints."""
 
 
-ADDRESS = click.argument("address", type=AddressType())
-IN_TIER = click.option("--tier", default="default", show_default=True, help="Of which tier.")
-AT = click.option("--if-version", type=click.IntRange(0), help="Only if the record is still at this version.")
+ADDRESS_ARGUMENT = click.argument("address", type=AddressType())
+TIER_OPTION = click.option("--tier", default="default", show_default=True, help="Tier of the service.")
+IF_VERSION_OPTION = click.option(
+    "--if-version", type=click.IntRange(0), help="Apply only if the record is still at this version."
+)
 
 
 @command.command()
@@ -65,92 +67,94 @@
     return 0
 
 
-def _rows(entries: list[Entry]) -> Table:
+def _entries_table(entries: list[Entry]) -> Table:
     table = Table(box=None, pad_edge=False)
     for column in ("id", "address", "zone", "kind", "lifecycle", "weight", "started"):
         table.add_column(column, overflow="fold")
-    for e in sorted(entries, key=lambda entry: entry.instance_id):
+    for entry in sorted(entries, key=lambda each: each.instance_id):
         started = "-"
-        if e.started_at_ms:
-            started = time.strftime("%F %T", time.localtime(e.started_at_ms / 1000))
+        if entry.started_at_ms:
+            started = time.strftime("%F %T", time.localtime(entry.started_at_ms / 1000))
         row = (
-            e.instance_id,
-            e.host_port,
-            e.zone,
-            e.machine_type,
-            e.lifecycle.value,
-            f"{e.weight:g}",
+            entry.instance_id,
+            entry.host_port,
+            entry.zone,
+            entry.machine_type,
+            entry.lifecycle.value,
+            f"{entry.weight:g}",
             started,
         )
         table.add_row(*row)
     return table
 
 
-def _follow(address: Address, service: str, tier: str, view: str) -> FollowSettings:
-    told = {"addresses": [str(address)], "service": service, "tier": tier, "view": view}
-    return checked(told, FollowSettings)
+def _follow_settings(address: Address, service: str, tier: str, view: str) -> FollowSettings:
+    arguments = {"addresses": [str(address)], "service": service, "tier": tier, "view": view}
+    return convert_arguments(arguments, FollowSettings)
 
 
-def _document(answer: ListReply) -> dict[str, Any]:
-    claim = answer.list_answer
+def _list_document(answer: ListReply) -> dict[str, Any]:
+    list_answer = answer.list_answer
     return {
-        "generation": claim.version,
-        "reset": claim.is_full,
-        "identity": claim.identity,
-        "branch": claim.branch,
+        "generation": list_answer.version,
+        "reset": list_answer.is_full,
+        "identity": list_answer.identity,
+        "branch": list_answer.branch,
         "ageMs": answer.age_ms,
-        "instances": msgspec.to_builtins(claim.entries),
+        "instances": msgspec.to_builtins(list_answer.entries),
     }
 
 
 @command.command("list")
-@ADDRESS
-@IN_SERVICE
-@IN_TIER
-@click.option("--view", default="", help="Addresses as seen in this network.")
-@JSON
+@ADDRESS_ARGUMENT
+@SERVICE_OPTION
+@TIER_OPTION
+@click.option("--view", default="", help="Network from which the addresses are seen.")
+@JSON_OPTION
 def list_(address: Address, service: str, tier: str, view: str, as_json: bool) -> int:
     """Print the endpoints of a tier."""
-    follow = _follow(address, service, tier, view)
-    answer = ask(address, lambda line: fetch_list(line, follow))
+    follow = _follow_settings(address, service, tier, view)
+    answer = call_service(address, lambda client: fetch_list(client, follow))
     if as_json:
-        click.echo(json.dumps(_document(answer), indent=2))
+        click.echo(json.dumps(_list_document(answer), indent=2))
         return 0
-    old = f", at most {answer.age_ms / 1000:.1f} s old" if answer.age_ms else ""
+    age_text = f", at most {answer.age_ms / 1000:.1f} s old" if answer.age_ms else ""
     count = len(answer.list_answer.entries)
-    click.echo(f"{service}/{tier}: {count} endpoints at version {answer.list_answer.version}{old}", err=True)
+    click.echo(
+        f"{service}/{tier}: {count} endpoints at version {answer.list_answer.version}{age_text}", err=True
+    )
     if count:
-        Console().print(_rows(list(answer.list_answer.entries)), highlight=False)
+        Console().print(_entries_table(list(answer.list_answer.entries)), highlight=False)
     return 0
 
 
 @command.command()
-@ADDRESS
-@IN_SERVICE
-@IN_TIER
-@click.option("--view", default="", help="Addresses as seen in this network.")
-@click.option("--json", "as_json", is_flag=True, help="One JSON object a change.")
-@click.option("--seconds", type=click.FloatRange(0, min_open=True), help="End after so long.")
+@ADDRESS_ARGUMENT
+@SERVICE_OPTION
+@TIER_OPTION
+@click.option("--view", default="", help="Network from which the addresses are seen.")
+@click.option("--json", "as_json", is_flag=True, help="Print one JSON object per change.")
+@click.option("--seconds", type=click.FloatRange(0, min_open=True), help="Stop after this many seconds.")
 def watch(address: Address, service: str, tier: str, view: str, as_json: bool, seconds: float | None) -> int:
-    """Print each change as it comes, through outages of the service, until Ctrl-C."""
-    follow = _follow(address, service, tier, view)
+    """Print each change as it arrives, until Ctrl-C; continues across outages of the service."""
+    follow = _follow_settings(address, service, tier, view)
 
-    configure({})  # what it says about outages goes to standard error
+    configure({})  # messages about outages go to standard error
 
-    async def watched() -> None:
-        watching = ListWatch(follow, lambda verdict: _changed(list(verdict.entries), as_json))
-        watching.start()
+    async def watch_list() -> None:
+        list_watch = ListWatch(follow, lambda verdict: _print_changes(list(verdict.entries), as_json))
+        list_watch.start()
         try:
             await asyncio.sleep(seconds if seconds is not None else float("inf"))
         finally:
-            watching.stop()
+            list_watch.stop()
 
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(watched())
+        asyncio.run(watch_list())
     return 0
 
 
-def _changed(entries: list[Entry], as_json: bool) -> None:
+def _print_changes(entries: list[Entry], as_json: bool) -> None:
     for entry in entries:
         if as_json:
             click.echo(msgspec.json.encode(entry).decode())
@@ -161,17 +165,19 @@
 
 
 @command.command()
-@ADDRESS
+@ADDRESS_ARGUMENT
 @click.argument("id_", metavar="ID")
 @click.argument("host_port", metavar="HOST:PORT")
-@IN_SERVICE
-@IN_TIER
+@SERVICE_OPTION
+@TIER_OPTION
 @click.option("--zone", default="")
-@click.option("--kind", default="", help="Its kind of machine.")
+@click.option("--kind", default="", help="Machine type of the endpoint.")
 @click.option("--cell", type=int, default=0)
 @click.option("--weight", type=float, default=1.0, show_default=True)
-@click.option("--lease", type=click.FloatRange(0.5, MOST_LEASE_S), help="Seconds; kept up until Ctrl-C.")
-@AT
+@click.option(
+    "--lease", type=click.FloatRange(0.5, MAX_LEASE_S), help="Lease in seconds; renewed until Ctrl-C."
+)
+@IF_VERSION_OPTION
 def put(
     address: Address,
     id_: str,
@@ -185,7 +191,7 @@
     lease: float | None,
     if_version: int | None,
 ) -> int:
-    """Put a record. Without --lease it stays until it is removed; with one, for as long as this runs."""
+    """Put a record. Without --lease it stays until removed; with --lease, while this command runs."""
     entry: dict[str, Any] = {
         "instance_id": id_,
         "host_port": host_port,
@@ -194,28 +200,28 @@
         "cell": cell,
         "weight": weight,
     }
-    told: dict[str, Any] = {"service": service, "tier": tier, "entry": entry}
+    arguments: dict[str, Any] = {"service": service, "tier": tier, "entry": entry}
     if lease is not None:
         entry["started_at_ms"] = time.time_ns() // 1_000_000
-        told |= {"owner": secrets.token_hex(8), "lease_ms": int(lease * 1000)}
-    record = checked(told, Record)
-    call = api.PutRequest(record=record, if_version=if_version)
-    done = ask(address, lambda line: line.post(api.PUT_PATH, call, api.WriteResponse))
-    click.echo(f"{id_}: version {done.version}")
+        arguments |= {"owner": secrets.token_hex(8), "lease_ms": int(lease * 1000)}
+    record = convert_arguments(arguments, Record)
+    request = api.PutRequest(record=record, if_version=if_version)
+    response = call_service(address, lambda client: client.post(api.PUT_PATH, request, api.WriteResponse))
+    click.echo(f"{id_}: version {response.version}")
     if lease is not None:
-        _hold(address, record)
+        _keep_lease(address, record)
     return 0
 
 
-def _hold(address: Address, record: Record) -> None:
+def _keep_lease(address: Address, record: Record) -> None:
     """Renew the lease until Ctrl-C, then remove the record."""
     from eiderhub.registry.client import Registration
 
-    async def always() -> bool:
+    async def always_ready() -> bool:
         return True
 
-    async def held() -> None:
-        registration = Registration(record, [address], always)
+    async def keep_registered() -> None:
+        registration = Registration(record, [address], always_ready)
         registration.start()
         try:
             await asyncio.sleep(float("inf"))
@@ -225,70 +231,72 @@
     configure({})
     click.echo("held until Ctrl-C", err=True)
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(held())
+        asyncio.run(keep_registered())
 
 
-def _operate(path: str, address: Address, told: dict[str, Any]) -> int:
-    call = checked({name: value for name, value in told.items() if value is not None}, api.RecordRequest)
-    done = ask(address, lambda line: line.post(path, call, api.WriteResponse))
-    click.echo(f"{call.id}: version {done.version}")
+def _post_record_request(path: str, address: Address, arguments: dict[str, Any]) -> int:
+    request = convert_arguments(
+        {name: value for name, value in arguments.items() if value is not None}, api.RecordRequest
+    )
+    response = call_service(address, lambda client: client.post(path, request, api.WriteResponse))
+    click.echo(f"{request.id}: version {response.version}")
     return 0
 
 
 @command.command()
-@ADDRESS
+@ADDRESS_ARGUMENT
 @click.argument("id_", metavar="ID")
-@IN_SERVICE
-@IN_TIER
-@click.option("--undo", is_flag=True, help="It takes requests again.")
-@AT
+@SERVICE_OPTION
+@TIER_OPTION
+@click.option("--undo", is_flag=True, help="Let it take requests again.")
+@IF_VERSION_OPTION
 def drain(address: Address, id_: str, service: str, tier: str, undo: bool, if_version: int | None) -> int:
-    """Have an endpoint take nothing new, whatever its owner says, until --undo or its next start."""
-    told = {"service": service, "tier": tier, "id": id_, "undo": undo, "if_version": if_version}
-    return _operate(api.DRAIN_PATH, address, told)
+    """Give an endpoint no new requests, whatever its owner reports, until --undo or its next start."""
+    arguments = {"service": service, "tier": tier, "id": id_, "undo": undo, "if_version": if_version}
+    return _post_record_request(api.DRAIN_PATH, address, arguments)
 
 
 @command.command()
-@ADDRESS
+@ADDRESS_ARGUMENT
 @click.argument("id_", metavar="ID")
-@IN_SERVICE
-@IN_TIER
-@AT
+@SERVICE_OPTION
+@TIER_OPTION
+@IF_VERSION_OPTION
 def remove(address: Address, id_: str, service: str, tier: str, if_version: int | None) -> int:
-    """Remove a record; the process that it was of does not come back, a later start may."""
-    told = {"service": service, "tier": tier, "id": id_, "if_version": if_version}
-    return _operate(api.REMOVE_PATH, address, told)
+    """Remove a record; the process it belonged to cannot register again, but a later start may."""
+    arguments = {"service": service, "tier": tier, "id": id_, "if_version": if_version}
+    return _post_record_request(api.REMOVE_PATH, address, arguments)
 
 
 @command.command()
-@ADDRESS
-@JSON
+@ADDRESS_ARGUMENT
+@JSON_OPTION
 def status(address: Address, as_json: bool) -> int:
-    """Say how the service is; exit status 1 where it takes no writes, or has no list."""
+    """Print the state of the service; exit status 1 if it takes no writes or has no list."""
 
-    async def asked(line: RegistryClient) -> api.StatusResponse:
-        return decode_reply(await line.get(api.STATUS_PATH, {}, 2.0), api.StatusResponse)
+    async def fetch_status(client: RegistryClient) -> api.StatusResponse:
+        return decode_reply(await client.get(api.STATUS_PATH, {}, 2.0), api.StatusResponse)
 
-    found = ask(address, asked)
-    told: dict[str, Any] = msgspec.to_builtins(found)
+    response = call_service(address, fetch_status)
+    fields: dict[str, Any] = msgspec.to_builtins(response)
     if as_json:
-        click.echo(json.dumps(told, indent=2))
+        click.echo(json.dumps(fields, indent=2))
     else:
-        for name, value in told.items():
+        for name, value in fields.items():
             click.echo(f"{name:14} {value if value != '' else '-'}")
-    return 1 if found.store_failing or not found.identity else 0
+    return 1 if response.store_failing or not response.identity else 0
 
 
 @command.group()
 def store() -> None:
-    """Look at a store; nothing is changed, and no process needs to run."""
+    """Inspect a store offline; it is not changed, and the service need not be running."""
 
 
-def _opened(folder: str) -> tuple[Contents, Core]:
-    """What a store holds, and the state that it comes to.
+def _open_store(folder: str) -> tuple[Contents, Core]:
+    """Read a store; returns its contents and the state recovered from them.
 
     Raises:
-        click.exceptions.Exit: with status 1, after a line that says what is wrong with it.
+        click.exceptions.Exit: with status 1, after printing what is wrong with the store.
     """
     from eiderhub.registry import store as stores
     from eiderhub.registry.config import RegistryConfig
@@ -301,20 +309,20 @@
         return contents, core
     except stores.StoreError as error:
         text = str(error)
-        why = text if text.startswith(folder) else f"{folder}/{text}"
+        reason = text if text.startswith(folder) else f"{folder}/{text}"
     except ValueError as error:
-        why = f"{folder}: {error}"
+        reason = f"{folder}: {error}"
     except OSError as error:
-        why = f"{folder}: {error.strerror or error}"
-    click.echo(f"ottercleat: {why}", err=True)
+        reason = f"{folder}: {error.strerror or error}"
+    click.echo(f"ottercleat: {reason}", err=True)
     raise click.exceptions.Exit(1)
 
 
 @store.command()
 @click.argument("folder", metavar="DIR")
 def check(folder: str) -> int:
-    """Read all of the store in DIR: every entry, checksum and number; exit status 1 for damage."""
-    contents, core = _opened(folder)
+    """Verify the whole store in DIR: every entry, checksum and number; exit status 1 if it is damaged."""
+    contents, core = _open_store(folder)
     for note in contents.warnings:
         click.echo(f"{folder}/{note} at the next start", err=True)
     entries = sum(len(log.frames) for log in contents.logs)
@@ -324,10 +332,10 @@
 
 @store.command()
 @click.argument("folder", metavar="DIR")
-@click.option("--log", "with_log", is_flag=True, help="The entries of the log, one JSON object a line.")
+@click.option("--log", "with_log", is_flag=True, help="Print the log entries, one JSON object per line.")
 def show(folder: str, with_log: bool) -> int:
-    """Print what the store in DIR holds, as JSON."""
-    contents, core = _opened(folder)
+    """Print the contents of the store in DIR as JSON."""
+    contents, core = _open_store(folder)
     if with_log:
         for frame in contents.frames:
             click.echo(frame.payload.decode())
--- a/eiderhub/cli/screen.py
+++ b/eiderhub/cli/screen.py
@@ -1,4 +1,4 @@
-"""What people see: progress while something runs, and tables of what came of it."""
+"""Terminal output: progress while a command runs, and tables of its result."""
 
 from __future__ import annotations
 
@@ -19,25 +19,28 @@
 from eiderhub.emulator.deployment import Result
 from eiderhub.world.judge import Row, Verdict
 
-PLAIN_EVERY_S = 5.0  # how often progress is told where nobody looks at a terminal
-NARROW, WIDE = 54, 72  # columns of a terminal
-Tell = Callable[[float, str], None]
+PLAIN_PROGRESS_INTERVAL_S = 5.0  # between progress lines when standard error is not a terminal
+NARROW_COLUMNS, WIDE_COLUMNS = 54, 72  # terminal widths
+ReportProgress = Callable[[float, str], None]
 
 
 @contextmanager
-def progress(what: str) -> Iterator[Tell]:
-    """A bar on a terminal, plain lines elsewhere; told how far it has come and what there is to say."""
+def progress(title: str) -> Iterator[ReportProgress]:
+    """Show progress: a bar on a terminal, plain lines elsewhere.
+
+    The yielded function takes the completed fraction and a text.
+    """
     console = Console(stderr=True)
     if not console.is_terminal:
-        due = 0.0
+        next_line_at = 0.0
 
-        def tell(part: float, text: str) -> None:
-            nonlocal due
-            if time.monotonic() >= due:
-                due = time.monotonic() + PLAIN_EVERY_S
-                print(f"{what}: {100 * part:.0f}% {text}", file=sys.stderr, flush=True)
+        def report_progress(fraction: float, text: str) -> None:
+            nonlocal next_line_at
+            if time.monotonic() >= next_line_at:
+                next_line_at = time.monotonic() + PLAIN_PROGRESS_INTERVAL_S
+                print(f"{title}: {100 * fraction:.0f}% {text}", file=sys.stderr, flush=True)
 
-        yield tell
+        yield report_progress
         return
     columns = (
         TextColumn("{task.description}"),
@@ -45,12 +48,14 @@
         TextColumn("{task.percentage:>3.0f}%"),
     )
     with Progress(*columns, TimeElapsedColumn(), console=console, transient=True) as bar:
-        task = bar.add_task(what, total=1.0)
-        yield lambda part, text: bar.update(task, completed=part, description=f"{what} {text}".strip())
+        task = bar.add_task(title, total=1.0)
+        yield lambda fraction, text: bar.update(
+            task, completed=fraction, description=f"{title} {text}".strip()
+        )
 
 
 def check_writable(path: str | None) -> None:
-    """Before a long run, not after it: that its result can be written."""
+    """Check before a long run that its result can be written to `path`; raises UsageError if not."""
     if path is None or path == "-":
         return
     folder = Path(path).parent
@@ -61,24 +66,24 @@
 
 
 def write_json(path: str | None, document: dict[str, Any]) -> None:
-    """To a file, or to standard output for `-`."""
+    """Write a document to a file, or to standard output if the path is `-`."""
     if path is None:
         return
     text = json.dumps(document, indent=2) + "\n"
     if path == "-":
         click.echo(text, nl=False)
         return
-    beside = Path(path + ".part")
-    beside.write_text(text, encoding="utf-8")
-    beside.replace(path)
+    partial = Path(path + ".part")
+    partial.write_text(text, encoding="utf-8")
+    partial.replace(path)
 
 
-def _outcomes(verdict: Verdict, width: int) -> Table:
-    """Requests by how they ended; a terminal too narrow for all columns has one fewer."""
-    table = Table(box=None, pad_edge=False, padding=(0, 1 if width < WIDE else 3, 0, 0))
+def _outcomes_table(verdict: Verdict, width: int) -> Table:
+    """Requests by outcome; a narrow terminal omits the last column."""
+    table = Table(box=None, pad_edge=False, padding=(0, 1 if width < WIDE_COLUMNS else 3, 0, 0))
     table.add_column("", no_wrap=True)
     columns = ["asked", "served", "late", "refused", "failed", "worth"]
-    for column in columns if width >= NARROW else columns[:-1]:
+    for column in columns if width >= NARROW_COLUMNS else columns[:-1]:
         table.add_column(column, justify="right", no_wrap=True)
     for kind, rows in (("class", verdict.classes), ("tenant", verdict.tenants)):
         for name, row in rows.items():
@@ -91,15 +96,15 @@
     return [*(str(count) for count in counts), f"{row.share:.3f}"]
 
 
-def _facts() -> Table:
+def _facts_table() -> Table:
     facts = Table(box=None, show_header=False, pad_edge=False, padding=(0, 2, 0, 0))
     facts.add_column(style="bold", no_wrap=True)
     facts.add_column(overflow="fold")
     return facts
 
 
-def show_result(result: Result, console: Console) -> None:
-    """All of it in a page: what was played, what came of it, and whether the figures can be trusted."""
+def print_result(result: Result, console: Console) -> None:
+    """Print one page: the scenario, its results, and whether the figures can be trusted."""
     verdict = result.verdict
     console.print(
         f"{result.scenario}, seed {result.seed}: {result.seconds:g} s, {result.rate_per_s:.0f} requests/s, "
@@ -109,9 +114,9 @@
     for event in result.events:
         console.print(f"  {event}", highlight=False)
     console.print()
-    console.print(_outcomes(verdict, console.width))
+    console.print(_outcomes_table(verdict, console.width))
     console.print()
-    facts = _facts()
+    facts = _facts_table()
     window = result.window_s
     facts.add_row(
         f"worst {window:g} s", f"{verdict.worst_window:.3f} of worth, from {verdict.worst_window_at_s:.0f} s"
@@ -122,34 +127,38 @@
     facts.add_row(
         "attempts", f"{verdict.attempts_per_request:.2f} a request, {verdict.tries_per_request:.2f} tries"
     )
-    far = f", {verdict.cross_region_calls} of them across regions" if verdict.cross_region_calls else ""
-    facts.add_row("across zones", f"{verdict.cross_zone_calls} calls{far}")
+    cross_region = (
+        f", {verdict.cross_region_calls} of them across regions" if verdict.cross_region_calls else ""
+    )
+    facts.add_row("across zones", f"{verdict.cross_zone_calls} calls{cross_region}")
     facts.add_row("endpoints", f"{verdict.declined} requests turned away, {verdict.fallen} pushed over")
     facts.add_row("score", f"{verdict.score:.3f} (goodput {verdict.goodput:.3f})")
-    late = result.lateness_ms
-    doubt = f"; above {IN_DOUBT_MS:g} ms: THE FIGURES ARE IN DOUBT" if result.in_doubt else ""
-    facts.add_row("emulator late by", f"p50 {late['p50']} ms, p99 {late['p99']} ms{doubt}")
-    facts.add_row("sidecars", _used(result))
+    lateness = result.lateness_ms
+    warning = f"; above {IN_DOUBT_MS:g} ms: THE FIGURES ARE IN DOUBT" if result.in_doubt else ""
+    facts.add_row("emulator late by", f"p50 {lateness['p50']} ms, p99 {lateness['p99']} ms{warning}")
+    facts.add_row("sidecars", _resource_usage(result))
     facts.add_row(
-        "rules", "kept" if verdict.rules_kept else "[bold]BROKEN[/bold]: " + _counts(verdict.breaches)
+        "rules", "kept" if verdict.rules_kept else "[bold]BROKEN[/bold]: " + _format_counts(verdict.breaches)
     )
     console.print(facts, highlight=False)
     for text in (*verdict.first_breaches, *result.notes):
         console.print(f"  {text}", highlight=False, markup=False)
     if result.crash is not None:
-        show_crash(result.crash, result.crash_log, console)
+        print_crash(result.crash, result.crash_log, console)
 
 
-def show_crash(what: str, tail: list[str], console: Console) -> None:
-    console.print(f"the run ended early: {what}", highlight=False, markup=False)
-    for line in tail:
+def print_crash(reason: str, log_tail: list[str], console: Console) -> None:
+    console.print(f"the run ended early: {reason}", highlight=False, markup=False)
+    for line in log_tail:
         console.print(f"  | {line}", highlight=False, markup=False, soft_wrap=True)
 
 
-def _used(result: Result) -> str:
-    most = max((used["memory_mb"] for used in result.usage.values()), default=0.0)
-    return f"{most:.0f} MB at most, {result.front_cpu_us_per_request:.0f} us of CPU a try at the front"
+def _resource_usage(result: Result) -> str:
+    max_memory_mb = max((used["memory_mb"] for used in result.usage.values()), default=0.0)
+    return (
+        f"{max_memory_mb:.0f} MB at most, {result.front_cpu_us_per_request:.0f} us of CPU a try at the front"
+    )
 
 
-def _counts(counts: dict[str, int]) -> str:
+def _format_counts(counts: dict[str, int]) -> str:
     return ", ".join(f"{name} ({count})" for name, count in counts.items())
--- a/eiderhub/cli/service.py
+++ b/eiderhub/cli/service.py
@@ -1,4 +1,4 @@
-"""Calls to the list service from commands."""
+"""Helpers with which commands call the list service."""
 
 from __future__ import annotations
 
@@ -16,30 +16,30 @@
 T = TypeVar("T")
 
 
-def ask(address: Address, work: Callable[[RegistryClient], Coroutine[Any, Any, T]]) -> T:
-    """Carry out one call.
+def call_service(address: Address, send: Callable[[RegistryClient], Coroutine[Any, Any, T]]) -> T:
+    """Run one call to the list service.
 
     Raises:
-        click.exceptions.Exit: with status 1, after a line that says why.
+        click.exceptions.Exit: with status 1, after printing why the call failed.
     """
 
-    async def asked() -> T:
-        line = RegistryClient(address)
+    async def send_and_close() -> T:
+        client = RegistryClient(address)
         try:
-            return await work(line)
+            return await send(client)
         finally:
-            line.close()
+            client.close()
 
     try:
-        return asyncio.run(asked())
+        return asyncio.run(send_and_close())
     except (NoReplyError, RequestRefusedError) as error:
         click.echo(f"ottercleat: {address}: {error}", err=True)
         raise click.exceptions.Exit(1) from None
 
 
-def checked(told: dict[str, Any], kind: type[T]) -> T:
-    """What the arguments come to; a fault names the argument."""
+def convert_arguments(arguments: dict[str, Any], target_type: type[T]) -> T:
+    """Convert arguments to `target_type`; raises UsageError that names the faulty argument."""
     try:
-        return convert(told, kind, human_format=True)
+        return convert(arguments, target_type, human_format=True)
     except DocumentError as error:
         raise click.UsageError(str(error.faults[0])) from None
--- a/eiderhub/cli/tier.py
+++ b/eiderhub/cli/tier.py
@@ -1,4 +1,4 @@
-"""The operators' commands for the serving tier. They are defopt's; the root hands their words over."""
+"""`ottercleat tier`: operator commands of the serving tier, parsed by defopt instead of click."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 from eiderhub.documents import DocumentError, Fault
 from eiderhub.storage.store import LmdbStore, StoreUnusable
 
-CALL_S = 5.0
+CALL_TIMEOUT_S = 5.0
 ROLES = ("control", "edge", "storage")
 
 
 def _call(
-    address: str, method: str, path: str, body: bytes = b"", base: int | None = None
+    address: str, method: str, path: str, body: bytes = b"", base_generation: int | None = None
 ) -> tuple[int, bytes]:
-    """One call of the operator's API; a 307 is followed."""
+    """Make one call to the operator API; a 307 redirect is followed."""
     headers = {"Content-Type": "application/json"}
-    if base is not None:
-        headers["If-Match"] = str(base)
-    pool = urllib3.PoolManager(timeout=CALL_S, retries=False)
+    if base_generation is not None:
+        headers["If-Match"] = str(base_generation)
+    pool = urllib3.PoolManager(timeout=CALL_TIMEOUT_S, retries=False)
     try:
-        answer = pool.request(
+        response = pool.request(
             method, f"http://{address}{path}", body=body or None, headers=headers, redirect=False
         )
-        if answer.status == 307:
-            answer = pool.request(method, answer.headers["Location"], body=body or None, headers=headers)
+        if response.status == 307:
+            response = pool.request(method, response.headers["Location"], body=body or None, headers=headers)
     except urllib3.exceptions.HTTPError as error:
         raise OSError(f"{address}: no answer: {error}") from None
-    return answer.status, answer.data
+    return response.status, response.data
 
 
-def _print(status: int, body: bytes, wanted: str) -> int:
+def _print_answer(status: int, body: bytes, default_text: str) -> int:
     text = body.decode("utf-8", "replace")
     if status == 200:
-        print(text or wanted)
+        print(text or default_text)
         return 0
-    print(f"ottercleat: answered {status}: {text or 'no reason told'}", file=sys.stderr)
+    print(f"ottercleat: answered {status}: {text or 'no reason given'}", file=sys.stderr)
     return 1
 
 
@@ -62,20 +62,20 @@
 
 
 def status(address: str, *, as_json: bool = False) -> int:
-    """Say who leads, who is there, and which configuration is in force.
+    """Print the leader, the nodes, and the configuration in force.
 
     :param address: a control node's operator address, host:port
-    :param as_json: print what the node answers
+    :param as_json: print the node's answer as JSON
     """
     code, body = _call(address, "GET", "/status")
     if code != 200 or as_json:
-        return _print(code, body, "")
-    told: dict[str, Any] = json.loads(body)
+        return _print_answer(code, body, "")
+    fields: dict[str, Any] = json.loads(body)
     for key in ("node", "leads", "epoch", "version", "generation", "primary", "sidecars"):
-        print(f"{key:<12}{told[key]}")
-    for version, count in told.get("wire_versions", {}).items():
+        print(f"{key:<12}{fields[key]}")
+    for version, count in fields.get("wire_versions", {}).items():
         print(f"  wire version {version}: {count} processes")
-    for node in told["nodes"]:
+    for node in fields["nodes"]:
         print(f"  {node['role']:<9}{node['name']:<28}{node['zone']:<20}wire {node.get('wire_version', 1)}")
     return 0
 
@@ -85,24 +85,24 @@
 
     :param address: a control node's operator address, host:port
     """
-    return _print(*_call(address, "GET", "/config"), "")
+    return _print_answer(*_call(address, "GET", "/config"), "")
 
 
 def config_put(address: str, file: Path, *, base: int, patch: bool = False) -> int:
-    """Put a configuration, or with --patch a change of named items.
+    """Store a configuration, or with --patch change named items of it.
 
     :param address: a control node's operator address, host:port
     :param file: the JSON document
-    :param base: the generation that it builds on; 0 for the first
+    :param base: the generation that the document is based on; 0 for the first
     :param patch: the document is a patch
     """
     body = file.read_bytes()
     code, answer = _call(address, "PATCH" if patch else "PUT", "/config", body, base)
-    return _print(code, answer, "in force")
+    return _print_answer(code, answer, "in force")
 
 
 def config_check(file: Path) -> int:
-    """Say whether a whole configuration is valid, and what is wrong with it.
+    """Check whether a whole configuration is valid, and report what is wrong with it.
 
     :param file: the JSON document
     """
@@ -115,23 +115,23 @@
 
 
 def retire(address: str, node: str, *, deadline_s: float = 60.0, ask: bool = False) -> int:
-    """Have a storage node emptied, or with --ask say how far that is.
+    """Retire a storage node by moving its data away, or with --ask print the progress.
 
     :param address: a control node's operator address, host:port
     :param node: the storage node's name
-    :param deadline_s: by when it should be empty, in seconds
-    :param ask: only ask
+    :param deadline_s: seconds within which it should be empty
+    :param ask: only print the progress
     """
     body = b"" if ask else json.dumps({"deadline_s": deadline_s}).encode()
-    return _print(*_call(address, "GET" if ask else "POST", f"/retire/{node}", body), "taken")
+    return _print_answer(*_call(address, "GET" if ask else "POST", f"/retire/{node}", body), "taken")
 
 
 def store_check(folder: Path) -> int:
-    """Read a node's store, offline, from end to end.
+    """Verify a node's store offline by reading all of it.
 
-    :param folder: its data folder
+    :param folder: the node's data folder
     """
-    store = _open(folder)
+    store = _open_store(folder)
     entries = store.entries()
     size = sum(len(e.key) + len(e.value or b"") for e in entries)
     position = store.position
@@ -141,24 +141,24 @@
 
 
 def store_show(folder: Path, *, prefix: str = "") -> int:
-    """Print the keys of a node's store, offline, with the size of each value.
+    """Print the keys in a node's store, offline, with the size of each value.
 
-    :param folder: its data folder
-    :param prefix: only keys that begin so
+    :param folder: the node's data folder
+    :param prefix: print only keys with this prefix
     """
-    for key, value in _open(folder).scan(prefix):
+    for key, value in _open_store(folder).scan(prefix):
         print(f"{len(value):>9}  {key}")
     return 0
 
 
-def _open(folder: Path) -> LmdbStore:
+def _open_store(folder: Path) -> LmdbStore:
     try:
         return LmdbStore(folder, 0, read_only=True)
     except StoreUnusable as error:
         raise DocumentError("store", [Fault("", str(error))]) from None
 
 
-FUNCTIONS = [run, status, config_get, config_put, config_check, retire, store_check, store_show]
+COMMAND_FUNCTIONS = [run, status, config_get, config_put, config_check, retire, store_check, store_show]
 
 
 @click.command(
@@ -169,6 +169,6 @@
 def command(words: tuple[str, ...]) -> int:
     """Run and operate the serving tier."""
     try:
-        return int(defopt.run(FUNCTIONS, argv=list(words), short={}))
-    except SystemExit as ended:
-        return ended.code if isinstance(ended.code, int) else 2
+        return int(defopt.run(COMMAND_FUNCTIONS, argv=list(words), short={}))
+    except SystemExit as exit_request:
+        return exit_request.code if isinstance(exit_request.code, int) else 2
--- a/eiderhub/cli/zone.py
+++ b/eiderhub/cli/zone.py
@@ -1,4 +1,4 @@
-"""`ottercleat zone`: operators' orders on zones, kept by the list service and followed by every sidecar."""
+"""`ottercleat zone`: operators' zone orders, stored by the list service and followed by every sidecar."""
 
 from __future__ import annotations
 
@@ -13,116 +13,125 @@
 from rich.table import Table
 
 from eiderhub.address import Address
-from eiderhub.cli.options import IN_SERVICE, JSON, AddressType
-from eiderhub.cli.service import ask, checked
+from eiderhub.cli.options import JSON_OPTION, SERVICE_OPTION, AddressType
+from eiderhub.cli.service import call_service, convert_arguments
 from eiderhub.documents import suggest_name
 from eiderhub.registry import api
 from eiderhub.registry.client import RegistryClient, decode_reply
 from eiderhub.registry.field_types import MAX_ORDER_MS, MIN_ORDER_MS
 from eiderhub.registry.records import Order
 
-UNITS_S = {"s": 1, "m": 60, "h": 3600, "d": 86400}
-ADDRESS = click.argument("address", type=AddressType())
-ZONE = click.argument("zone")
+SECONDS_PER_UNIT = {"s": 1, "m": 60, "h": 3600, "d": 86400}
+ADDRESS_ARGUMENT = click.argument("address", type=AddressType())
+ZONE_ARGUMENT = click.argument("zone")
 
 
-class TimeType(click.ParamType[int]):
-    """A length of time in milliseconds, from a number and its unit."""
+class DurationType(click.ParamType[int]):
+    """A duration written as a number and a unit, converted to milliseconds."""
 
     name = "time"
 
     def convert(self, value: object, param: click.Parameter | None, ctx: click.Context | None) -> int:
         if isinstance(value, int):
             return value
-        found = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)([smhd])", str(value))
-        if found is None:
-            self.fail(f"{value!r} is no time, such as 90s, 10m, 2h or 1d", param, ctx)
-        time_ms = int(float(found[1]) * UNITS_S[found[2]] * 1000)
-        if not MIN_ORDER_MS <= time_ms <= MAX_ORDER_MS:
+        match = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)([smhd])", str(value))
+        if match is None:
+            self.fail(f"{value!r} is not a duration, such as 90s, 10m, 2h or 1d", param, ctx)
+        duration_ms = int(float(match[1]) * SECONDS_PER_UNIT[match[2]] * 1000)
+        if not MIN_ORDER_MS <= duration_ms <= MAX_ORDER_MS:
             self.fail(f"{value} is not between 1s and {MAX_ORDER_MS // 86_400_000}d", param, ctx)
-        return time_ms
+        return duration_ms
 
 
 @click.group("zone")
 def command() -> None:
-    """Take traffic from a zone, give it back, or say how zones are.
+    """Drain traffic from a zone, return it, or print the state of the zones.
 
-    An order is kept by the list service at ADDRESS, followed by every sidecar that has its lists from there,
-    and ends by itself.
+    An order is stored by the list service at ADDRESS, followed by every sidecar that gets its lists from
+    there, and expires by itself.
     """
 
 
-def _zones(address: Address, service: str) -> api.ZonesResponse:
-    async def asked(line: RegistryClient) -> api.ZonesResponse:
-        return decode_reply(await line.get(api.ZONES_PATH, {"service": service}, 5.0), api.ZonesResponse)
+def _fetch_zones(address: Address, service: str) -> api.ZonesResponse:
+    async def fetch_zones(client: RegistryClient) -> api.ZonesResponse:
+        return decode_reply(await client.get(api.ZONES_PATH, {"service": service}, 5.0), api.ZonesResponse)
 
-    return ask(address, asked)
+    return call_service(address, fetch_zones)
 
 
-def _known(address: Address, service: str, zone: str) -> api.ZonesResponse:
-    """What the service has, where this zone is among it.
+def _fetch_zones_with(address: Address, service: str, zone: str) -> api.ZonesResponse:
+    """Fetch the zones of the service, which must include `zone`.
 
     Raises:
-        click.UsageError: it is not.
+        click.UsageError: the service has no such zone.
     """
-    told = _zones(address, service)
-    names = [state.zone for state in told.zones]
+    response = _fetch_zones(address, service)
+    names = [state.zone for state in response.zones]
     if zone not in names:
         raise click.UsageError(f"no such zone: {zone!r}; {suggest_name(zone, names)}")
-    return told
+    return response
 
 
-def _tell(address: Address, call: api.ZoneOrderRequest) -> api.WriteResponse:
-    return ask(address, lambda line: line.post(api.ZONE_PATH, call, api.WriteResponse))
+def _post_order(address: Address, request: api.ZoneOrderRequest) -> api.WriteResponse:
+    return call_service(address, lambda client: client.post(api.ZONE_PATH, request, api.WriteResponse))
 
 
 @command.command()
-@ADDRESS
-@ZONE
-@click.option("--for", "time_ms", type=TimeType(), default="1h", show_default=True, help="90s, 10m, 2h, 1d.")
+@ADDRESS_ARGUMENT
+@ZONE_ARGUMENT
+@click.option(
+    "--for",
+    "time_ms",
+    type=DurationType(),
+    default="1h",
+    show_default=True,
+    help="Duration, such as 90s, 10m, 2h or 1d.",
+)
 @click.option(
     "--share",
     type=click.FloatRange(0, 1),
     default=0.0,
     show_default=True,
-    help="Of the calls that it would get, what it keeps.",
+    help="Share of its normal calls that the zone keeps.",
 )
-@click.option("--force", is_flag=True, help="Though no other zone would serve a tier.")
-@IN_SERVICE
+@click.option("--force", is_flag=True, help="Drain even if no other zone would serve a tier.")
+@SERVICE_OPTION
 def drain(address: Address, zone: str, time_ms: int, share: float, force: bool, service: str) -> int:
-    """Let ZONE have no calls, or a share of them, until it is returned or the time is over."""
-    _known(address, service, zone)
-    order = checked({"service": service, "zone": zone, "share": share, "for_ms": time_ms}, Order)
-    done = _tell(address, api.ZoneOrderRequest(order=order, force=force))
-    ends = time.strftime("%F %T", time.localtime(time.time() + time_ms / 1000))
-    click.echo(f"{zone}: keeps {share:g} of its calls until {ends}, version {done.version}")
+    """Give ZONE no calls, or only a share of them, until it is returned or the time is over."""
+    _fetch_zones_with(address, service, zone)
+    order = convert_arguments({"service": service, "zone": zone, "share": share, "for_ms": time_ms}, Order)
+    response = _post_order(address, api.ZoneOrderRequest(order=order, force=force))
+    ends_at = time.strftime("%F %T", time.localtime(time.time() + time_ms / 1000))
+    click.echo(f"{zone}: keeps {share:g} of its calls until {ends_at}, version {response.version}")
     return 0
 
 
 @command.command("return")
-@ADDRESS
-@ZONE
-@IN_SERVICE
+@ADDRESS_ARGUMENT
+@ZONE_ARGUMENT
+@SERVICE_OPTION
 def return_(address: Address, zone: str, service: str) -> int:
-    """End the order on ZONE: its calls come back as each sidecar finds that it bears them."""
-    _known(address, service, zone)
-    over = checked({"service": service, "zone": zone}, api.EndOrderRequest)
-    done = _tell(address, api.ZoneOrderRequest(over=over))
-    click.echo(f"{zone}: returned, version {done.version}")
+    """End the order on ZONE: its calls return as each sidecar finds that the zone can handle them."""
+    _fetch_zones_with(address, service, zone)
+    request = convert_arguments({"service": service, "zone": zone}, api.EndOrderRequest)
+    response = _post_order(address, api.ZoneOrderRequest(over=request))
+    click.echo(f"{zone}: returned, version {response.version}")
     return 0
 
 
 @command.command()
-@ADDRESS
+@ADDRESS_ARGUMENT
 @click.argument("zone", required=False)
-@IN_SERVICE
-@JSON
+@SERVICE_OPTION
+@JSON_OPTION
 def status(address: Address, zone: str | None, service: str, as_json: bool) -> int:
     """Print the zones of a service, their endpoints, and the orders in force."""
-    told = _known(address, service, zone) if zone is not None else _zones(address, service)
-    states = [state for state in told.zones if zone in (None, state.zone)]
+    zones_response = (
+        _fetch_zones_with(address, service, zone) if zone is not None else _fetch_zones(address, service)
+    )
+    states = [state for state in zones_response.zones if zone in (None, state.zone)]
     if as_json:
-        document: dict[str, Any] = {"version": told.version, "ageMs": told.age_ms}
+        document: dict[str, Any] = {"version": zones_response.version, "ageMs": zones_response.age_ms}
         click.echo(json.dumps(document | {"zones": msgspec.to_builtins(states)}, indent=2))
         return 0
     table = Table(box=None, pad_edge=False)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command: exit statuses, and one plain line for what a user got wrong."""
+"""The command line: exit statuses, and error messages without a traceback."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 EXAMPLE = str(ROOT / "deploy" / "sidecar.toml")
 
 
-def called(monkeypatch: pytest.MonkeyPatch, *words: str) -> int:
+def run_command(monkeypatch: pytest.MonkeyPatch, *words: str) -> int:
     monkeypatch.setattr(sys, "argv", ["ottercleat", *words])
     return main()
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "message"),
     [
         (["demmo"], "did you mean demo?"),
         (["demo", "--sead", "1"], "--seed"),
@@ -44,52 +44,52 @@
         (["config", "check", "missing.json"], "missing.json: No such file"),
     ],
 )
-def test_wrong_use_is_status_2_and_a_plain_word(
-    monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], words: list[str], said: str
+def test_usage_error_exits_with_2_and_no_traceback(
+    monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], words: list[str], message: str
 ) -> None:
-    assert called(monkeypatch, *words) == 2
+    assert run_command(monkeypatch, *words) == 2
     out, err = capfd.readouterr()
-    assert said in err and "Traceback" not in err and out == ""
+    assert message in err and "Traceback" not in err and out == ""
 
 
-def test_what_does_not_hold_is_status_1(
+def test_unanswered_calls_exit_with_1(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str]
 ) -> None:
-    assert called(monkeypatch, "ctl", "127.0.0.1:1", "status") == 1
+    assert run_command(monkeypatch, "ctl", "127.0.0.1:1", "status") == 1
     assert "127.0.0.1:1: " in capfd.readouterr().err
-    assert called(monkeypatch, "load", "127.0.0.1:1", "--class", "a", "--seconds", "0.1") == 1
+    assert run_command(monkeypatch, "load", "127.0.0.1:1", "--class", "a", "--seconds", "0.1") == 1
     assert "nothing was served" in capfd.readouterr().out
 
 
-def test_config_is_checked_shown_and_fits_its_schema(
+def test_config_check_show_and_schema_agree(
     monkeypatch: pytest.MonkeyPatch, capfd: pytest.CaptureFixture[str], tmp_path: Path
 ) -> None:
-    assert called(monkeypatch, "config", "check", EXAMPLE) == 0
+    assert run_command(monkeypatch, "config", "check", EXAMPLE) == 0
     capfd.readouterr()
-    assert called(monkeypatch, "config", "show", EXAMPLE) == 0
+    assert run_command(monkeypatch, "config", "show", EXAMPLE) == 0
     shown = capfd.readouterr().out
     path = tmp_path / "shown.toml"
     path.write_text(shown, encoding="utf-8")
-    assert called(monkeypatch, "config", "show", str(path)) == 0
-    assert capfd.readouterr().out == shown  # nothing is lost, and nothing is added
-    assert called(monkeypatch, "config", "schema") == 0
+    assert run_command(monkeypatch, "config", "show", str(path)) == 0
+    assert capfd.readouterr().out == shown  # reading the output back loses nothing and adds nothing
+    assert run_command(monkeypatch, "config", "schema") == 0
     schema = json.loads(capfd.readouterr().out)
     jsonschema.validate(tomllib.loads(shown), schema)
-    wrong = tomllib.loads(shown)
-    wrong["settings"]["categories"][0]["aim_us"] = 0
+    invalid = tomllib.loads(shown)
+    invalid["settings"]["categories"][0]["aim_us"] = 0
     with pytest.raises(jsonschema.ValidationError):
-        jsonschema.validate(wrong, schema)
+        jsonschema.validate(invalid, schema)
 
 
-def test_each_command_is_imported_only_when_called() -> None:
+def test_command_modules_are_imported_lazily() -> None:
     program = "import sys, eiderhub.cli.__main__; print(*sys.modules)"
-    found = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
-    loaded = set(found.stdout.split())
-    assert not {f"eiderhub.cli.{name}" for name in COMMANDS} & loaded
-    assert not {"numpy", "rich", "uvloop"} & loaded
+    completed = subprocess.run([sys.executable, "-c", program], capture_output=True, text=True, check=True)
+    imported = set(completed.stdout.split())
+    assert not {f"eiderhub.cli.{name}" for name in COMMANDS} & imported
+    assert not {"numpy", "rich", "uvloop"} & imported
 
 
-def test_figures_are_read_from_an_answer() -> None:
+def test_figures_parses_a_stats_answer() -> None:
     assert figures("OK\nsvc.inflight=3\nsvc.calls.a.success=12\nEND") == {
         "svc.inflight": 3,
         "svc.calls.a.success": 12,
