--- a/eiderhub/capacity/__init__.py
+++ b/eiderhub/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet of a stated size needs, from measured slopes: arithmetic alone, no I/O."""
+"""Capacity model: resources that a fleet of a given size needs, computed from measured costs without I/O."""
--- a/eiderhub/capacity/table.py
+++ b/eiderhub/capacity/table.py
@@ -1,18 +1,18 @@
-"""The tables of `docs/CAPACITY.md`, as Markdown that is read as plain text too."""
+"""Renders the tables of `docs/CAPACITY.md` as Markdown with aligned columns, and the figures as JSON data."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
 from eiderhub.capacity.fleet import Fleet
-from eiderhub.capacity.model import CALM, HOUR, MINUTE, Capacity, Figure
+from eiderhub.capacity.model import BUSIEST_MINUTE, CALM, WORST_HOUR, Capacity, Figure
 from eiderhub.capacity.slopes import KNOWN, Slope, Slopes
 
-NONE = "-"
+EMPTY_CELL = "-"
 
 
-def number(value: float) -> str:
-    """Three significant digits, thousands apart: 19,000, 1,730, 14.6, 0.0116."""
+def format_number(value: float) -> str:
+    """Format with three significant digits and thousands separators: 19,000, 1,730, 14.6, 0.0116."""
     if value == 0:
         return "0"
     if abs(value) >= 99.95:
@@ -26,32 +26,36 @@
     return len(digits.partition(".")[2]) - int(exponent)
 
 
-def amount(value: float | None, unit: str) -> str:
-    """With its unit; a share of a core as percent."""
+def format_amount(value: float | None, unit: str) -> str:
+    """Format with the unit; cores as a percentage of one core."""
     if value is None:
-        return NONE
+        return EMPTY_CELL
     if unit == "cores":
-        return f"{number(100 * value)}% of a core"
-    return f"{number(value)} {unit}".rstrip()
+        return f"{format_number(100 * value)}% of a core"
+    return f"{format_number(value)} {unit}".rstrip()
 
 
-def table(columns: Sequence[str], rows: Sequence[Sequence[str]], right: Sequence[int] = ()) -> str:
-    """A Markdown table whose columns stand under one another."""
+def markdown_table(
+    columns: Sequence[str], rows: Sequence[Sequence[str]], right_aligned: Sequence[int] = ()
+) -> str:
+    """Render a Markdown table with padded columns; `right_aligned` holds column indices."""
     widths = [max(len(row[i]) for row in (columns, *rows)) for i in range(len(columns))]
 
     def line(cells: Sequence[str]) -> str:
-        found = zip(range(len(cells)), cells, widths, strict=True)
-        padded = (cell.rjust(width) if i in right else cell.ljust(width) for i, cell, width in found)
+        indexed_cells = zip(range(len(cells)), cells, widths, strict=True)
+        padded = (
+            cell.rjust(width) if i in right_aligned else cell.ljust(width) for i, cell, width in indexed_cells
+        )
         return "| " + " | ".join(padded) + " |"
 
-    rule = ["-" * (width - 1) + ":" if i in right else "-" * width for i, width in enumerate(widths)]
+    rule = ["-" * (width - 1) + ":" if i in right_aligned else "-" * width for i, width in enumerate(widths)]
     return "\n".join([line(columns), line(rule), *map(line, rows)])
 
 
-def verdict(figure: Figure, looked_at: tuple[int, int]) -> str:
-    """Whether its budget holds, by how much it doesn't, and from which size."""
+def format_verdict(figure: Figure, looked_at: tuple[int, int]) -> str:
+    """Describe whether the budget holds, by how much it is exceeded, and from which fleet size."""
     if figure.holds is None:
-        return NONE
+        return EMPTY_CELL
     low, high = looked_at
     if figure.breaks_from is None:
         return f"holds; still at {high:,} endpoints"
@@ -60,138 +64,149 @@
     assert figure.budget is not None
     value, moment = figure.worst
     start = f"at any size from {low:,}" if figure.breaks_from == low else f"from {figure.breaks_from:,}"
-    return f"breaks: {number(value / figure.budget)} times the budget, {moment}; {start} endpoints"
+    return f"breaks: {format_number(value / figure.budget)} times the budget, {moment}; {start} endpoints"
 
 
-def figures(found: Capacity, role: str) -> str:
-    """One role's figures."""
+def figures_table(capacity: Capacity, role: str) -> str:
+    """Render the figures of one role."""
     rows = []
-    for one in found.figures:
-        if one.role != role:
+    for figure in capacity.figures:
+        if figure.role != role:
             continue
-        minute = amount(one.minute, one.unit) + (f" ({one.event})" if one.event else "")
-        budget = amount(one.budget, one.unit)
+        minute = format_amount(figure.minute, figure.unit) + (f" ({figure.event})" if figure.event else "")
+        budget = format_amount(figure.budget, figure.unit)
         rows.append(
             [
-                one.resource,
-                amount(one.calm, one.unit),
+                figure.resource,
+                format_amount(figure.calm, figure.unit),
                 minute,
-                amount(one.hour, one.unit),
-                budget + (f" ({one.set_by})" if one.set_by else ""),
-                verdict(one, found.looked_at),
+                format_amount(figure.hour, figure.unit),
+                budget + (f" ({figure.set_by})" if figure.set_by else ""),
+                format_verdict(figure, capacity.looked_at),
             ]
         )
-    return table(["", CALM, MINUTE, HOUR, "budget", ""], rows, (1, 2, 3))
+    return markdown_table(["", CALM, BUSIEST_MINUTE, WORST_HOUR, "budget", ""], rows, (1, 2, 3))
 
 
-def broken(found: Capacity) -> str:
-    """What does not hold, in order of how soon it breaks."""
+def broken_budgets_table(capacity: Capacity) -> str:
+    """Render the exceeded budgets, in order of the fleet size from which they are exceeded."""
     rows = []
-    over = [one for one in found.figures if one.holds is False]
-    for one in sorted(over, key=lambda one: (one.breaks_from or 0, -(one.worst[0] / (one.budget or 1.0)))):
-        value, moment = one.worst
+    exceeded = [figure for figure in capacity.figures if figure.holds is False]
+    for figure in sorted(
+        exceeded, key=lambda figure: (figure.breaks_from or 0, -(figure.worst[0] / (figure.budget or 1.0)))
+    ):
+        value, moment = figure.worst
         rows.append(
             [
-                f"{one.breaks_from:,}",
-                one.role,
-                one.resource,
-                amount(value, one.unit),
-                moment + (f" ({one.event})" if one.event and moment == MINUTE else ""),
-                amount(one.budget, one.unit),
-                number(value / (one.budget or 1.0)),
+                f"{figure.breaks_from:,}",
+                figure.role,
+                figure.resource,
+                format_amount(value, figure.unit),
+                moment + (f" ({figure.event})" if figure.event and moment == BUSIEST_MINUTE else ""),
+                format_amount(figure.budget, figure.unit),
+                format_number(value / (figure.budget or 1.0)),
             ]
         )
     if not rows:
         return "Every budget holds."
     columns = ["from endpoints", "role", "", "amount", "moment", "budget", "times"]
-    return table(columns, rows, (0, 3, 5, 6))
+    return markdown_table(columns, rows, (0, 3, 5, 6))
 
 
-def slope_rows(found: Capacity, slopes: Slopes) -> str:
-    """Each slope as it was measured, and how far beyond that it was used."""
+def slopes_table(capacity: Capacity, slopes: Slopes) -> str:
+    """Render each slope with its measured range and the largest values that the model used."""
     rows = []
     for name in KNOWN:
         slope = slopes.slopes[name]
-        per = ", ".join(f"{number(value)} for each {driver}" for driver, value in slope.per.items())
+        per = ", ".join(f"{format_number(value)} for each {driver}" for driver, value in slope.per.items())
         rows.append(
             [
                 name,
-                f"{number(slope.fixed)} {slope.unit.replace('mb', 'MB')}",
-                per or NONE,
-                f"{number(100 * slope.spread)}%",
-                _measured(slope),
-                _used(found, name),
+                f"{format_number(slope.fixed)} {slope.unit.replace('mb', 'MB')}",
+                per or EMPTY_CELL,
+                f"{format_number(100 * slope.spread)}%",
+                _measured_ranges(slope),
+                _used_ranges(capacity, name),
                 ", ".join(slope.runs),
             ]
         )
     columns = ["slope", "fixed", "and", "spread", "measured at", "used up to", "runs"]
-    return table(columns, rows, (1, 3))
+    return markdown_table(columns, rows, (1, 3))
 
 
-def _measured(slope: Slope) -> str:
-    sizes = (f"{driver} {number(low)} to {number(high)}" for driver, (low, high) in slope.sizes.items())
-    return ", ".join(sizes) or NONE
+def _measured_ranges(slope: Slope) -> str:
+    sizes = (
+        f"{driver} {format_number(low)} to {format_number(high)}"
+        for driver, (low, high) in slope.sizes.items()
+    )
+    return ", ".join(sizes) or EMPTY_CELL
 
 
-def _used(found: Capacity, name: str) -> str:
-    told = []
-    for one in found.used:
-        if one.slope == name:
-            told.append(f"{one.driver} {number(one.most)}{' (beyond)' if one.beyond else ''}")
-    return ", ".join(told) or NONE
+def _used_ranges(capacity: Capacity, name: str) -> str:
+    texts = []
+    for use in capacity.used:
+        if use.slope == name:
+            texts.append(f"{use.driver} {format_number(use.most)}{' (beyond)' if use.extrapolated else ''}")
+    return ", ".join(texts) or EMPTY_CELL
 
 
-def fleet_rows(fleet: Fleet) -> str:
-    """The services by size, as the fleet's file states the skew."""
+def service_classes_table(fleet: Fleet) -> str:
+    """Render the service classes of the fleet file."""
     rows = [
-        [kind.name, number(kind.services), number(kind.size), number(kind.followed), number(kind.callers)]
-        for kind in fleet.kinds()
+        [
+            service_class.name,
+            format_number(service_class.services),
+            format_number(service_class.size),
+            format_number(service_class.followed),
+            format_number(service_class.callers),
+        ]
+        for service_class in fleet.service_classes()
     ]
     columns = ["services", "how many", "endpoints each", "followed by a sidecar", "sidecars that follow each"]
-    return table(columns, rows, (1, 2, 3, 4))
+    return markdown_table(columns, rows, (1, 2, 3, 4))
 
 
-def page(fleet: Fleet, slopes: Slopes, found: Capacity) -> str:
-    """All tables, as the command prints them and the page has them."""
-    where = f"{slopes.machine}, revision {slopes.revision}, {slopes.measured}"
-    roles = dict.fromkeys(one.role for one in found.figures)
+def page(fleet: Fleet, slopes: Slopes, capacity: Capacity) -> str:
+    """Render all tables, as printed by the command and included in the page."""
+    source = f"{slopes.machine}, revision {slopes.revision}, {slopes.measured}"
+    roles = dict.fromkeys(figure.role for figure in capacity.figures)
     parts = [
         f"{fleet.endpoints:,} endpoints in {fleet.services:,} services, {len(fleet.regions)} regions, "
-        f"{len(fleet.region_of)} zones; {number(fleet.calls_per_s)} calls/s; slopes: {where}",
-        fleet_rows(fleet),
-        *(f"### {role[0].upper()}{role[1:]}\n\n{figures(found, role)}" for role in roles),
-        f"### What breaks, the soonest first\n\n{broken(found)}",
-        f"### Slopes\n\n{slope_rows(found, slopes)}",
+        f"{len(fleet.region_of)} zones; {format_number(fleet.calls_per_s)} calls/s; slopes: {source}",
+        service_classes_table(fleet),
+        *(f"### {role[0].upper()}{role[1:]}\n\n{figures_table(capacity, role)}" for role in roles),
+        f"### What breaks, the soonest first\n\n{broken_budgets_table(capacity)}",
+        f"### Slopes\n\n{slopes_table(capacity, slopes)}",
     ]
     return "\n\n".join(parts) + "\n"
 
 
-def document(fleet: Fleet, slopes: Slopes, found: Capacity) -> dict[str, object]:
-    """All figures as data: units are named, processor time is in cores."""
+def document(fleet: Fleet, slopes: Slopes, capacity: Capacity) -> dict[str, object]:
+    """All figures as JSON-compatible data with units; processor time is in cores."""
     return {
         "endpoints": fleet.endpoints,
         "revision": slopes.revision,
         "machine": slopes.machine,
         "measured": slopes.measured,
-        "looked_at": list(found.looked_at),
+        "looked_at": list(capacity.looked_at),
         "figures": [
             {
-                "role": one.role,
-                "resource": one.resource,
-                "unit": one.unit,
-                "calm": one.calm,
-                "busiest_minute": one.minute,
-                "event": one.event,
-                "worst_hour": one.hour,
-                "budget": one.budget,
-                "set_by": one.set_by,
-                "holds": one.holds,
-                "breaks_from": one.breaks_from,
+                "role": figure.role,
+                "resource": figure.resource,
+                "unit": figure.unit,
+                "calm": figure.calm,
+                "busiest_minute": figure.minute,
+                "event": figure.event,
+                "worst_hour": figure.hour,
+                "budget": figure.budget,
+                "set_by": figure.set_by,
+                "holds": figure.holds,
+                "breaks_from": figure.breaks_from,
             }
-            for one in found.figures
+            for figure in capacity.figures
         ],
         "used": [
-            {"slope": one.slope, "driver": one.driver, "most": one.most, "beyond": one.beyond}
-            for one in found.used
+            {"slope": use.slope, "driver": use.driver, "most": use.most, "beyond": use.extrapolated}
+            for use in capacity.used
         ],
     }
--- a/eiderhub/capacity/tier.py
+++ b/eiderhub/capacity/tier.py
@@ -1,6 +1,7 @@
-"""What the serving tier needs at a stated size: by role its state, messages, processor time and memory.
+"""Capacity model of the serving tier: state, messages, processor time and memory by role.
 
-Pure arithmetic: the fleet as `deploy/tier-fleet.toml` states it, times slopes that scale runs have measured.
+The figures are computed, without I/O, from the fleet in `deploy/tier-fleet.toml` and the slopes measured by
+scale runs.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 
 from msgspec import Meta, Struct
 
-from eiderhub.capacity.table import amount, number, table
+from eiderhub.capacity.table import format_amount, format_number, markdown_table
 
 DAY_S = 86_400.0
 MINUTE_S = 60.0
-ITEM_INDEX_MB = 400e-6  # assumed: memory of one item in the owner's index
+ITEM_INDEX_MB = 400e-6  # memory of one item in the owner's index
 Amount = Annotated[float, Meta(gt=0, le=1e15)]
 
 
 class TierBudget(Struct, frozen=True, kw_only=True):
-    """What may be used."""
+    """Limits on the use of resources."""
 
     control_share: Amount
     control_mb: Amount
@@ -32,7 +33,7 @@
 
 
 class TierFleet(Struct, frozen=True, kw_only=True):
-    """`deploy/tier-fleet.toml`."""
+    """The contents of `deploy/tier-fleet.toml`."""
 
     sidecars: Amount
     endpoints: Amount
@@ -64,56 +65,58 @@
 
 
 class TierSlopes(Struct, frozen=True, kw_only=True):
-    """Measured costs; `docs/capacity/tier-slopes.json` says which run gave each."""
+    """Measured costs; `docs/capacity/tier-slopes.json` names the run behind each value."""
 
-    session_share: float  # of a core at its control node, a session, calm
-    session_bytes_per_s: float  # at its control node, a session, calm
-    change_us: float  # at its control node, a change told to one session
-    hollow_share: float  # of a core at the sidecar, calm
+    session_share: float  # share of a core per session at its control node, when calm
+    session_bytes_per_s: float  # per session at its control node, when calm
+    change_us: float  # at the control node, per change sent to one session
+    hollow_share: float  # share of a core at a sidecar without request traffic, when calm
     control_fixed_mb: float
-    control_session_mb: float  # a session
-    edge_request_us: float  # at the sidecar, a request or item
+    control_session_mb: float  # per session
+    edge_request_us: float  # at the sidecar, per request or item
     edge_mb: float
-    storage_item_us: float  # at the primary, an item taken, run and listed
+    storage_item_us: float  # at the primary, per item accepted, run and listed
     storage_mb: float
     sources: dict[str, str] = {}
 
 
-Pair = tuple[float, float]
+CalmAndBusiest = tuple[float, float]
 
 
-def pair(amounts: Iterable[float]) -> Pair:
-    """Two amounts: calm, and in the busiest minute."""
+def calm_and_busiest(amounts: Iterable[float]) -> CalmAndBusiest:
+    """Amounts when calm and in the busiest minute, from an iterable of exactly two."""
     calm, busiest = amounts
     return calm, busiest
 
 
 class Row(NamedTuple):
-    """One figure of one role."""
+    """One resource of one role, with its budget."""
 
     role: str
     what: str
-    amounts: Pair  # calm, and in the busiest minute
+    amounts: CalmAndBusiest  # when calm, and in the busiest minute
     unit: str
     budget: float | None
-    of: str  # the budget's key
-    mechanism: str  # that carries it, or would
+    of: str  # the budget's key, or what imposes the limit
+    mechanism: str  # how the load is carried, or would be
 
     @property
     def holds(self) -> bool | None:
         return None if self.budget is None else max(self.amounts) <= self.budget
 
 
-class _Load(NamedTuple):
-    """Rates and sizes that follow from the fleet alone; rates of a second, calm and in the busiest minute.
+class _DerivedLoad(NamedTuple):
+    """Rates and sizes derived from the fleet alone.
 
-    In the busiest minute changes of configuration are at their peak, a zone is lost with all its endpoints
-    and sidecars, half of the control machines are away, and the largest lot is handed in over a quarter of
-    an hour.
+    Pairs hold the value when calm and in the busiest minute; rates are per second.
+
+    In the busiest minute configuration changes are at their peak, a zone is lost with all its endpoints and
+    sidecars, half of the control machines are unavailable, and the largest lot is being submitted over a
+    quarter of an hour.
     """
 
-    changes: tuple[float, float]  # of any table
-    told_bytes: tuple[float, float]  # to one session, by changes
+    changes: tuple[float, float]  # to any table
+    update_bytes: tuple[float, float]  # sent to one session for changes
     tables_mb: float
     sessions: tuple[float, float]  # at one control node
     items: tuple[float, float]
@@ -121,21 +124,25 @@
     requests: float  # at one sidecar
 
 
-def _load(fleet: TierFleet) -> _Load:
+def _derive_load(fleet: TierFleet) -> _DerivedLoad:
     changes = fleet.changes_per_day / DAY_S
     peak = changes * fleet.peak_of_changes
-    starts = fleet.machines_restarted_per_day / DAY_S
-    gone = fleet.endpoints / fleet.zones / MINUTE_S
-    table = fleet.control_machines * 3 * fleet.bytes_per_node
-    looks = 1.0  # the session table is looked at and sent once a second at most while a zone goes
-    told = changes * fleet.bytes_per_route + starts * (fleet.bytes_per_endpoint + table)
-    told_busiest = peak * fleet.bytes_per_route + gone * fleet.bytes_per_endpoint + looks * table
-    whole = fleet.tenants * fleet.routes_per_tenant * fleet.bytes_per_route
-    whole += fleet.endpoints * fleet.bytes_per_endpoint + table
-    return _Load(
-        changes=(changes + 2 * starts, peak + gone + looks),
-        told_bytes=(told, told_busiest),
-        tables_mb=3 * whole / 1e6,
+    restarts = fleet.machines_restarted_per_day / DAY_S
+    endpoints_lost = fleet.endpoints / fleet.zones / MINUTE_S
+    node_table_bytes = fleet.control_machines * 3 * fleet.bytes_per_node
+    session_table_updates = 1.0  # the session table is sent at most once a second while a zone is being lost
+    update_bytes = changes * fleet.bytes_per_route + restarts * (fleet.bytes_per_endpoint + node_table_bytes)
+    update_bytes_busiest = (
+        peak * fleet.bytes_per_route
+        + endpoints_lost * fleet.bytes_per_endpoint
+        + session_table_updates * node_table_bytes
+    )
+    total_bytes = fleet.tenants * fleet.routes_per_tenant * fleet.bytes_per_route
+    total_bytes += fleet.endpoints * fleet.bytes_per_endpoint + node_table_bytes
+    return _DerivedLoad(
+        changes=(changes + 2 * restarts, peak + endpoints_lost + session_table_updates),
+        update_bytes=(update_bytes, update_bytes_busiest),
+        tables_mb=3 * total_bytes / 1e6,
         sessions=(fleet.sidecars / fleet.control_machines, 2 * fleet.sidecars / fleet.control_machines),
         items=(fleet.items_per_day / DAY_S, fleet.largest_lot / (15 * MINUTE_S)),
         item_bytes=fleet.item_body_bytes * 4 / 3 + fleet.item_result_bytes,
@@ -143,17 +150,17 @@
     )
 
 
-def _edge(fleet: TierFleet, slopes: TierSlopes, load: _Load) -> list[Row]:
+def _edge_rows(fleet: TierFleet, slopes: TierSlopes, load: _DerivedLoad) -> list[Row]:
     budget = fleet.budget
     role = "edge sidecar"
-    share = [slopes.hollow_share + c * slopes.change_us / 1e6 for c in load.changes]
-    told = [slopes.session_bytes_per_s + t for t in load.told_bytes]
-    busy = load.requests * slopes.edge_request_us / 1e6
+    processor = [slopes.hollow_share + c * slopes.change_us / 1e6 for c in load.changes]
+    update_bytes = [slopes.session_bytes_per_s + t for t in load.update_bytes]
+    request_processor = load.requests * slopes.edge_request_us / 1e6
     return [
         Row(
             role,
             "control: processor",
-            pair(share),
+            calm_and_busiest(processor),
             "cores",
             budget.control_share,
             "control_share",
@@ -162,7 +169,7 @@
         Row(
             role,
             "control: bytes",
-            pair(told),
+            calm_and_busiest(update_bytes),
             "bytes/s",
             budget.control_bytes_per_s,
             "control_bytes_per_s",
@@ -180,7 +187,7 @@
         Row(
             role,
             "requests: processor",
-            (busy / 2, busy),
+            (request_processor / 2, request_processor),
             "cores",
             budget.core,
             "core",
@@ -198,22 +205,27 @@
     ]
 
 
-def _control(fleet: TierFleet, slopes: TierSlopes, load: _Load) -> list[Row]:
+def _control_rows(fleet: TierFleet, slopes: TierSlopes, load: _DerivedLoad) -> list[Row]:
     budget = fleet.budget
-    each = zip(load.sessions, load.changes, load.told_bytes, strict=True)
+    loads = zip(load.sessions, load.changes, load.update_bytes, strict=True)
     figures = [
-        (s * (slopes.session_share + c * slopes.change_us / 1e6), s * (slopes.session_bytes_per_s + t))
-        for s, c, t in each
+        (
+            sessions * (slopes.session_share + changes * slopes.change_us / 1e6),
+            sessions * (slopes.session_bytes_per_s + sent_bytes),
+        )
+        for sessions, changes, sent_bytes in loads
     ]
-    processor, wire = zip(*figures, strict=True)
-    memory = [slopes.control_fixed_mb + load.tables_mb + s * slopes.control_session_mb for s in load.sessions]
-    others = fleet.control_machines - 1
-    listing = fleet.endpoints * fleet.bytes_per_endpoint
+    processor, wire_bytes = zip(*figures, strict=True)
+    memory_mb = [
+        slopes.control_fixed_mb + load.tables_mb + s * slopes.control_session_mb for s in load.sessions
+    ]
+    other_nodes = fleet.control_machines - 1
+    listing_bytes = fleet.endpoints * fleet.bytes_per_endpoint
     return [
         Row(
             "control node",
             "processor",
-            pair(processor),
+            calm_and_busiest(processor),
             "cores",
             budget.core,
             "core",
@@ -222,13 +234,21 @@
         Row(
             "control node",
             "bytes",
-            pair(wire),
+            calm_and_busiest(wire_bytes),
             "bytes/s",
             budget.link_bytes_per_s,
             "link_bytes_per_s",
             "the same",
         ),
-        Row("control node", "memory", pair(memory), "MB", budget.machine_mb, "machine_mb", "the same"),
+        Row(
+            "control node",
+            "memory",
+            calm_and_busiest(memory_mb),
+            "MB",
+            budget.machine_mb,
+            "machine_mb",
+            "the same",
+        ),
         Row(
             "control primary",
             "commits",
@@ -241,7 +261,7 @@
         Row(
             "control primary",
             "bytes to nodes",
-            pair(others * t for t in load.told_bytes),
+            calm_and_busiest(other_nodes * t for t in load.update_bytes),
             "bytes/s",
             budget.link_bytes_per_s,
             "link_bytes_per_s",
@@ -268,7 +288,7 @@
         Row(
             "list reader",
             "bytes",
-            (listing, listing),
+            (listing_bytes, listing_bytes),
             "bytes/s",
             budget.link_bytes_per_s,
             "link_bytes_per_s",
@@ -277,18 +297,20 @@
     ]
 
 
-def _storage(fleet: TierFleet, slopes: TierSlopes, load: _Load) -> list[Row]:
+def _storage_rows(fleet: TierFleet, slopes: TierSlopes, load: _DerivedLoad) -> list[Row]:
     budget = fleet.budget
-    spread = fleet.copies / fleet.storage_machines
-    processor = [i * slopes.storage_item_us / 1e6 for i in load.items]
-    kept = load.items[0] * fleet.kept_s * load.item_bytes / 1e6 * spread
-    written = [i * load.item_bytes * spread for i in load.items]
-    index = [slopes.storage_mb + ITEM_INDEX_MB * i * fleet.kept_s * spread for i in load.items]
+    copies_per_machine = fleet.copies / fleet.storage_machines
+    processor_cores = [i * slopes.storage_item_us / 1e6 for i in load.items]
+    stored_mb = load.items[0] * fleet.kept_s * load.item_bytes / 1e6 * copies_per_machine
+    written_bytes = [i * load.item_bytes * copies_per_machine for i in load.items]
+    memory_mb = [
+        slopes.storage_mb + ITEM_INDEX_MB * i * fleet.kept_s * copies_per_machine for i in load.items
+    ]
     return [
         Row(
             "batch owner",
             "processor",
-            pair(processor),
+            calm_and_busiest(processor_cores),
             "cores",
             budget.core,
             "core",
@@ -297,7 +319,7 @@
         Row(
             "batch owner",
             "commits",
-            pair(min(2 * i, budget.syncs_per_s) for i in load.items),
+            calm_and_busiest(min(2 * i, budget.syncs_per_s) for i in load.items),
             "/s",
             budget.syncs_per_s,
             "syncs_per_s",
@@ -315,7 +337,7 @@
         Row(
             "storage replica",
             "state on disk",
-            (kept, kept),
+            (stored_mb, stored_mb),
             "MB",
             None,
             "",
@@ -324,7 +346,7 @@
         Row(
             "storage replica",
             "memory",
-            pair(index),
+            calm_and_busiest(memory_mb),
             "MB",
             budget.machine_mb,
             "machine_mb",
@@ -333,7 +355,7 @@
         Row(
             "storage replica",
             "bytes written",
-            pair(written),
+            calm_and_busiest(written_bytes),
             "bytes/s",
             budget.link_bytes_per_s,
             "link_bytes_per_s",
@@ -343,27 +365,34 @@
 
 
 def rows(fleet: TierFleet, slopes: TierSlopes) -> list[Row]:
-    """Every figure, by role."""
-    load = _load(fleet)
-    return [*_edge(fleet, slopes, load), *_control(fleet, slopes, load), *_storage(fleet, slopes, load)]
+    """All figures, by role."""
+    load = _derive_load(fleet)
+    return [
+        *_edge_rows(fleet, slopes, load),
+        *_control_rows(fleet, slopes, load),
+        *_storage_rows(fleet, slopes, load),
+    ]
 
 
 def page(fleet: TierFleet, slopes: TierSlopes) -> str:
-    """The tables of docs/CAPACITY.md for the tier, as Markdown."""
-    found = rows(fleet, slopes)
-    head = (
-        f"{number(fleet.sidecars)} sidecars, {number(fleet.endpoints)} endpoints, "
-        f"{number(fleet.requests_per_s)} requests/s, {number(fleet.items_per_day)} batch items a day\n\n"
+    """Render the tier's table of docs/CAPACITY.md as Markdown."""
+    figures = rows(fleet, slopes)
+    heading = (
+        f"{format_number(fleet.sidecars)} sidecars, {format_number(fleet.endpoints)} endpoints, "
+        f"{format_number(fleet.requests_per_s)} requests/s, "
+        f"{format_number(fleet.items_per_day)} batch items a day\n\n"
     )
-    lines: list[Sequence[str]] = []
-    for row in found:
-        allowed = "-" if row.budget is None else f"{amount(row.budget, row.unit)} ({row.of})"
-        held = {None: "-", True: "holds", False: f"breaks: {number(_excess(row))} times"}[row.holds]
-        calm, busiest = (amount(each, row.unit) for each in row.amounts)
-        lines.append((row.role, row.what, calm, busiest, allowed, held, row.mechanism))
+    table_rows: list[Sequence[str]] = []
+    for row in figures:
+        budget = "-" if row.budget is None else f"{format_amount(row.budget, row.unit)} ({row.of})"
+        verdict = {None: "-", True: "holds", False: f"breaks: {format_number(_times_budget(row))} times"}[
+            row.holds
+        ]
+        calm, busiest = (format_amount(each, row.unit) for each in row.amounts)
+        table_rows.append((row.role, row.what, calm, busiest, budget, verdict, row.mechanism))
     columns = ("role", "figure", "calm", "busiest minute", "budget", "", "what carries it, or would")
-    return head + table(columns, lines, right=(2, 3)) + "\n"
+    return heading + markdown_table(columns, table_rows, right_aligned=(2, 3)) + "\n"
 
 
-def _excess(row: Row) -> float:
+def _times_budget(row: Row) -> float:
     return 0.0 if row.budget is None else max(row.amounts) / row.budget
--- a/tests/test_capacity_tier.py
+++ b/tests/test_capacity_tier.py
@@ -1,4 +1,4 @@
-"""The tier's size: the model's arithmetic, and the page beside the command."""
+"""Capacity model of the serving tier: its arithmetic, the command and the tables in the page."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return convert(load_document(SLOPES)[0], TierSlopes, str(SLOPES), human_format=True)
 
 
-def test_the_stated_fleet_is_the_operators(fleet: TierFleet) -> None:
+def test_default_fleet_matches_the_operators_figures(fleet: TierFleet) -> None:
     assert (fleet.sidecars, fleet.endpoints, fleet.accelerators) == (1200, 10_000, 80_000)
     assert (fleet.requests_per_s, fleet.tokens_out_per_s) == (40_000, 13_000_000)
     assert (fleet.items_per_day, fleet.lots_per_day, fleet.largest_lot) == (14_000_000, 2300, 690_000)
@@ -38,7 +38,7 @@
     assert (fleet.budget.control_bytes_per_s, fleet.budget.in_force_s) == (14 * 1024, 15)
 
 
-def test_page_has_what_the_command_prints(fleet: TierFleet, slopes: TierSlopes) -> None:
+def test_the_page_contains_the_output_of_the_command(fleet: TierFleet, slopes: TierSlopes) -> None:
     command = [sys.executable, "-m", "eiderhub.cli", "capacity", "--tier"]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60)
     assert done.stdout == page(fleet, slopes)
@@ -46,22 +46,22 @@
     assert done.returncode == int(any(row.holds is False for row in rows(fleet, slopes)))
 
 
-def test_nothing_falls_as_the_fleet_grows(fleet: TierFleet, slopes: TierSlopes) -> None:
-    counts = ("sidecars", "endpoints", "requests_per_s", "items_per_day", "tenants", "changes_per_day")
-    for name in counts:
+def test_no_amount_decreases_as_the_fleet_grows(fleet: TierFleet, slopes: TierSlopes) -> None:
+    inputs = ("sidecars", "endpoints", "requests_per_s", "items_per_day", "tenants", "changes_per_day")
+    for name in inputs:
         grown = structs.replace(fleet, **{name: 2 * getattr(fleet, name)})
         for before, after in zip(rows(fleet, slopes), rows(grown, slopes), strict=True):
             if name == "sidecars" and "requests" in before.what:
-                continue  # the same requests over more sidecars
+                continue  # the same requests are spread over more sidecars
             assert max(after.amounts) >= max(before.amounts), (name, before.role, before.what)
 
 
-def test_items_a_second_are_those_of_the_day(fleet: TierFleet, slopes: TierSlopes) -> None:
+def test_batch_owner_processor_time_follows_from_items_per_day(fleet: TierFleet, slopes: TierSlopes) -> None:
     owner = next(row for row in rows(fleet, slopes) if (row.role, row.what) == ("batch owner", "processor"))
     assert owner.amounts[0] == pytest.approx(14e6 / DAY_S * slopes.storage_item_us / 1e6)
 
 
-def test_bad_fleet_is_one_plain_error(tmp_path: Path) -> None:
+def test_an_invalid_fleet_gives_an_error_without_traceback(tmp_path: Path) -> None:
     file = tmp_path / "fleet.toml"
     file.write_text(FLEET.read_text().replace("sidecars = 1200", "sidecars = 0"))
     command = [sys.executable, "-m", "eiderhub.cli", "capacity", "--tier", "--fleet", str(file)]
