--- a/eiderhub/capacity/fleet.py
+++ b/eiderhub/capacity/fleet.py
@@ -196,7 +196,7 @@
         return [zone for zones in self.regions.values() for zone in zones]
 
     @property
-    def region_of(self) -> dict[str, str]:
+    def region_by_zone(self) -> dict[str, str]:
         """Region by zone."""
         return {zone: region for region, zones in self.regions.items() for zone in zones}
 
--- a/eiderhub/capacity/model.py
+++ b/eiderhub/capacity/model.py
@@ -149,7 +149,7 @@
         self.service_classes = fleet.service_classes()
         self.sidecars = float(fleet.endpoints)
         regions, control = fleet.regions, fleet.control
-        zones = len(fleet.region_of)
+        zones = len(fleet.region_by_zone)
         other_zone_share = (1 - fleet.largest_zone) / (zones - 1) if zones > 1 else 0.0
         # The largest zone is assumed to be in the largest region, and all other zones to be of equal size.
         self.zone_share = fleet.largest_zone
@@ -587,7 +587,7 @@
 
 def min_endpoints(fleet: Fleet) -> int:
     """The smallest valid number of endpoints: one for each service and zone, and at least one full rack."""
-    return max(fleet.services, len(fleet.region_of), fleet.year.endpoints_per_rack)
+    return max(fleet.services, len(fleet.region_by_zone), fleet.year.endpoints_per_rack)
 
 
 def first_break(breaks: Callable[[int], bool], low: int, high: int) -> int | None:
@@ -606,7 +606,7 @@
     return low
 
 
-def capacity(fleet: Fleet, slopes: Slopes) -> Capacity:
+def compute_capacity(fleet: Fleet, slopes: Slopes) -> Capacity:
     """Compute all figures of a fleet, each with its budget and the size from which it is exceeded."""
     costs = Costs(slopes)
     current_moments = moments(fleet, costs)
--- a/eiderhub/capacity/slopes.py
+++ b/eiderhub/capacity/slopes.py
@@ -16,7 +16,7 @@
 
 # Name: unit, drivers, description. Processor time is the user and system time of one process; bytes count
 # both directions; memory is the resident size of the process.
-KNOWN: dict[str, tuple[str, tuple[str, ...], str]] = {
+SLOPE_DEFINITIONS: dict[str, tuple[str, tuple[str, ...], str]] = {
     "decisions.order": ("us", ("endpoint",), "one request decided, sent and answered, by length of the list"),
     "decisions.delta": ("us", ("endpoint",), "a change of one endpoint, by length of the list"),
     "decisions.whole_list": ("us", ("endpoint",), "a full list, by its length"),
@@ -68,7 +68,7 @@
     sizes: dict[str, tuple[float, float]] = {}  # by driver: smallest and largest measured value
     runs: Annotated[list[Name], Meta(min_length=1)]  # result files, or names of runs within one file
 
-    def at(self, drivers: Mapping[str, float]) -> float:
+    def evaluate(self, drivers: Mapping[str, float]) -> float:
         """The amount in the slope's unit. Drivers that the slope does not depend on are ignored."""
         return self.fixed + sum(amount * drivers.get(name, 0.0) for name, amount in self.per.items())
 
@@ -84,15 +84,15 @@
 
     def __post_init__(self) -> None:
         for name, slope in self.slopes.items():
-            if name not in KNOWN:
+            if name not in SLOPE_DEFINITIONS:
                 raise ValueError(f"slopes.{name}: unknown slope; remove it")
-            unit, drivers, _ = KNOWN[name]
+            unit, drivers, _ = SLOPE_DEFINITIONS[name]
             if slope.unit != unit:
                 raise ValueError(f"slopes.{name}.unit: must be {unit!r}")
             for driver in slope.per:
                 if driver not in drivers:
                     allowed = ", ".join(drivers) or "nothing"
                     raise ValueError(f"slopes.{name}.per.{driver}: unknown driver; allowed: {allowed}")
-        missing = [name for name in KNOWN if name not in self.slopes]
+        missing = [name for name in SLOPE_DEFINITIONS if name not in self.slopes]
         if missing:
             raise ValueError(f"slopes.{missing[0]}: missing; measure it with `ottercleat bench`")
--- a/eiderhub/capacity/table.py
+++ b/eiderhub/capacity/table.py
@@ -6,7 +6,7 @@
 
 from eiderhub.capacity.fleet import Fleet
 from eiderhub.capacity.model import BUSIEST_MINUTE, CALM, WORST_HOUR, Capacity, Figure
-from eiderhub.capacity.slopes import KNOWN, Slope, Slopes
+from eiderhub.capacity.slopes import SLOPE_DEFINITIONS, Slope, Slopes
 
 EMPTY_CELL = "-"
 
@@ -116,7 +116,7 @@
 def slopes_table(capacity: Capacity, slopes: Slopes) -> str:
     """Render each slope with its measured range and the largest values that the model used."""
     rows = []
-    for name in KNOWN:
+    for name in SLOPE_DEFINITIONS:
         slope = slopes.slopes[name]
         per = ", ".join(f"{format_number(value)} for each {driver}" for driver, value in slope.per.items())
         rows.append(
@@ -166,13 +166,13 @@
     return markdown_table(columns, rows, (1, 2, 3, 4))
 
 
-def page(fleet: Fleet, slopes: Slopes, capacity: Capacity) -> str:
+def render_page(fleet: Fleet, slopes: Slopes, capacity: Capacity) -> str:
     """Render all tables, as printed by the command and included in the page."""
     source = f"{slopes.machine}, revision {slopes.revision}, {slopes.measured}"
     roles = dict.fromkeys(figure.role for figure in capacity.figures)
     parts = [
         f"{fleet.endpoints:,} endpoints in {fleet.services:,} services, {len(fleet.regions)} regions, "
-        f"{len(fleet.region_of)} zones; {format_number(fleet.calls_per_s)} calls/s; slopes: {source}",
+        f"{len(fleet.region_by_zone)} zones; {format_number(fleet.calls_per_s)} calls/s; slopes: {source}",
         service_classes_table(fleet),
         *(f"### {role[0].upper()}{role[1:]}\n\n{figures_table(capacity, role)}" for role in roles),
         f"### What breaks, the soonest first\n\n{broken_budgets_table(capacity)}",
@@ -181,7 +181,7 @@
     return "\n\n".join(parts) + "\n"
 
 
-def document(fleet: Fleet, slopes: Slopes, capacity: Capacity) -> dict[str, object]:
+def json_document(fleet: Fleet, slopes: Slopes, capacity: Capacity) -> dict[str, object]:
     """All figures as JSON-compatible data with units; processor time is in cores."""
     return {
         "endpoints": fleet.endpoints,
--- a/eiderhub/capacity/tier.py
+++ b/eiderhub/capacity/tier.py
@@ -364,7 +364,7 @@
     ]
 
 
-def rows(fleet: TierFleet, slopes: TierSlopes) -> list[Row]:
+def compute_rows(fleet: TierFleet, slopes: TierSlopes) -> list[Row]:
     """All figures, by role."""
     load = _derive_load(fleet)
     return [
@@ -374,9 +374,9 @@
     ]
 
 
-def page(fleet: TierFleet, slopes: TierSlopes) -> str:
+def render_page(fleet: TierFleet, slopes: TierSlopes) -> str:
     """Render the tier's table of docs/CAPACITY.md as Markdown."""
-    figures = rows(fleet, slopes)
+    figures = compute_rows(fleet, slopes)
     heading = (
         f"{format_number(fleet.sidecars)} sidecars, {format_number(fleet.endpoints)} endpoints, "
         f"{format_number(fleet.requests_per_s)} requests/s, "
--- a/eiderhub/cli/capacity.py
+++ b/eiderhub/cli/capacity.py
@@ -13,15 +13,15 @@
 from eiderhub.documents import DocumentError, Fault, convert, load_document
 
 REPOSITORY = Path(__file__).parents[2]
-FLEET = "deploy/fleet.toml"
-SLOPES = "docs/capacity/slopes.json"
+DEFAULT_FLEET = "deploy/fleet.toml"
+DEFAULT_SLOPES = "docs/capacity/slopes.json"
 DEFAULT_TIER_FLEET = "deploy/tier-fleet.toml"
 DEFAULT_TIER_SLOPES = "docs/capacity/tier-slopes.json"
 MISSING_FILE_HINTS = {
-    FLEET: "name another with --fleet FILE",
+    DEFAULT_FLEET: "name another with --fleet FILE",
     DEFAULT_TIER_FLEET: "name another with --fleet FILE",
     DEFAULT_TIER_SLOPES: "name others with --slopes FILE",
-    SLOPES: "measure them with `ottercleat bench slopes`, or name others with --slopes FILE",
+    DEFAULT_SLOPES: "measure them with `ottercleat bench slopes`, or name others with --slopes FILE",
 }
 
 
@@ -61,8 +61,8 @@
 
 
 @click.command("capacity")
-@click.option("--fleet", metavar="FILE", help=f"Counts, skew and budgets, instead of {FLEET}.")
-@click.option("--slopes", metavar="FILE", help=f"Measured costs, instead of {SLOPES}.")
+@click.option("--fleet", metavar="FILE", help=f"Counts, skew and budgets, instead of {DEFAULT_FLEET}.")
+@click.option("--slopes", metavar="FILE", help=f"Measured costs, instead of {DEFAULT_SLOPES}.")
 @click.option(
     "--tier", "of_tier", is_flag=True, help="For the serving tier instead of the in-service program."
 )
@@ -77,20 +77,20 @@
         return _report_tier(
             _resolve_file(fleet, DEFAULT_TIER_FLEET), _resolve_file(slopes, DEFAULT_TIER_SLOPES), json_file
         )
-    fleet_settings = read_fleet(_resolve_file(fleet, FLEET))
-    measured = read_slopes(_resolve_file(slopes, SLOPES))
-    requirements = model.capacity(fleet_settings, measured)
-    screen.write_json(json_file, table.document(fleet_settings, measured, requirements))
+    fleet_settings = read_fleet(_resolve_file(fleet, DEFAULT_FLEET))
+    measured = read_slopes(_resolve_file(slopes, DEFAULT_SLOPES))
+    requirements = model.compute_capacity(fleet_settings, measured)
+    screen.write_json(json_file, table.json_document(fleet_settings, measured, requirements))
     if json_file != "-":
-        click.echo(table.page(fleet_settings, measured, requirements), nl=False)
+        click.echo(table.render_page(fleet_settings, measured, requirements), nl=False)
     return 1 if any(one.holds is False for one in requirements.figures) else 0
 
 
 def _report_tier(fleet_file: Path, slopes_file: Path, json_file: str | None) -> int:
     fleet = convert(load_document(fleet_file)[0], tier.TierFleet, str(fleet_file), human_format=True)
     measured = convert(load_document(slopes_file)[0], tier.TierSlopes, str(slopes_file), human_format=True)
-    rows = tier.rows(fleet, measured)
+    rows = tier.compute_rows(fleet, measured)
     screen.write_json(json_file, {"rows": [row._asdict() | {"holds": row.holds} for row in rows]})
     if json_file != "-":
-        click.echo(tier.page(fleet, measured), nl=False)
+        click.echo(tier.render_page(fleet, measured), nl=False)
     return 1 if any(row.holds is False for row in rows) else 0
--- a/eiderhub/scale/fit.py
+++ b/eiderhub/scale/fit.py
@@ -16,7 +16,7 @@
 import msgspec
 import numpy as np
 
-from eiderhub.capacity.slopes import KNOWN, Slope, Slopes
+from eiderhub.capacity.slopes import SLOPE_DEFINITIONS, Slope, Slopes
 from eiderhub.documents import DocumentError, Fault
 from eiderhub.scale.decisions import DecisionsResult, Sample
 from eiderhub.scale.path import RelayResult
@@ -220,7 +220,7 @@
 BY_RECORD = tuple(
     f"{count} and record"
     for count, name in (("second", "main.idle"), ("write", "main.write"))
-    if "record" in KNOWN[name][1]
+    if "record" in SLOPE_DEFINITIONS[name][1]
 )
 MAIN_COUNTS = ("second", "write", "renewal", "feed", *BY_RECORD)
 FOLLOWER_COUNTS = ("second", "change", "answer", "entry")
@@ -329,7 +329,7 @@
             machine=next(iter(self.runs.relay.values())).machine,
             measured=max(each.measured for each in small),
             settings=settings,
-            slopes={name: found[name] for name in KNOWN},
+            slopes={name: found[name] for name in SLOPE_DEFINITIONS},
         )
 
     def _decisions(self) -> dict[str, Slope]:
@@ -394,7 +394,7 @@
         delta = self._decisions()["decisions.delta"]
         observations = []
         for name, run in self.runs.scale.items():
-            in_an_answer = delta.at({"endpoint": run.settings.mean_list})
+            in_an_answer = delta.evaluate({"endpoint": run.settings.mean_list})
             for each in _observed({name: run}, HOLLOW, _cpu_us, _hollow_drivers):
                 # An answer without news decides nothing; one with news is taken to change one entry.
                 decided = in_an_answer * min(each.drivers["answer"], each.drivers["entry"])
@@ -568,7 +568,7 @@
 def _slope(name: str, line: Line, fixed: str, per: Mapping[str, str]) -> Slope:
     """A known slope out of a line: `fixed` is the line's driver for one, `per` the others by its drivers."""
     return Slope(
-        unit=KNOWN[name][0],
+        unit=SLOPE_DEFINITIONS[name][0],
         fixed=_figures(line.prices[fixed]),
         per={driver: _figures(line.prices[count]) for driver, count in per.items()},
         spread=round(line.spread, 4),
--- a/eiderhub/scale/plan.py
+++ b/eiderhub/scale/plan.py
@@ -157,7 +157,16 @@
         rank = ranks[follows] = ranks.get(follows, -1) + 1
         zone = zones[i % len(zones)]
         seats.append(
-            Seat(f"e{i}", service, zone, fleet.region_of[zone], follows, rank, counts[follows], i in chosen)
+            Seat(
+                f"e{i}",
+                service,
+                zone,
+                fleet.region_by_zone[zone],
+                follows,
+                rank,
+                counts[follows],
+                i in chosen,
+            )
         )
     if real:
         assert sum(seat.real for seat in seats) == real
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,7 +19,7 @@
 from eiderhub.capacity import model, table
 from eiderhub.capacity.fleet import Fleet, apportion, proportional
 from eiderhub.capacity.model import CORES, CUT_REGION_DELAY, FOLLOWER, MAIN, MEMORY, PATH, SIDECAR
-from eiderhub.capacity.slopes import KNOWN, Slope, Slopes
+from eiderhub.capacity.slopes import SLOPE_DEFINITIONS, Slope, Slopes
 from eiderhub.cli.__main__ import main
 from eiderhub.documents import convert, load_document
 from eiderhub.registry import adoption, client, core, follower, watches
@@ -39,7 +39,7 @@
 
 def example_slopes(**fixed: float) -> Slopes:
     """Slopes of round numbers; `fixed` overrides fixed parts, by slope name with _ in place of the dot."""
-    names = {name.replace(".", "_"): name for name in KNOWN}
+    names = {name.replace(".", "_"): name for name in SLOPE_DEFINITIONS}
     overrides = {names[name]: value for name, value in fixed.items()}
     slopes = {
         name: Slope(
@@ -50,7 +50,7 @@
             sizes=dict.fromkeys(drivers, (1.0, 1000.0)),
             runs=["invented"],
         )
-        for name, (unit, drivers, _) in KNOWN.items()
+        for name, (unit, drivers, _) in SLOPE_DEFINITIONS.items()
     }
     return Slopes(revision="none", machine="invented", measured="never", slopes=slopes)
 
@@ -59,7 +59,7 @@
     """Slopes that are all zero."""
     slopes = {
         name: Slope(unit=unit, fixed=0.0, spread=0.0, runs=["invented"])
-        for name, (unit, _, _) in KNOWN.items()
+        for name, (unit, _, _) in SLOPE_DEFINITIONS.items()
     }
     return Slopes(revision="none", machine="invented", measured="never", slopes=slopes)
 
@@ -91,8 +91,8 @@
     assert (fleet.budget.sidecar_cores, fleet.budget.sidecar_memory_mb) == (0.01, 128)
     assert fleet.budget.sidecar_bytes_per_s == 7000
     assert (fleet.day.configuration, fleet.day.machines_failed, fleet.day.replaced) == (10_000, 65, 1_300)
-    assert set(fleet.region_of) == set(fleet.zone_names())
-    assert set(fleet.region_of.values()) == set(fleet.regions)
+    assert set(fleet.region_by_zone) == set(fleet.zone_names())
+    assert set(fleet.region_by_zone.values()) == set(fleet.regions)
 
 
 def test_each_assumption_is_marked_on_its_line() -> None:
@@ -248,10 +248,10 @@
     )
 
 
-@pytest.mark.parametrize("name", sorted(KNOWN))
+@pytest.mark.parametrize("name", sorted(SLOPE_DEFINITIONS))
 def test_each_slope_is_used_and_raises_an_amount(name: str) -> None:
     """Every slope is used, and a higher cost never lowers an amount."""
-    costlier = example_slopes(**{name.replace(".", "_"): 50 * FIXED[KNOWN[name][0]]})
+    costlier = example_slopes(**{name.replace(".", "_"): 50 * FIXED[SLOPE_DEFINITIONS[name][0]]})
     if name == "decisions.order":  # its fixed part is already included in path.call
         slope = structs.replace(costlier.slopes[name], per={"endpoint": 500.0})
         costlier = structs.replace(costlier, slopes=costlier.slopes | {name: slope})
@@ -340,7 +340,7 @@
 
 
 def test_a_cut_region_receives_changes_only_after_it_reconnects() -> None:
-    found = model.capacity(default_fleet(), zero_cost_slopes())
+    found = model.compute_capacity(default_fleet(), zero_cost_slopes())
     (figure,) = (one for one in found.figures if (one.role, one.resource) == CUT_REGION_DELAY)
     # After the cut, the minimum interval between notifications is 0.1 ms per watch.
     reduced_shape = model.FleetShape(default_fleet(), unavailable_machines=1)
@@ -375,7 +375,8 @@
 
 def test_figures_have_their_units() -> None:
     found = {
-        (one.role, one.resource): one for one in model.capacity(default_fleet(), example_slopes()).figures
+        (one.role, one.resource): one
+        for one in model.compute_capacity(default_fleet(), example_slopes()).figures
     }
     assert found[SIDECAR, CORES].unit == "cores" and found[SIDECAR, MEMORY].unit == "MB"
     assert found[SIDECAR, "bytes"].unit == "bytes/s"
@@ -415,7 +416,7 @@
 
 def test_each_budget_breaks_at_the_reported_size() -> None:
     fleet, slopes = default_fleet(), example_slopes()
-    found = model.capacity(fleet, slopes)
+    found = model.compute_capacity(fleet, slopes)
     low, high = found.looked_at
     assert low == 1_300
     seen = set()
@@ -442,7 +443,7 @@
 
 
 def test_size_at_which_renewals_saturate_the_main_process() -> None:
-    found = model.capacity(default_fleet(), single_cost_slopes("main.renewal", 100.0))
+    found = model.compute_capacity(default_fleet(), single_cost_slopes("main.renewal", 100.0))
     (figure,) = (one for one in found.figures if (one.role, one.resource) == (MAIN, CORES))
     # 1.11 renewals per second and endpoint at 100 us each: 9,000 endpoints use one core, and slightly fewer
     # with a region's refused renewals in the same minute.
@@ -463,7 +464,8 @@
 
 def test_main_connections_break_at_the_callers_limit() -> None:
     found = {
-        (one.role, one.resource): one for one in model.capacity(default_fleet(), zero_cost_slopes()).figures
+        (one.role, one.resource): one
+        for one in model.compute_capacity(default_fleet(), zero_cost_slopes()).figures
     }
     assert found[MAIN, "connections"].breaks_from == 5000 - 21 + 1
     assert found[FOLLOWER, "watches"].holds is False
@@ -477,12 +479,12 @@
 
 
 def test_use_beyond_the_measured_range_is_reported() -> None:
-    found = model.capacity(default_fleet(), example_slopes())
+    found = model.compute_capacity(default_fleet(), example_slopes())
     beyond = {(one.slope, one.driver) for one in found.used if one.extrapolated}
     assert ("main.memory", "record") in beyond  # used at 19,000, measured up to 1,000
     assert ("decisions.delta", "endpoint") not in beyond  # used at 292
     for one in found.used:
-        assert one.driver in KNOWN[one.slope][1]
+        assert one.driver in SLOPE_DEFINITIONS[one.slope][1]
 
 
 # --- tables ---
@@ -501,11 +503,11 @@
 
 def test_tables_are_complete_and_aligned() -> None:
     fleet, slopes = default_fleet(), example_slopes()
-    found = model.capacity(fleet, slopes)
-    text = table.page(fleet, slopes, found)
+    found = model.compute_capacity(fleet, slopes)
+    text = table.render_page(fleet, slopes, found)
     for one in found.figures:
         assert f"| {one.resource}" in text
-    assert all(f"| {name} " in text for name in KNOWN)
+    assert all(f"| {name} " in text for name in SLOPE_DEFINITIONS)
     for block in text.split("\n\n"):
         lines = block.strip().splitlines()
         if lines[0].startswith("|"):
@@ -523,7 +525,7 @@
     unconstrained = structs.replace(
         fleet, list_service=limits, year=structs.replace(fleet.year, regions_cut=0)
     )
-    found = model.capacity(unconstrained, zero_cost_slopes())
+    found = model.compute_capacity(unconstrained, zero_cost_slopes())
     assert table.broken_budgets_table(found) == "Every budget holds."
 
 
@@ -562,9 +564,9 @@
     assert run_command(monkeypatch, *options, "--json", str(file)) == 1  # budgets break
     out, err = capfd.readouterr()
     fleet, slopes = default_fleet(), example_slopes()
-    assert out == table.page(fleet, slopes, model.capacity(fleet, slopes)) and err == ""
+    assert out == table.render_page(fleet, slopes, model.compute_capacity(fleet, slopes)) and err == ""
     document = json.loads(file.read_text(encoding="utf-8"))
-    assert len(document["figures"]) == len(model.capacity(fleet, slopes).figures)
+    assert len(document["figures"]) == len(model.compute_capacity(fleet, slopes).figures)
     assert {one["holds"] for one in document["figures"]} == {True, False, None}
     assert run_command(monkeypatch, *options, "--json", "-") == 1
     assert json.loads(capfd.readouterr().out) == document
@@ -737,10 +739,10 @@
     (tmp_path / "deploy").mkdir()
     monkeypatch.setattr(capacity, "REPOSITORY", tmp_path)
     assert run_command(monkeypatch) == 2
-    assert f"{tmp_path / capacity.FLEET}: no such file; name another" in capfd.readouterr().err
-    (tmp_path / capacity.FLEET).write_bytes(FLEET.read_bytes())
+    assert f"{tmp_path / capacity.DEFAULT_FLEET}: no such file; name another" in capfd.readouterr().err
+    (tmp_path / capacity.DEFAULT_FLEET).write_bytes(FLEET.read_bytes())
     assert run_command(monkeypatch) == 2
-    assert f"{tmp_path / capacity.SLOPES}: no such file; measure them" in capfd.readouterr().err
+    assert f"{tmp_path / capacity.DEFAULT_SLOPES}: no such file; measure them" in capfd.readouterr().err
 
 
 def test_the_page_contains_the_output_of_the_command(
--- a/tests/test_capacity_tier.py
+++ b/tests/test_capacity_tier.py
@@ -9,7 +9,7 @@
 import pytest
 from msgspec import structs
 
-from eiderhub.capacity.tier import DAY_S, TierFleet, TierSlopes, page, rows
+from eiderhub.capacity.tier import DAY_S, TierFleet, TierSlopes, compute_rows, render_page
 from eiderhub.documents import convert, load_document
 
 REPOSITORY = Path(__file__).parents[1]
@@ -41,23 +41,25 @@
 def test_the_page_contains_the_output_of_the_command(fleet: TierFleet, slopes: TierSlopes) -> None:
     command = [sys.executable, "-m", "eiderhub.cli", "capacity", "--tier"]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60)
-    assert done.stdout == page(fleet, slopes)
+    assert done.stdout == render_page(fleet, slopes)
     assert done.stdout in (REPOSITORY / "docs/CAPACITY.md").read_text()
-    assert done.returncode == int(any(row.holds is False for row in rows(fleet, slopes)))
+    assert done.returncode == int(any(row.holds is False for row in compute_rows(fleet, slopes)))
 
 
 def test_no_amount_decreases_as_the_fleet_grows(fleet: TierFleet, slopes: TierSlopes) -> None:
     inputs = ("sidecars", "endpoints", "requests_per_s", "items_per_day", "tenants", "changes_per_day")
     for name in inputs:
         grown = structs.replace(fleet, **{name: 2 * getattr(fleet, name)})
-        for before, after in zip(rows(fleet, slopes), rows(grown, slopes), strict=True):
+        for before, after in zip(compute_rows(fleet, slopes), compute_rows(grown, slopes), strict=True):
             if name == "sidecars" and "requests" in before.what:
                 continue  # the same requests are spread over more sidecars
             assert max(after.amounts) >= max(before.amounts), (name, before.role, before.what)
 
 
 def test_batch_owner_processor_time_follows_from_items_per_day(fleet: TierFleet, slopes: TierSlopes) -> None:
-    owner = next(row for row in rows(fleet, slopes) if (row.role, row.what) == ("batch owner", "processor"))
+    owner = next(
+        row for row in compute_rows(fleet, slopes) if (row.role, row.what) == ("batch owner", "processor")
+    )
     assert owner.amounts[0] == pytest.approx(14e6 / DAY_S * slopes.storage_item_us / 1e6)
 
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -19,7 +19,7 @@
 from click.testing import CliRunner
 
 from eiderhub.address import Address
-from eiderhub.capacity.slopes import KNOWN, Slopes
+from eiderhub.capacity.slopes import SLOPE_DEFINITIONS, Slopes
 from eiderhub.cli import costs
 from eiderhub.cli.bench import command as bench
 from eiderhub.documents import DocumentError
@@ -319,10 +319,10 @@
         "spread.last": (150.0, {"watcher": 0.3}),
         "return.last": (1000.0, {"watcher": 2.0}),
     }
-    assert found.keys() == expected.keys() == KNOWN.keys()
+    assert found.keys() == expected.keys() == SLOPE_DEFINITIONS.keys()
     for name, (fixed, per) in expected.items():
         slope = found[name]
-        assert slope.unit == KNOWN[name][0], name
+        assert slope.unit == SLOPE_DEFINITIONS[name][0], name
         assert slope.fixed == pytest.approx(fixed, rel=0.02), name
         assert slope.per == pytest.approx(per, rel=0.02), name
         assert slope.spread < 0.02, name
