--- a/eiderhub/registry/client.py
+++ b/eiderhub/registry/client.py
@@ -34,9 +34,8 @@
 CONNECT_TIMEOUT_S = 1.0
 CALL_TIMEOUT_S = 2.0  # of requests that are not long polls
 WATCH_GRACE_S = 1.0  # how much later than its wait a long poll may be answered
-MIN_WAIT_FRACTION = (
-    0.8  # lower bound of the random wait, so that long polls of many clients don't end together
-)
+# Lower bound of the random wait, so that long polls of many clients don't end together.
+MIN_WAIT_FRACTION = 0.8
 UNCONFIRMED_RETRY_S = 1.0  # mean delay until a list that needs confirmation is fetched again
 DRAIN_RETRY_S = 0.3  # mean delay between attempts to report a drain
 RENEW_INTERVAL_FRACTION = 1 / 3  # of the lease duration
--- a/eiderhub/registry/config.py
+++ b/eiderhub/registry/config.py
@@ -23,9 +23,8 @@
     records: PositiveCount = 100_000
     body_bytes: PositiveCount = 1 << 20  # of a request body
     unsent_bytes: PositiveCount = 4 << 20  # of answers that a caller has not read yet
-    reader_s: Annotated[float, Meta(gt=0, le=600)] = (
-        5.0  # a connection with more unread bytes is closed after this time
-    )
+    # A connection with more unread bytes is closed after this time.
+    reader_s: Annotated[float, Meta(gt=0, le=600)] = 5.0
     # After a start, plain discovery clients with a newer list than the store's get a 503 for this long.
     settle_s: Annotated[float, Meta(ge=0, le=600)] = 5.0
     history: Annotated[int, Meta(ge=16, le=1_000_000)] = 4096  # changes kept in memory for watches
--- a/eiderhub/sidecar/caller.py
+++ b/eiderhub/sidecar/caller.py
@@ -33,9 +33,8 @@
 from eiderhub.sidecar.upstream import HOP_BY_HOP, Response
 
 MAX_HEAD_BYTES = 16 * 1024
-READ_TIMEOUT_S = (
-    2.5  # to receive a request, from connecting or its first byte; the terms require an end within 3 s
-)
+# To receive a request, from connecting or its first byte; the terms require an end within 3 s.
+READ_TIMEOUT_S = 2.5
 BODY_START_TIMEOUT_S = 1.5  # at least, from a complete head to the first byte of the body
 MIN_BODY_BYTES_PER_S = 48_000  # minimum rate of a body: slow clients send 64 kB, with pauses
 PARSE_BYTES = 2048  # bytes parsed at a time if a read may hold many pipelined requests, which then wait
--- a/eiderhub/sidecar/lifecycle.py
+++ b/eiderhub/sidecar/lifecycle.py
@@ -12,9 +12,8 @@
 
 from eiderhub.sidecar.clock import now_us
 
-ACCEPT_GRACE_S = (
-    0.6  # accept connections for this long: the front sends some up to 0.4 s after `/up` turns 503
-)
+# Accept connections for this long: the front sends some up to 0.4 s after `/up` turns 503.
+ACCEPT_GRACE_S = 0.6
 IDLE_CLOSE_DELAY_S = 1.5  # standby closes idle connections after this: none may stay open for 4 s
 MIN_IDLE_S = 0.2  # a connection idle for less, such as a new one, may have a request in transit
 DRAIN_POLL_INTERVAL_S = 0.02
--- a/eiderhub/sidecar/upstream.py
+++ b/eiderhub/sidecar/upstream.py
@@ -94,9 +94,8 @@
 class Connection(asyncio.BufferedProtocol):
     """One outgoing HTTP/1.1 connection; it carries one exchange at a time."""
 
-    _buffer = bytearray(
-        READ_BUFFER_BYTES
-    )  # shared by all connections: data read is processed before the next read
+    # Shared by all connections: data read is processed before the next read.
+    _buffer = bytearray(READ_BUFFER_BYTES)
 
     def __init__(self, owner: ConnectionOwner, max_buffered_bytes: int) -> None:
         self.owner = owner
@@ -595,9 +594,8 @@
         self.max_connections = max_connections
         self.figures = figures
         self.max_buffered_bytes = max_buffered_bytes  # of a response body, per connection
-        self.streaming_connections: set[Connection] = (
-            set()
-        )  # connections that stream a body in either direction
+        # Connections that stream a body in either direction.
+        self.streaming_connections: set[Connection] = set()
         self.open_connections = 0  # connections that are open or being opened
         self.handling_response = False  # a response is being handled; queued requests may be sent meanwhile
         self.pools: dict[str, Pool] = {}
--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -120,9 +120,8 @@
         self.requests: asyncio.Queue[ReceivedRequest] = asyncio.Queue()
         self.connections = 0
         self.writers: list[asyncio.StreamWriter] = []
-        self.disconnects: asyncio.Queue[int] = (
-            asyncio.Queue()
-        )  # numbers of connections closed by the other side
+        # Numbers of connections closed by the other side.
+        self.disconnects: asyncio.Queue[int] = asyncio.Queue()
 
     async def start(self, port: int = 0) -> FakeServer:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", port)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -325,9 +325,8 @@
     assert max(writes, key=lambda name: writes[name]) == model.REGION_BACK
     assert found.minute[MAIN, CORES][1] == model.REGION_BACK
     assert found.minute[MAIN, "records"] == (19_000, "")  # the same for all events
-    assert (
-        workloads[model.ZONE_RECONNECTS].follower_entries > workloads[model.ZONE_LOST].follower_entries
-    )  # full lists
+    # Full lists.
+    assert workloads[model.ZONE_RECONNECTS].follower_entries > workloads[model.ZONE_LOST].follower_entries
 
 
 def test_events_that_never_occur_are_not_counted() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -167,9 +167,8 @@
             asked = await watched.fake.next_request()
             assert await watched.fake.disconnects.get() == before.connection
             asked.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n")
-            again = (
-                await watched.fake.next_request()
-            )  # its gap timer still runs: the old poll's end has not cancelled it
+            # Its gap timer still runs: the old poll's end has not cancelled it.
+            again = await watched.fake.next_request()
             again.reply(200, discovery_response(2, False, READY_ENTRY))
             assert await watched.next_form() is ListForm.DELTA
 
@@ -187,9 +186,8 @@
             )
             asked = await watched.fake.next_request()
             assert asked.message.start_line == "GET /discovery/hosts HTTP/1.1"
-            asked.reply(
-                200, discovery_response(4, True, READY_ENTRY)
-            )  # discovery has restarted its numbering
+            # Discovery has restarted its numbering.
+            asked.reply(200, discovery_response(4, True, READY_ENTRY))
             assert await watched.next_form() is ListForm.FULL
             assert after_parameter(await watched.fake.next_request()) == "after=4"
             assert watched.deliveries.empty()
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -112,9 +112,8 @@
     world.timeline.run_until(6.0)
     assert world.table.jobs["late"].assigned_positions > 0
     world.timeline.run_until(12.0)
-    assert (
-        sum(len(job.items) - job.assigned_positions for job in world.table.open_jobs()) > 500
-    )  # others wait
+    # Others wait.
+    assert sum(len(job.items) - job.assigned_positions for job in world.table.open_jobs()) > 500
     assert world.table.jobs["late"].assigned_positions > 3
 
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -574,12 +574,10 @@
             late = FullBacklogEndpoint()
             client = RawPeer.connect(sidecar)
             await reset_and_replace(sidecar, client, late)
-            await wait_until(
-                lambda: sidecar.host.upstream.open_connections
-            )  # the retry has started, within the window
-            assert (await client.read_response()).startswith(
-                b"HTTP/1.1 502 "
-            )  # not 503, since it may have run
+            # The retry has started, within the window.
+            await wait_until(lambda: sidecar.host.upstream.open_connections)
+            # Not 503, since it may have run.
+            assert (await client.read_response()).startswith(b"HTTP/1.1 502 ")
             peer = await late.accept_connection()
             sidecar.host.upstream.retire("s-9")
             assert await peer.read_to_end() == b""
@@ -745,9 +743,8 @@
         for number in range(2):
             sender.send(b"%d" % number)
         await asyncio.sleep(0)
-        assert (
-            sender.upstream.open_connections == 3 and len(pool.settle_waits) == 2
-        )  # below the ratio that opens a spare connection
+        # Below the ratio that opens a spare connection.
+        assert sender.upstream.open_connections == 3 and len(pool.settle_waits) == 2
         sender.send(b"2")
         new_peer, data = await listener.accept_and_read()
         assert data == b"0"  # the attempt that has waited longest gets the new connection
@@ -983,9 +980,8 @@
             stays = RawPeer.connect(sidecar)
             for number, client in enumerate([*clients, stays]):
                 client.send(http_request(number))
-            await wait_until(
-                lambda: len(sidecar.host.balancer.calls) == 41
-            )  # all held, since there is no endpoint
+            # All held, since there is no endpoint.
+            await wait_until(lambda: len(sidecar.host.balancer.calls) == 41)
             for number, client in enumerate(clients):
                 if number % 2:
                     client.sock.close()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -108,9 +108,8 @@
                 reply = await follower.client.get(api.LIST_PATH, {}, 2.0)
                 answered_at = time.monotonic()
                 await asyncio.sleep(0.1)
-                elapsed_ms = int(
-                    (time.monotonic() - answered_at) * 1000
-                )  # the timer may fire a millisecond early
+                # The timer may fire a millisecond early.
+                elapsed_ms = int((time.monotonic() - answered_at) * 1000)
                 second_reply = await follower.client.get(api.LIST_PATH, {}, 2.0)
                 ages = [int(each.headers[api.AGE_MS_HEADER]) for each in (reply, second_reply)]
                 assert reply.status == second_reply.status == 200 and ages[1] >= ages[0] + elapsed_ms
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -548,9 +548,8 @@
         self.events: list[tuple[int, int, Callable[[], None]]] = []
         self.serial = 0
         self.fleet = [FleetProcess(self, rank, seed * 1000 + rank) for rank in range(process_count)]
-        self.traffic = self.random.choices(
-            (0.3, 1.0, 4.0), (3, 5, 1), k=process_count
-        )  # some get several times the mean
+        # Some get several times the mean.
+        self.traffic = self.random.choices((0.3, 1.0, 4.0), (3, 5, 1), k=process_count)
 
     def schedule(self, when: int, action: Callable[[], None]) -> None:
         self.serial += 1
