--- a/eiderhub/emulator/__init__.py
+++ b/eiderhub/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The world on real loopback sockets, around real sidecar processes."""
+"""Emulator: endpoints, discovery and clients on loopback sockets around real sidecar processes."""
--- a/eiderhub/emulator/asking.py
+++ b/eiderhub/emulator/asking.py
@@ -1,4 +1,4 @@
-"""One request, from its sending to its end: its patience, and the one time that it may be sent again."""
+"""One client request on a connection pool: its deadline, its outcome, and at most one resend."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 def render(
-    name: str,
-    grade: str,
+    request_id: str,
+    class_name: str,
     effect: Effect,
     deadline_ms: int,
     tenant: str | None,
-    key: str | None,
+    idempotency_key: str | None,
     body: bytes,
-    repeat: bool = False,
+    is_retry: bool = False,
 ) -> bytes:
-    """A request as PROTOCOL has it; what is safe to repeat has no body."""
+    """Encode a request as PROTOCOL specifies it; idempotent requests are GETs without a body."""
     idempotent = effect is Effect.IDEMPOTENT
     lines = [
-        f"{'GET' if idempotent else 'POST'} /{grade} HTTP/1.1",
+        f"{'GET' if idempotent else 'POST'} /{class_name} HTTP/1.1",
         "Host: service.internal",
-        f"Req-Id: {name}",
+        f"Req-Id: {request_id}",
         f"Req-Deadline-Ms: {deadline_ms}",
     ]
     if tenant is not None:
         lines.append(f"Req-Owner: {tenant}")
-    if key is not None:
-        lines.append(f"Idempotency-Key: {key}")
-    if repeat:
+    if idempotency_key is not None:
+        lines.append(f"Idempotency-Key: {idempotency_key}")
+    if is_retry:
         lines.append("Req-Retry: 1")
     if not idempotent:
         lines.append(f"Content-Length: {len(body)}")
@@ -40,80 +40,85 @@
 
 
 def end_of(status: int) -> End:
-    """PROTOCOL's table of what a sidecar answers."""
+    """Map a sidecar's response status to the outcome of the request, as tabulated in PROTOCOL."""
     if status == 200:
         return End.SERVED
     return End.REFUSED if status in (429, 503) else End.FAILED
 
 
 class Asking:
-    """Who asks says what an answer means, and hears of one end."""
+    """A request that has been sent and has no outcome yet.
 
-    def __init__(self, clock: Clock, pool: ConnectionPool, data: bytes, until_us: int) -> None:
+    Subclasses interpret the reply and receive exactly one outcome, unless the request is cancelled.
+    """
+
+    def __init__(self, clock: Clock, pool: ConnectionPool, data: bytes, deadline_us: int) -> None:
         self.clock = clock
-        self.until_us = until_us
+        self.deadline_us = deadline_us
         self._pool = pool
         self._data = data
-        self._over = False
+        self._finished = False
         self._resent = False
-        self._alarm = clock.at(until_us, self._give_up)
-        self._ticket = pool.send(data, self)
+        self._timeout = clock.at(deadline_us, self._on_timeout)
+        self._pending = pool.send(data, self)
 
-    # --- for who asks to say ---
+    # --- implemented by subclasses ---
 
     def meaning(self, reply: Reply) -> End:
-        """How a whole answer ends the request."""
+        """Return the outcome of the request, given its complete reply."""
         raise NotImplementedError
 
     def crossed(self, first: bool) -> bool:
-        """The connection ended without an answer: did that cross the request, unread, on its way?
+        """Whether to resend the request once on a new connection, after its connection ended without a reply.
 
-        Then it is sent once more on a new connection. `first`: the connection had carried nothing before.
+        That is safe if the peer closed the connection before it had read the request. `first`: no earlier
+        request had used the connection.
         """
         raise NotImplementedError
 
     def ended(self, end: End, reply: Reply | None) -> None:
+        """Receive the outcome; `reply` is None if there was no complete one."""
         raise NotImplementedError
 
     def left(self) -> None:
-        """The connection was closed: nobody waits for the answer any more."""
+        """Called after the request was cancelled or timed out and its connection was closed."""
 
-    # --- its course ---
+    # --- lifecycle ---
 
-    def drop(self) -> None:
-        """Nobody waits for it any more, and nobody is told of its end."""
-        self._over = True
-        self._alarm.cancel()
-        self._ticket.cancel()
+    def cancel(self) -> None:
+        """Cancel the request and close its connection, without reporting an outcome."""
+        self._finished = True
+        self._timeout.cancel()
+        self._pending.cancel()
         self.left()
 
-    def _give_up(self) -> None:
-        """The time for it is over: its caller closes the connection and goes."""
-        if not self._over:
-            self.drop()
+    def _on_timeout(self) -> None:
+        """Close the connection and report the request as given up."""
+        if not self._finished:
+            self.cancel()
             self.ended(End.GIVEN_UP, None)
 
-    def _end(self, end: End, reply: Reply | None = None) -> None:
-        if not self._over:
-            self._over = True
-            self._alarm.cancel()
+    def _finish(self, end: End, reply: Reply | None = None) -> None:
+        if not self._finished:
+            self._finished = True
+            self._timeout.cancel()
             self.ended(end, reply)
 
     def on_written(self) -> None: ...
 
     def on_reply(self, reply: Reply) -> None:
-        self._end(self.meaning(reply), reply)
+        self._finish(self.meaning(reply), reply)
 
     def on_broken(self, first: bool) -> None:
-        if self.crossed(first) and not self._resent and self.clock.now_us() < self.until_us:
+        if self.crossed(first) and not self._resent and self.clock.now_us() < self.deadline_us:
             self._resent = True
             asyncio.get_running_loop().call_soon(self._resend)
         else:
-            self._end(End.BROKEN)
+            self._finish(End.BROKEN)
 
     def _resend(self) -> None:
-        if not self._over:
-            self._ticket = self._pool.send(self._data, self, new_connection=True)
+        if not self._finished:
+            self._pending = self._pool.send(self._data, self, new_connection=True)
 
     def on_unreachable(self) -> None:
-        self._end(End.UNREACHABLE)
+        self._finish(End.UNREACHABLE)
--- a/eiderhub/emulator/callers.py
+++ b/eiderhub/emulator/callers.py
@@ -1,4 +1,4 @@
-"""Who asks sidecars: outside clients by way of the front, and endpoints of a tier for the next one."""
+"""Callers of sidecars: outside clients through the front, and endpoints that call the next tier."""
 
 from __future__ import annotations
 
@@ -6,141 +6,143 @@
 
 from eiderhub.emulator.asking import Asking, end_of, render
 from eiderhub.emulator.clock import Clock
-from eiderhub.emulator.machines import Job, Jobs
+from eiderhub.emulator.machines import RequestInfo, RequestTable
 from eiderhub.http1 import ConnectionPool, Reply
 from eiderhub.world.clients import End, Errand, patience_us, retry_us
 from eiderhub.world.day import Day, Post
 from eiderhub.world.front import Front
 from eiderhub.world.judge import Fate, Judge
 
-BODY = b"x" * 200  # of a request
+REQUEST_BODY = b"x" * 200
 
 
 class Target:
-    """One sidecar, as its callers see it."""
+    """One sidecar and the connection pool that its callers share."""
 
     def __init__(self, post: Post, host: str, port: int) -> None:
         self.post = post
         self.pool = ConnectionPool(host, port)
-        self.killed = False  # its last process was killed: what it held is nobody's fault
+        self.killed = False  # its last process was killed: lost requests are not counted against it
 
 
 class Try(Asking):
-    """One request to one sidecar, from its sending to its end."""
+    """One try: a request to one sidecar, whose progress and outcome are reported to the judge."""
 
     def __init__(
         self,
         clock: Clock,
         judge: Judge,
-        jobs: Jobs,
+        requests: RequestTable,
         target: Target,
-        job: Job,
-        patience_us: int,
-        repeat: bool,
-        on_end: Callable[[End, int], None],
+        request: RequestInfo,
+        timeout_us: int,
+        is_retry: bool,
+        on_finished: Callable[[End, int], None],
     ) -> None:
         self._judge = judge
-        self._jobs = jobs
+        self._requests = requests
         self._target = target
-        self._job = job
-        self._on_end = on_end
+        self._request = request
+        self._on_finished = on_finished
         self._written = False
-        self.name = jobs.new(job)
+        self.request_id = requests.register(request)
         data = render(
-            self.name,
-            job.grade.name,
-            job.grade.spec.effect,
-            max(1, patience_us // 1000),
-            job.tenant,
-            job.key,
-            BODY,
-            repeat,
+            self.request_id,
+            request.request_class.name,
+            request.request_class.spec.effect,
+            max(1, timeout_us // 1000),
+            request.tenant,
+            request.idempotency_key,
+            REQUEST_BODY,
+            is_retry,
         )
-        super().__init__(clock, target.pool, data, clock.now_us() + patience_us)
+        super().__init__(clock, target.pool, data, clock.now_us() + timeout_us)
 
     def on_written(self) -> None:
         self._written = True
-        self._judge.taken(self.name, self._target.post.name, self._job.grade)
+        self._judge.taken(self.request_id, self._target.post.name, self._request.request_class)
 
     def meaning(self, reply: Reply) -> End:
-        produced = self._jobs.was_produced(self.name, reply.body)
-        self._judge.answered(self.clock.now_us(), self.name, reply.status, produced)
+        produced = self._requests.has_body(self.request_id, reply.body)
+        self._judge.answered(self.clock.now_us(), self.request_id, reply.status, produced)
         end = end_of(reply.status)
         return End.FAILED if end is End.SERVED and not produced else end
 
     def crossed(self, first: bool) -> bool:
         return (
-            self._judge.cut_short(self.clock.now_us(), self.name, first, self._target.killed) is Fate.UNREAD
+            self._judge.cut_short(self.clock.now_us(), self.request_id, first, self._target.killed)
+            is Fate.UNREAD
         )
 
     def left(self) -> None:
         if self._written:
-            self._judge.gave_up(self.name)
+            self._judge.gave_up(self.request_id)
 
     def ended(self, end: End, reply: Reply | None) -> None:
-        self._on_end(end, reply.retry_after_us if reply is not None else 0)
+        self._on_finished(end, reply.retry_after_us if reply is not None else 0)
 
 
 class Outside:
-    """The outside clients: each errand is carried through its tries."""
+    """The outside clients; each errand is tried, and retried, until it has an outcome."""
 
     def __init__(
         self,
         day: Day,
         clock: Clock,
         judge: Judge,
-        jobs: Jobs,
+        requests: RequestTable,
         front: Front,
         targets: dict[str, Target],
     ) -> None:
         self._day = day
         self._clock = clock
         self._judge = judge
-        self._jobs = jobs
+        self._requests = requests
         self._front = front
         self._targets = targets
         self.open: set[Errand] = set()
-        self.tries: dict[Errand, Try] = {}
+        self.tries_in_flight: dict[Errand, Try] = {}
         self.ended = 0
         self.served = 0
 
-    def begin(self, errand: Errand) -> None:
+    def start(self, errand: Errand) -> None:
+        """Send the errand's first try."""
         self.open.add(errand)
         self._judge.asked(errand)
-        self._next(errand)
+        self._start_try(errand)
 
-    def _kept(self, name: str) -> bool:
-        return bool(self._targets[name].pool.idle)
+    def _has_idle_connection(self, sidecar: str) -> bool:
+        return bool(self._targets[sidecar].pool.idle)
 
-    def _next(self, errand: Errand) -> None:
-        now = self._clock.now_us()
+    def _start_try(self, errand: Errand) -> None:
+        now_us = self._clock.now_us()
         errand.tries += 1
-        name = self._front.choose(now, errand.zone, self._kept)
-        patience = patience_us(self._day, errand, now)
-        if name is None:
-            self._ended(errand, End.UNREACHABLE, 0)
+        sidecar = self._front.choose(now_us, errand.zone, self._has_idle_connection)
+        timeout_us = patience_us(self._day, errand, now_us)
+        if sidecar is None:
+            self._on_try_finished(errand, End.UNREACHABLE, 0)
             return
-        job = Job(errand.grade, errand.work_us, errand.tenant, errand.key, now + patience)
-        self.tries[errand] = Try(
+        request = RequestInfo(errand.grade, errand.work_us, errand.tenant, errand.key, now_us + timeout_us)
+        self.tries_in_flight[errand] = Try(
             self._clock,
             self._judge,
-            self._jobs,
-            self._targets[name],
-            job,
-            patience,
+            self._requests,
+            self._targets[sidecar],
+            request,
+            timeout_us,
             errand.tries > 1 and self._day.scenario.clients.marks_retry,
-            lambda end, retry_after_us: self._ended(errand, end, retry_after_us),
+            lambda end, retry_after_us: self._on_try_finished(errand, end, retry_after_us),
         )
 
-    def _ended(self, errand: Errand, end: End, retry_after_us: int) -> None:
-        now = self._clock.now_us()
-        self.tries.pop(errand, None)
+    def _on_try_finished(self, errand: Errand, end: End, retry_after_us: int) -> None:
+        now_us = self._clock.now_us()
+        self.tries_in_flight.pop(errand, None)
         errand.ends.append(end)
-        at = retry_us(self._day, errand, now, end, retry_after_us)
-        if at is not None:
-            self._clock.at(at, self._next, errand)
+        retry_at_us = retry_us(self._day, errand, now_us, end, retry_after_us)
+        if retry_at_us is not None:
+            self._clock.at(retry_at_us, self._start_try, errand)
             return
-        errand.ended_us, errand.end = now, end
+        errand.ended_us, errand.end = now_us, end
         self.open.discard(errand)
         self.ended += 1
         self.served += errand.served
--- a/eiderhub/emulator/deployment.py
+++ b/eiderhub/emulator/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment on loopback: real sidecars, and the world around them, through one day."""
+"""A deployment on loopback for one emulated day: real sidecars, and the emulated parts around them."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 from eiderhub.emulator.callers import Outside, Target, Try
 from eiderhub.emulator.clock import IN_DOUBT_MS, Clock
-from eiderhub.emulator.lists import Lists, StandIn
-from eiderhub.emulator.machines import Job, Jobs, Machine
+from eiderhub.emulator.lists import Lists, SimulatedDiscovery
+from eiderhub.emulator.machines import Machine, RequestInfo, RequestTable
 from eiderhub.emulator.processes import DeploymentError as DeploymentError
 from eiderhub.emulator.processes import (
     Process,
@@ -39,19 +39,19 @@
 from eiderhub.world.registry import Registry
 from eiderhub.world.scenario import TroubleKind
 
-READY_S = 30.0  # for all sidecars to say yes at the start
-UP_EVERY_S = 0.05  # how often a sidecar that starts is asked
-UP_WAIT_S = 1.0  # for an answer to /up
-MEMORY_EVERY_S = 0.25
-MANAGED = 2  # ports for operators' calls to a sidecar: an upgrade needs the second one
-FORGET_EVERY_S = 5.0
-FORGET_US = 60_000_000  # after its time was over, nothing comes of a request any more
-UP = b"GET /up HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n"
+READY_TIMEOUT_S = 30.0  # for all sidecars to be ready after their start
+UP_POLL_INTERVAL_S = 0.05  # between readiness checks of a starting sidecar
+UP_TIMEOUT_S = 1.0  # for a response to /up
+MEMORY_CHECK_INTERVAL_S = 0.25
+MANAGEMENT_PORTS = 2  # per sidecar, for operators' calls: during an upgrade, two processes need one each
+EXPIRY_INTERVAL_S = 5.0
+REQUEST_RETENTION_US = 60_000_000  # after its deadline; later nothing refers to a request any more
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n"
 
 
 @dataclass(slots=True)
 class Result:
-    """All that was measured. `crash`: what ended the run before its time."""
+    """All measurements of a run. `crash`: the failure that ended the run early, if any."""
 
     scenario: str
     seed: int
@@ -65,21 +65,24 @@
     lateness_ms: dict[str, float]
     usage: dict[str, dict[str, float]]
     window_s: float
-    front_cpu_us_per_request: float  # of each try that clients made
+    front_cpu_us_per_request: float  # per try of the clients
     notes: list[str] = field(default_factory=list)
     crash: str | None = None
     crash_log: list[str] = field(default_factory=list)
-    services: dict[str, dict[str, float]] = field(default_factory=dict)  # what the list service used
+    services: dict[str, dict[str, float]] = field(default_factory=dict)  # resource usage of the list service
 
     @property
     def in_doubt(self) -> bool:
+        """Whether the emulator's own timers were too late for the figures to be trusted."""
         return self.lateness_ms["p99"] > IN_DOUBT_MS
 
     @property
     def held(self) -> bool:
+        """Whether the run reached its end with all rules kept."""
         return self.crash is None and self.verdict.rules_kept
 
     def document(self) -> dict[str, Any]:
+        """The result as a JSON document."""
         return {
             "version": 1,
             "scenario": self.scenario,
@@ -103,22 +106,24 @@
         }
 
 
-def _few_descriptors() -> DeploymentError:
-    most = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    return DeploymentError(f"the emulator itself ran out of descriptors; `ulimit -n` allows it {most}", [])
+def _descriptor_limit_error() -> DeploymentError:
+    limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    return DeploymentError(
+        f"the emulator itself ran out of file descriptors; its limit (`ulimit -n`) is {limit}", []
+    )
 
 
-def _use_all_descriptors() -> None:
-    """Take what the system allows: each sidecar has an address of its own at each endpoint."""
-    _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
+def _raise_descriptor_limit() -> None:
+    """Raise the soft limit to the hard one: each endpoint needs a listening socket for each sidecar."""
+    _, hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
 
 
 async def is_up(host: str, port: int) -> bool | None:
-    """What `/up` says; None where nobody answers."""
-    pool = ConnectionPool(host, port, UP_WAIT_S)
+    """Return whether `/up` answers 200, or None if it does not answer at all."""
+    pool = ConnectionPool(host, port, UP_TIMEOUT_S)
     try:
-        return (await fetch(pool, UP, UP_WAIT_S)).status == 200
+        return (await fetch(pool, UP_REQUEST, UP_TIMEOUT_S)).status == 200
     except NoReplyError:
         return None
     finally:
@@ -126,50 +131,55 @@
 
 
 class Deployment:
-    """Use as an asynchronous context: leaving it ends every process and removes every file."""
+    """Runs one emulated day around real sidecar processes.
+
+    Use as an asynchronous context manager: leaving it ends every process and removes every file.
+    """
 
     def __init__(
         self,
         day: Day,
         command: list[str] | None = None,
-        keep: Path | None = None,
+        log_folder: Path | None = None,
         strangers: bool = False,
         real_lists: bool = False,
     ) -> None:
         self.day = day
         self._command = command or default_command()
-        self._strangers = strangers  # whether endpoints serve what other callers send to the front
-        self._real_lists = real_lists  # the list service as processes, in place of the stand-in
-        self._keep = keep  # where the sidecars' logs are kept afterwards
-        self._chores: set[asyncio.Task[None]] = set()
-        self._failed: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        _use_all_descriptors()
+        # Whether endpoints serve external clients' requests to the front.
+        self._serve_external = strangers
+        # Whether real list service processes replace the simulated registry.
+        self._real_registry = real_lists
+        self._log_folder = log_folder  # if given, the logs are copied there at the end
+        self._background_tasks: set[asyncio.Task[None]] = set()
+        self._failure: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+        _raise_descriptor_limit()
         self.stations: dict[str, Station] = {}
         self.targets: dict[str, Target] = {}
         self.machines: dict[str, Machine] = {}
-        self._claims: list[socket.socket] = []  # ports of ours, open until the end
+        self._reserved_sockets: list[socket.socket] = []  # they hold the sidecars' ports until the end
         self.folder = new_folder()
         self._closing = False
-        self._starts = 0
-        self._inner_calls = 0
+        self._start_count = 0
+        self._inner_call_count = 0
         self._notes: list[str] = []
         try:
             self._build()
         except BaseException as error:
-            self._close_claims()
+            self._close_reserved_sockets()
             shutil.rmtree(self.folder, ignore_errors=True)
             if isinstance(error, OSError) and error.errno in DESCRIPTOR_LIMIT_ERRNOS:
-                raise _few_descriptors() from None
+                raise _descriptor_limit_error() from None
             raise
 
     async def __aenter__(self) -> Deployment:
-        # A defect in a callback must end the run, not only be logged: the figures would be wrong.
-        asyncio.get_running_loop().set_exception_handler(self._defect)
+        # An exception in a callback must end the run, not only be logged: the figures would be wrong.
+        asyncio.get_running_loop().set_exception_handler(self._on_loop_exception)
         try:
-            await self._watched(self._start())
+            await self._run_unless_failed(self._start())
         except OSError as error:
             await self.close()
-            raise _few_descriptors() if error.errno in DESCRIPTOR_LIMIT_ERRNOS else error from None
+            raise _descriptor_limit_error() if error.errno in DESCRIPTOR_LIMIT_ERRNOS else error from None
         except BaseException:
             await self.close()
             raise
@@ -184,17 +194,17 @@
         day = self.day
         self.clock = Clock()
         self.judge = Judge(day)
-        self._strange = day.rng("strangers")
-        self.jobs = Jobs()
+        self._external_rng = day.rng("strangers")
+        self.requests = RequestTable()
         self.network = Network(day)
         self.front = Front(day)
         self.lists: Lists
-        if self._real_lists:
+        if self._real_registry:
             self.lists = Services(
-                day, self.folder, self.clock, self.judge, self._address_of, self._takes, self._fail
+                day, self.folder, self.clock, self.judge, self._address_of, self._accepts_requests, self._fail
             )
         else:
-            self.lists = StandIn(Registry(day), self.clock, self.judge, self._address_of)
+            self.lists = SimulatedDiscovery(Registry(day), self.clock, self.judge, self._address_of)
         groups = dedup_groups(day)
         for number, plan in enumerate(day.plans):
             endpoint = Endpoint(plan, day.rng(f"endpoint {plan.id}"))
@@ -206,25 +216,25 @@
                 self.clock,
                 self.network,
                 self.judge,
-                self.jobs,
+                self.requests,
                 groups,
-                self._call_next,
-                self._fell,
-                self._adopt,
+                self._call_next_tier,
+                self._on_endpoint_overload,
+                self._adopt_external_request,
             )
-        upgraded = {n for e in day.events if e.kind is TroubleKind.UPGRADE for n in e.sidecars}
+        upgraded_sidecars = {n for e in day.events if e.kind is TroubleKind.UPGRADE for n in e.sidecars}
         for number, post in enumerate(day.posts):
             host = f"127.9.{number // 200}.{1 + number % 200}"
-            inherited = listening(host) if post.name in upgraded else None
-            held = inherited or claim(host)
-            port = held.getsockname()[1]
-            claims = [claim(host) for _ in range(MANAGED)]
-            self._claims += [held, *claims]
+            inherited = listening(host) if post.name in upgraded_sidecars else None
+            listen_socket = inherited or claim(host)
+            port = listen_socket.getsockname()[1]
+            management_sockets = [claim(host) for _ in range(MANAGEMENT_PORTS)]
+            self._reserved_sockets += [listen_socket, *management_sockets]
             self.stations[post.name] = Station(
                 post=post,
                 host=host,
                 port=port,
-                claims=claims,
+                claims=management_sockets,
                 folder=self.folder / post.name,
                 settings=settings_of(day, post),
                 regions=dict(day.scenario.regions),
@@ -234,19 +244,19 @@
                 inherited=inherited,
             )
             self.targets[post.name] = Target(post, host, port)
-        self._sidecar_of = {post.owner: post.name for post in day.posts if post.owner is not None}
-        self.outside = Outside(day, self.clock, self.judge, self.jobs, self.front, self.targets)
+        self._sidecar_by_endpoint = {post.owner: post.name for post in day.posts if post.owner is not None}
+        self.clients = Outside(day, self.clock, self.judge, self.requests, self.front, self.targets)
 
     async def _start(self) -> None:
-        for machine in self.machines.values():
-            await machine.open()
+        for server in self.machines.values():
+            await server.open()
         await self.lists.open()
         for name, station in self.stations.items():
             station.folder.mkdir()
             await self.lists.reach(station)
             self.launch(name)
-        self._chore(self._watch_memory())
-        self._chore(self._forget())
+        self._run_in_background(self._enforce_memory_limit())
+        self._run_in_background(self._remove_expired_requests())
         ready: set[str] = set()
 
         async def until_ready(name: str) -> None:
@@ -254,226 +264,242 @@
             ready.add(name)
 
         try:
-            async with asyncio.timeout(READY_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 await asyncio.gather(*(until_ready(name) for name in self.stations))
         except TimeoutError:
-            late = [name for name in self.stations if name not in ready]
-            why = f"{', '.join(late[:5])}: not ready after {READY_S:g} s"
-            raise DeploymentError(why, self._tail(late[0])) from None
-        self.clock.begin()
+            not_ready = [name for name in self.stations if name not in ready]
+            message = f"{', '.join(not_ready[:5])}: not ready after {READY_TIMEOUT_S:g} s"
+            raise DeploymentError(message, self._log_tail(not_ready[0])) from None
+        self.clock.start()
         self.lists.begun()
         for post in self.day.tier_posts(0):
             self.front.answered(0, post.name, True)
-            self._chore(self._ask_up(post))
+            self._run_in_background(self._poll_readiness(post))
 
     def launch(self, name: str) -> Process:
+        """Write the sidecar's configuration and start a process of it.
+
+        Raises:
+            DeploymentError: the process cannot be started.
+        """
         station = self.stations[name]
-        self._starts += 1
-        known, listing = self.lists.known(station.post)
-        station.write_config(known, self.day.seed * 1_000_003 + self._starts)
+        self._start_count += 1
+        known_list, listing = self.lists.known(station.post)
+        station.write_config(known_list, self.day.seed * 1_000_003 + self._start_count)
         if not station.processes:
             self.judge.knows(self.clock.now_us(), name, listing)
         try:
-            process = station.start(self._process_ended)
+            process = station.start(self._on_process_ended)
         except OSError as error:
-            raise DeploymentError(f"sidecar {name} can't be started: {error}", []) from None
+            raise DeploymentError(f"sidecar {name} cannot be started: {error}", []) from None
         self.targets[name].killed = False
         return process
 
-    def _process_ended(self, process: Process, status: int) -> None:
+    def _on_process_ended(self, process: Process, status: int) -> None:
         self.stations[process.name].processes.remove(process)
         if not process.wanted and not self._closing:
-            how = f"ended by signal {-status}" if status < 0 else f"ended with status {status}"
-            self._fail(DeploymentError(f"sidecar {process.name} {how}", process.tail()))
+            outcome = f"ended by signal {-status}" if status < 0 else f"ended with status {status}"
+            self._fail(DeploymentError(f"sidecar {process.name} {outcome}", process.tail()))
 
-    def _defect(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+    def _on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
         if isinstance(error, OSError) and error.errno in DESCRIPTOR_LIMIT_ERRNOS:
-            error = _few_descriptors()
+            error = _descriptor_limit_error()
         if error is not None:
             self._fail(error)
         else:
             loop.default_exception_handler(context)
 
     def _fail(self, error: BaseException) -> None:
-        if not self._failed.done():
-            self._failed.set_exception(error)
+        if not self._failure.done():
+            self._failure.set_exception(error)
 
-    def _tail(self, name: str) -> list[str]:
+    def _log_tail(self, name: str) -> list[str]:
         processes = self.stations[name].processes
         return processes[-1].tail() if processes else []
 
-    def _chore(self, work: Coroutine[Any, Any, None]) -> None:
-        """Something that goes on beside the day; its failure ends the run."""
-        task = asyncio.get_running_loop().create_task(work)
-        self._chores.add(task)
+    def _run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine concurrently with the day; its failure ends the run."""
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._background_tasks.add(task)
 
-        def ended(task: asyncio.Task[None]) -> None:
-            self._chores.discard(task)
+        def on_done(task: asyncio.Task[None]) -> None:
+            self._background_tasks.discard(task)
             error = None if task.cancelled() else task.exception()
-            while isinstance(error, BaseExceptionGroup):  # of tasks that a chore had begun
+            while isinstance(error, BaseExceptionGroup):  # from a task group in the coroutine
                 error = error.exceptions[0]
             if error is not None:
                 self._fail(error)
 
-        task.add_done_callback(ended)
+        task.add_done_callback(on_done)
 
-    async def _watched(self, work: Coroutine[Any, Any, None]) -> None:
-        """Do the work, unless the run fails meanwhile."""
-        task = asyncio.get_running_loop().create_task(work)
+    async def _run_unless_failed(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine to its end, unless the run fails first; then raise that failure."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         try:
-            await asyncio.wait([task, self._failed], return_when=asyncio.FIRST_COMPLETED)
-            if self._failed.done():
-                self._failed.result()
+            await asyncio.wait([task, self._failure], return_when=asyncio.FIRST_COMPLETED)
+            if self._failure.done():
+                self._failure.result()
             task.result()
         finally:
             task.cancel()
             with contextlib.suppress(asyncio.CancelledError, Exception):
                 await task
 
-    # --- what goes on all the time ---
+    # --- background tasks ---
 
     async def says_yes(self, name: str) -> bool:
+        """Whether the sidecar reports that it is ready."""
         station = self.stations[name]
         return await is_up(station.host, station.port) is True
 
     async def until_up(self, name: str) -> None:
+        """Wait until the sidecar reports that it is ready."""
         while not await self.says_yes(name):
-            await asyncio.sleep(UP_EVERY_S)
+            await asyncio.sleep(UP_POLL_INTERVAL_S)
 
-    async def _ask_up(self, post: Post) -> None:
-        """The front asks each sidecar again and again."""
+    async def _poll_readiness(self, post: Post) -> None:
+        """Check a sidecar periodically, as the front's health checks do."""
         station = self.stations[post.name]
         while True:
             await asyncio.sleep(self.day.scenario.front.ask_every_ms / 1000)
-            yes = await is_up(station.host, station.port)
-            if yes is None:
+            ready = await is_up(station.host, station.port)
+            if ready is None:
                 self.front.silent(self.clock.now_us(), post.name)
             else:
-                self.front.answered(self.clock.now_us(), post.name, yes)
+                self.front.answered(self.clock.now_us(), post.name, ready)
 
-    async def _forget(self) -> None:
-        """Requests that are long over: a deployment may stay up for days."""
+    async def _remove_expired_requests(self) -> None:
+        """Discard old requests periodically, which bounds the memory of a deployment that is up for days."""
         while True:
-            await asyncio.sleep(FORGET_EVERY_S)
-            self.judge.forget(self.jobs.forget(self.clock.now_us() - FORGET_US))
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
+            self.judge.forget(self.requests.remove_expired(self.clock.now_us() - REQUEST_RETENTION_US))
 
-    async def _watch_memory(self) -> None:
-        """The platform's limit: whoever is over it is killed, and has crashed."""
+    async def _enforce_memory_limit(self) -> None:
+        """Kill sidecars that exceed the platform's memory limit; that counts as a crash."""
         while True:
-            await asyncio.sleep(MEMORY_EVERY_S)
+            await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
             for station in self.stations.values():
                 # Two processes of one sidecar share its limit.
-                used = sum(process.measure()[1] for process in station.processes)
-                if used > station.memory_mb:
-                    name, tail = station.post.name, self._tail(station.post.name)
+                used_mb = sum(process.measure()[1] for process in station.processes)
+                if used_mb > station.memory_mb:
+                    name, tail = station.post.name, self._log_tail(station.post.name)
                     for process in list(station.processes):
                         process.kill()
                     self._fail(
                         DeploymentError(
-                            f"sidecar {name} used {used:.0f} of {station.memory_mb:g} MB: killed", tail
+                            f"sidecar {name} used {used_mb:.0f} of {station.memory_mb:g} MB: killed", tail
                         )
                     )
 
     def _address_of(self, endpoint: str, sidecar: str) -> str:
-        return self.machines[endpoint].doors[sidecar].address
+        return self.machines[endpoint].listeners[sidecar].address
 
-    def _takes(self, endpoint: str) -> bool:
+    def _accepts_requests(self, endpoint: str) -> bool:
         return self.machines[endpoint].endpoint.state is State.UP
 
-    def _call_next(self, plan: Plan, job: Job, on_end: Callable[[bool], None]) -> Callable[[], None]:
-        """An endpoint's call to the next tier, through the sidecar beside it."""
-        target = self.targets[self._sidecar_of[plan.id]]
-        left_us = max(1000, job.until_us - self.clock.now_us())
-        # Each such call is a request of its own; where the class has keys it has one, too.
-        key = None
-        if job.grade.spec.effect is Effect.DEDUPLICATED:
-            self._inner_calls += 1
-            key = f"{job.key}.{self._inner_calls:x}"
-        inner = Job(job.grade, job.work_us, job.tenant, key, job.until_us)
-        made = Try(
+    def _call_next_tier(
+        self, plan: Plan, request: RequestInfo, on_finished: Callable[[bool], None]
+    ) -> Callable[[], None]:
+        """Make an endpoint's call to the next tier, through the endpoint's own sidecar."""
+        target = self.targets[self._sidecar_by_endpoint[plan.id]]
+        remaining_us = max(1000, request.deadline_us - self.clock.now_us())
+        # Each such call is a separate request, with its own idempotency key if the class uses keys.
+        idempotency_key = None
+        if request.request_class.spec.effect is Effect.DEDUPLICATED:
+            self._inner_call_count += 1
+            idempotency_key = f"{request.idempotency_key}.{self._inner_call_count:x}"
+        inner_request = RequestInfo(
+            request.request_class, request.work_us, request.tenant, idempotency_key, request.deadline_us
+        )
+        attempt = Try(
             self.clock,
             self.judge,
-            self.jobs,
+            self.requests,
             target,
-            inner,
-            left_us,
+            inner_request,
+            remaining_us,
             False,
-            lambda end, _: on_end(end is End.SERVED),
+            lambda end, _: on_finished(end is End.SERVED),
         )
-        return made.drop
+        return attempt.cancel
 
-    def _adopt(self, exchange: Exchange, post: Post) -> Job | None:
-        """A request that came to a front sidecar from outside the day: its work is drawn like any other's."""
-        if not self._strangers or post.owner is not None:
+    def _adopt_external_request(self, exchange: Exchange, post: Post) -> RequestInfo | None:
+        """Register an external client's request to a front sidecar; its work is drawn at random."""
+        if not self._serve_external or post.owner is not None:
             return None
-        grade = next((g for g in self.day.grades if exchange.url == b"/" + g.name.encode()), None)
-        name = exchange.headers[b"req-id"]
-        if grade is None:
+        request_class = next((g for g in self.day.grades if exchange.url == b"/" + g.name.encode()), None)
+        request_id = exchange.headers[b"req-id"]
+        if request_class is None:
             return None
-        key = exchange.headers.get(b"idempotency-key")
+        idempotency_key = exchange.headers.get(b"idempotency-key")
         try:
-            left_us = int(exchange.headers.get(b"req-deadline-ms", b"")) * 1000
+            remaining_us = int(exchange.headers.get(b"req-deadline-ms", b"")) * 1000
         except ValueError:
             return None
-        job = Job(
-            grade,
-            float(spread(self._strange, grade.work_us, grade.spread, 1)[0]),
+        request = RequestInfo(
+            request_class,
+            float(spread(self._external_rng, request_class.work_us, request_class.spread, 1)[0]),
             exchange.headers.get(b"req-owner", b"").decode("latin-1") or None,
-            key.decode("latin-1") if key is not None else None,
-            self.clock.now_us() + left_us,
+            idempotency_key.decode("latin-1") if idempotency_key is not None else None,
+            self.clock.now_us() + remaining_us,
         )
-        self.jobs.adopt(name, job)
-        self.judge.taken(name.decode("latin-1"), post.name, grade)
-        return job
+        self.requests.add(request_id, request)
+        self.judge.taken(request_id.decode("latin-1"), post.name, request_class)
+        return request
 
-    def _fell(self, plan: Plan) -> None:
+    def _on_endpoint_overload(self, plan: Plan) -> None:
         self.lists.gone(plan.id)
 
     # --- the day ---
 
     async def play(self, progress: Callable[[float, Outside], None] = lambda *_: None) -> None:
-        """Clients and troubles until the day ends and every request has an end."""
-        await self._watched(self._play(progress))
+        """Run clients and troubles until the day is over and every request has an outcome.
+
+        Raises:
+            DeploymentError: a process of the deployment failed.
+        """
+        await self._run_unless_failed(self._play(progress))
 
     async def _play(self, progress: Callable[[float, Outside], None]) -> None:
-        self.clock.begin()
+        self.clock.start()
         for station in self.stations.values():
             station.usage.before_s = self._cpu_s(station)
         for errand in arrivals(self.day):
-            self.clock.at(errand.at_us, self.outside.begin, errand)
+            self.clock.at(errand.at_us, self.clients.start, errand)
         self.begin_troubles()
-        longest = max(grade.deadline_us for grade in self.day.grades) + 500_000
-        while (now := self.clock.now_us()) < self.day.length_us + longest:
-            progress(min(1.0, now / self.day.length_us), self.outside)
-            if now >= self.day.length_us and not self.outside.open:
+        drain_us = max(grade.deadline_us for grade in self.day.grades) + 500_000
+        while (now_us := self.clock.now_us()) < self.day.length_us + drain_us:
+            progress(min(1.0, now_us / self.day.length_us), self.clients)
+            if now_us >= self.day.length_us and not self.clients.open:
                 break
             await asyncio.sleep(0.25)
-        progress(1.0, self.outside)
+        progress(1.0, self.clients)
 
     def begin_troubles(self) -> None:
+        """Start the day's troubles in the background, each at its time."""
         troubles = Troubles(self)
         for event in self.day.events:
-            self._chore(troubles.play(event))
+            self._run_in_background(troubles.play(event))
 
     async def until_failure(self) -> None:
-        """Nothing but what may go wrong."""
-        await asyncio.shield(self._failed)
+        """Wait until the run fails, and raise that failure."""
+        await asyncio.shield(self._failure)
 
     def result(self, error: DeploymentError | None = None) -> Result:
-        """What was measured up to now."""
-        endpoints = [machine.endpoint for machine in self.machines.values()]
-        for made in self.outside.tries.values():  # a run that ended early: these have no end
-            made.drop()
-        self.outside.tries.clear()
-        self.outside.open.clear()
-        choked = sum(e.choked_ever for e in endpoints) / max(1, len(endpoints))
-        verdict = self.judge.verdict(sum(e.wasted_us for e in endpoints), choked)
+        """Return the measurements up to now; requests in flight are cancelled."""
+        endpoints = [server.endpoint for server in self.machines.values()]
+        for attempt in self.clients.tries_in_flight.values():  # a run that ended early: these have no outcome
+            attempt.cancel()
+        self.clients.tries_in_flight.clear()
+        self.clients.open.clear()
+        choked_share = sum(e.choked_ever for e in endpoints) / max(1, len(endpoints))
+        verdict = self.judge.verdict(sum(e.wasted_us for e in endpoints), choked_share)
         usage = {}
-        front_cpu = 0.0
+        front_cpu_s = 0.0
         for name, station in self.stations.items():
             cpu_s = self._cpu_s(station)
-            front_cpu += cpu_s - station.usage.before_s if station.post.owner is None else 0.0
+            front_cpu_s += cpu_s - station.usage.before_s if station.post.owner is None else 0.0
             usage[name] = {
                 "cpu_s": round(cpu_s, 2),
                 "memory_mb": round(station.usage.memory_mb, 1),
@@ -486,7 +512,7 @@
             seconds=self.day.length_us / 1e6,
             sidecars=len(self.stations),
             endpoints=len(endpoints),
-            requests=self.outside.ended,
+            requests=self.clients.ended,
             rate_per_s=self.day.rate_per_s,
             events=[
                 f"{e.at_us / 1e6:.1f} to {e.until_us / 1e6:.1f} s: {e.what}"
@@ -497,7 +523,7 @@
             lateness_ms=self.clock.lateness_ms(),
             usage=usage,
             window_s=self.day.scenario.goal.window_s,
-            front_cpu_us_per_request=front_cpu * 1e6 / max(1, tries),
+            front_cpu_us_per_request=front_cpu_s * 1e6 / max(1, tries),
             notes=self._notes,
             crash=str(error) if error else None,
             crash_log=error.tail if error else [],
@@ -511,13 +537,13 @@
     def _cpu_s(station: Station) -> float:
         return station.usage.cpu_s + sum(process.measure()[0] for process in station.processes)
 
-    # --- the end ---
+    # --- shutdown ---
 
     async def close(self) -> None:
-        """End every process, and remove what was written. The world is over: nobody waits for an answer."""
+        """Kill every process at once and remove all files; requests in flight get no outcome."""
         self._closing = True
         self.clock.stop()
-        for task in list(self._chores):
+        for task in list(self._background_tasks):
             task.cancel()
         processes = [p for s in self.stations.values() for p in s.processes]
         for process in processes:
@@ -527,40 +553,40 @@
         finally:
             await self.lists.close()
             self._close_sockets()
-            if self._keep is not None:
-                self._save_logs(self._keep)
+            if self._log_folder is not None:
+                self._save_logs(self._log_folder)
             shutil.rmtree(self.folder, ignore_errors=True)
-            if self._failed.done():
-                self._failed.exception()  # it has been told
+            if self._failure.done():
+                self._failure.exception()  # marks it as retrieved, so that asyncio does not log it
 
     def _close_sockets(self) -> None:
-        for machine in self.machines.values():
-            machine.close()
+        for server in self.machines.values():
+            server.close()
         for target in self.targets.values():
             target.pool.close()
-        self._close_claims()
+        self._close_reserved_sockets()
 
-    def _close_claims(self) -> None:
-        for sock in self._claims:
+    def _close_reserved_sockets(self) -> None:
+        for sock in self._reserved_sockets:
             sock.close()
 
-    def _save_logs(self, keep: Path) -> None:
-        keep.mkdir(parents=True, exist_ok=True)
+    def _save_logs(self, folder: Path) -> None:
+        folder.mkdir(parents=True, exist_ok=True)
         logs = {name: station.log for name, station in self.stations.items()}
         if isinstance(self.lists, Services):
             logs |= self.lists.logs()
         for name, log in logs.items():
             if log.exists():
-                shutil.copy(log, keep / f"{name}.log")
+                shutil.copy(log, folder / f"{name}.log")
 
-    # --- for troubles ---
+    # --- used by troubles ---
 
     def beside(self, endpoint: str) -> str | None:
-        """The sidecar that belongs to this endpoint."""
-        return self._sidecar_of.get(endpoint)
+        """Return the name of the sidecar that belongs to this endpoint, if it has one."""
+        return self._sidecar_by_endpoint.get(endpoint)
 
     def kill(self, name: str) -> list[Process]:
-        """Kill all processes of this sidecar: what they held is nobody's fault."""
+        """Kill all processes of this sidecar; requests that they held are not counted as lost."""
         self.targets[name].killed = True
         killed = list(self.stations[name].processes)
         for process in killed:
@@ -568,5 +594,5 @@
         return killed
 
     def note(self, text: str) -> None:
-        """Something that the result should tell."""
+        """Add a note, with the time of the day, to the result."""
         self._notes.append(f"{self.clock.now_us() / 1e6:.1f} s: {text}")
--- a/eiderhub/emulator/doors.py
+++ b/eiderhub/emulator/doors.py
@@ -1,4 +1,4 @@
-"""One stand-in's listening address: open, shut (refused), or silent (as a machine that has vanished)."""
+"""A listening address that can accept connections, refuse them, or leave them unanswered like a lost host."""
 
 from __future__ import annotations
 
@@ -14,58 +14,64 @@
 from eiderhub.http1 import Exchange, ServerConnection
 
 BACKLOG = 256
-FILLERS = 4  # connections that fill a silent door's queue, so that no other comes up
+# Connections that fill the backlog of a blackholed address, so that no other is established.
+BACKLOG_FILLERS = 4
 
 
 class Door:
-    """An address within 127/8 whose port was the system's choice, and stays the same."""
+    """A listening address in 127/8; the operating system chooses its port, which then stays the same."""
 
     def __init__(
         self,
         host: str,
         serve: Callable[[Exchange], None],
         clock: Callable[[], int],
-        on_open: Callable[[], None] = lambda: None,
+        on_connection: Callable[[], None] = lambda: None,
     ) -> None:
         self.host = host
         self.port = 0
-        self._claim: socket.socket | None = None  # keeps the port ours while nobody listens
+        self._reservation: socket.socket | None = None  # keeps the port reserved while nothing listens on it
         self._serve = serve
         self._clock = clock
-        self._on_open = on_open
+        self._on_connection = on_connection
         self._server: asyncio.Server | None = None
-        self._silent: list[socket.socket] = []
+        self._blackhole_sockets: list[socket.socket] = []
         self.connections: set[ServerConnection] = set()
 
     @property
     def address(self) -> str:
         return f"{self.host}:{self.port}"
 
-    def listening(self) -> list[Any]:
-        """The sockets that listen at the address now, to serve or to be silent."""
-        return [*(self._server.sockets if self._server is not None else ()), *self._silent[:1]]
+    def listening_sockets(self) -> list[Any]:
+        """The sockets that listen on the address at present, whether it is served or blackholed."""
+        return [*(self._server.sockets if self._server is not None else ()), *self._blackhole_sockets[:1]]
 
     async def open(self) -> None:
-        self._end_silence()
-        if self._claim is None:
-            self._claim = claim(self.host)
-            self.port = self._claim.getsockname()[1]
+        """Accept connections, on the same port each time.
+
+        Raises:
+            OSError: no listening socket could be created.
+        """
+        self._end_blackhole()
+        if self._reservation is None:
+            self._reservation = claim(self.host)
+            self.port = self._reservation.getsockname()[1]
         if self._server is None:
             self._server = await asyncio.get_running_loop().create_server(
                 lambda: ServerConnection(
-                    self._serve, self._clock, self.connections, lambda _: self._on_open()
+                    self._serve, self._clock, self.connections, lambda _: self._on_connection()
                 ),
                 self.host,
                 self.port,
                 backlog=BACKLOG,
                 reuse_address=True,
             )
-            if not self._server.sockets:  # uvloop says nothing where no socket could be made
-                raise OSError(errno.EMFILE, "no descriptor is left for a listening address")
+            if not self._server.sockets:  # uvloop reports no error if it could not create a socket
+                raise OSError(errno.EMFILE, "no file descriptor left for a listening socket")
 
     def shut(self, reset: bool = True) -> None:
-        """New connections are refused; those that are open are reset, or left as they are."""
-        self._end_silence()
+        """Refuse new connections; open ones are reset, or left open if `reset` is false."""
+        self._end_blackhole()
         if self._server is not None:
             for listener in self._server.sockets:
                 unlisten(listener.fileno())
@@ -76,48 +82,52 @@
                 connection.reset()
 
     def close(self) -> None:
-        """Give the address back, too."""
+        """Stop listening, reset all connections and release the port."""
         self.shut()
-        if self._claim is not None:
-            self._claim.close()
-            self._claim = None
+        if self._reservation is not None:
+            self._reservation.close()
+            self._reservation = None
 
     @property
-    def silent(self) -> bool:
-        return bool(self._silent)
+    def is_blackholed(self) -> bool:
+        return bool(self._blackhole_sockets)
 
-    def silence(self) -> None:
-        """New connections never come up. Whoever serves must leave what comes on open ones unanswered."""
+    def blackhole(self) -> None:
+        """Let new connections time out, as with a host that has vanished.
+
+        Open connections stay open: the server must leave requests on them unanswered.
+        """
         self.shut(reset=False)
         listener = socket.socket()
-        self._silent.append(listener)
+        self._blackhole_sockets.append(listener)
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.bind((self.host, self.port))
             listener.listen(0)
-            for _ in range(FILLERS):
+            for _ in range(BACKLOG_FILLERS):
                 filler = socket.socket()
                 filler.setblocking(False)
-                self._silent.append(filler)
+                self._blackhole_sockets.append(filler)
                 with contextlib.suppress(BlockingIOError):
                     filler.connect((self.host, self.port))
         except OSError as error:
             if error.errno != errno.EADDRINUSE:
                 raise
-            # The address lingers: refused is the next best thing to silent.
+            # The address is still in use by connections that are closing: refuse connections instead.
 
-    def _end_silence(self) -> None:
-        for each in self._silent:
-            unlisten(each.fileno())
-            each.close()
-        self._silent.clear()
+    def _end_blackhole(self) -> None:
+        for sock in self._blackhole_sockets:
+            unlisten(sock.fileno())
+            sock.close()
+        self._blackhole_sockets.clear()
 
 
 def unlisten(fileno: int) -> None:
-    """Stop listening now, whoever else holds the socket.
+    """Stop listening at once, even if another process holds the same socket.
 
-    Danger: a process that we are just starting has all our descriptors until the system has closed them for
-    it, which goes on for a moment after the start has returned. A close alone leaves the address taken then.
+    A process that is being started holds copies of all our descriptors until the system has closed them on
+    exec, which can be shortly after the call that starts it has returned. Closing our descriptor alone would
+    leave the address in use until then.
     """
     with socket.socket(fileno=os.dup(fileno)) as sock, contextlib.suppress(OSError):
         sock.shutdown(socket.SHUT_RDWR)
--- a/eiderhub/emulator/lists.py
+++ b/eiderhub/emulator/lists.py
@@ -1,4 +1,7 @@
-"""Where a deployment's sidecars have their lists from: a stand-in of the world's, or the real service."""
+"""Discovery as a deployment sees it: the interface, and its implementation by the simulated registry.
+
+`services.Services` implements the same interface with real list service processes.
+"""
 
 from __future__ import annotations
 
@@ -13,100 +16,108 @@
 from eiderhub.world.network import Network
 from eiderhub.world.registry import Listing, Registry
 
-Until = Callable[[int], Awaitable[None]]  # waits for a moment of the day
-AddressOf = Callable[[str, str], str]  # where an endpoint listens for a sidecar
+Until = Callable[[int], Awaitable[None]]  # waits for a time of the day, in microseconds
+AddressOf = Callable[[str, str], str]  # an endpoint's address for a sidecar, given the names of both
 
 
 class Lists(Protocol):
-    """What a deployment and its troubles ask of discovery."""
+    """The operations of discovery that a deployment and its troubles use."""
 
     async def open(self) -> None:
-        """Begin to serve; returns once all endpoints are listed."""
+        """Start serving; returns once all endpoints are listed."""
 
     async def reach(self, station: Station) -> None:
-        """Tell a sidecar's place where it asks."""
+        """Set the address at which a sidecar reaches discovery."""
 
     async def move(self, station: Station) -> None:
-        """It asks elsewhere from now on."""
+        """Give the sidecar a new discovery address; the old one is closed soon after."""
 
     def known(self, post: Post) -> tuple[dict[str, object], Listing]:
-        """The list for this sidecar as it is now, in discovery's form and the world's."""
+        """The sidecar's present endpoint list, as a discovery response and as the world's `Listing`."""
 
     def begun(self) -> None:
-        """The day begins now."""
+        """The clock has been restarted for the day."""
 
-    def came_up(self, endpoint: str, started_us: int) -> None: ...
+    def came_up(self, endpoint: str, started_us: int) -> None:
+        """An endpoint has started."""
+        ...
 
-    def drains(self, endpoint: str) -> None: ...
+    def drains(self, endpoint: str) -> None:
+        """An endpoint drains."""
+        ...
 
-    def gone(self, endpoint: str, silent: bool = False) -> None: ...
+    def gone(self, endpoint: str, silent: bool = False) -> None:
+        """An endpoint has stopped; a silent one cannot report that itself."""
+        ...
 
-    def set_down(self, down: bool) -> None: ...
+    def set_down(self, down: bool) -> None:
+        """Make discovery unavailable, or available again."""
+        ...
 
     def stall(self, on: bool) -> None:
-        """Lists break off in their midst."""
+        """Break off responses partway through, or stop doing so."""
 
     async def rejoin(self, network: Network) -> None:
-        """The network between zones has changed."""
+        """Apply a change of the network between zones."""
 
     async def befall(self, event: Event, until: Until) -> None:
-        """A trouble of the list service."""
+        """Play a trouble of the list service, from now until the end of the event."""
 
     async def close(self) -> None: ...
 
 
-class StandIn:
-    """The world's registry, which tells late or not at all as the scenario says."""
+class SimulatedDiscovery:
+    """The simulated registry, whose responses are late or missing as the scenario specifies."""
 
     def __init__(self, registry: Registry, clock: Clock, judge: Judge, address_of: AddressOf) -> None:
         self._registry = registry
         self._clock = clock
-        self._roster = Roster(registry, clock, judge, address_of)
-        self._reached = 0
+        self._server = Roster(registry, clock, judge, address_of)
+        self._attached_count = 0
 
     async def open(self) -> None: ...
 
     async def reach(self, station: Station) -> None:
-        number, self._reached = self._reached, self._reached + 1
-        station.discovery = await self._roster.open(station.post, f"127.8.{number // 200}.{1 + number % 200}")
+        number, self._attached_count = self._attached_count, self._attached_count + 1
+        station.discovery = await self._server.open(station.post, f"127.8.{number // 200}.{1 + number % 200}")
 
     async def move(self, station: Station) -> None:
-        station.discovery = await self._roster.move(station.post)
+        station.discovery = await self._server.move(station.post)
 
     def known(self, post: Post) -> tuple[dict[str, object], Listing]:
         listing = self._registry.whole(post.tier)
-        return self._roster.document(post, listing), listing
+        return self._server.document(post, listing), listing
 
     def begun(self) -> None:
-        self._roster.moved()
+        self._server.moved()
 
     def came_up(self, endpoint: str, started_us: int) -> None:
         self._registry.came_up(self._clock.now_us(), endpoint, started_us)
-        self._roster.moved()
+        self._server.moved()
 
     def drains(self, endpoint: str) -> None:
         self._registry.drains(self._clock.now_us(), endpoint)
-        self._roster.moved()
+        self._server.moved()
 
     def gone(self, endpoint: str, silent: bool = False) -> None:
         self._registry.gone(self._clock.now_us(), endpoint, silent)
-        self._roster.moved()
+        self._server.moved()
 
     def set_down(self, down: bool) -> None:
         self._registry.set_down(self._clock.now_us(), down)
-        self._roster.moved()
+        self._server.moved()
 
     def stall(self, on: bool) -> None:
         self._registry.stalling = on
 
     async def rejoin(self, network: Network) -> None:
-        """It is in no zone: everybody reaches it."""
+        """Nothing to do: the simulated registry is in no zone, and always reachable."""
 
     async def befall(self, event: Event, until: Until) -> None:
-        """It has no processes, wires or disk: it is down for as long."""
+        """Be down during the event: there are no processes, connections or disk to disturb."""
         self.set_down(True)
         await until(event.until_us)
         self.set_down(False)
 
     async def close(self) -> None:
-        self._roster.close()
+        self._server.close()
--- a/eiderhub/emulator/load.py
+++ b/eiderhub/emulator/load.py
@@ -1,7 +1,7 @@
-"""Open-loop load: requests leave when they are due, whatever has become of those before them.
+"""Open-loop load: requests are sent when they are due, whether or not earlier ones have been answered.
 
-Latencies run from the moment at which a request was due, so that a target that stalls, or a generator that
-is late, can't hide the wait of the requests behind it (coordinated omission).
+Latency is measured from the time at which a request was due, so that a stalled target or a late generator
+cannot hide the waiting time of the requests behind it (coordinated omission).
 """
 
 from __future__ import annotations
@@ -27,45 +27,47 @@
 from eiderhub.interface import Effect
 from eiderhub.world.clients import End
 
-MOST_REQUESTS = 5_000_000
-MOST_US = 3_600_000_000  # of a latency in the histograms
-DIGITS = 3
+MAX_REQUESTS = 5_000_000
+MAX_LATENCY_US = 3_600_000_000  # upper limit of the histograms
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 75.0, 90.0, 95.0, 99.0, 99.9, 99.99)
 DEADLINE_MS = 2000
-SOON_S = 0.0005  # requests due within this leave in one turn of the loop
+SEND_AHEAD_S = 0.0005  # requests due within this time are sent in the same turn of the event loop
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """Requests of one class, and their part of all."""
+    """A class of requests, and its share of the load."""
 
     name: str
     effect: Effect
     share: float = 1.0
     deadline_ms: int = DEADLINE_MS
-    aim_ms: int | None = None  # answers later than this are no goodput
+    aim_ms: int | None = None  # later answers do not count as goodput
 
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """What is asked for: classes, and tenants with their parts."""
+    """The mix of requests: classes, and tenants with their shares."""
 
-    shapes: tuple[Shape, ...]
+    classes: tuple[Shape, ...]
     tenants: tuple[tuple[str, float], ...] = ()
     body_bytes: int = 200
 
 
 class Pattern(Enum):
+    """How due times are distributed over a run."""
+
     CONSTANT = "constant"
     POISSON = "poisson"
     STEPS = "steps"
 
 
 def loopback(host: str) -> str:
-    """The address, where it is one of this machine's own; others are never sent to.
+    """Return the IP address of a loopback host; load is never sent to another machine.
 
     Raises:
-        ValueError: for any other.
+        ValueError: not a loopback address.
     """
     address = "127.0.0.1" if host == "localhost" else host.strip("[]")
     try:
@@ -73,107 +75,116 @@
             return address
     except ValueError:
         pass
-    raise ValueError(f"{host} is not a loopback address; load is sent to this machine alone")
+    raise ValueError(f"{host} is not a loopback address; load is sent only to this machine")
 
 
 def schedule(pattern: Pattern, rates: Sequence[float], seconds: float, seed: int) -> np.ndarray:
-    """When requests are due, in seconds from the beginning, rising.
+    """Return the due times of requests in seconds from the start of the run, in ascending order.
+
+    `rates` are in requests per second: a single one for the constant and Poisson patterns; for steps one per
+    step, where each step is a Poisson process and lasts an equal part of the run.
 
-    `rates` are requests a second: one for a constant or a Poisson process, and for steps any number of
-    them, each (Poisson) for an equal part of the time.
+    Raises:
+        ValueError: more requests than a run may have.
     """
     count = sum(rate * seconds / len(rates) for rate in rates)
-    if count > MOST_REQUESTS:
-        raise ValueError(f"{count:.0f} requests are more than the {MOST_REQUESTS} that a run may have")
+    if count > MAX_REQUESTS:
+        raise ValueError(f"{count:.0f} requests exceed the limit of {MAX_REQUESTS} per run")
     if pattern is Pattern.CONSTANT:
         return np.arange(0.0, seconds, 1 / rates[0]) if rates[0] > 0 else np.empty(0)
     rng = np.random.default_rng([seed, 2])
-    part = seconds / len(rates)
-    pieces = [
-        np.sort(rng.uniform(i * part, (i + 1) * part, rng.poisson(rate * part)))
+    step_s = seconds / len(rates)
+    due_by_step = [
+        np.sort(rng.uniform(i * step_s, (i + 1) * step_s, rng.poisson(rate * step_s)))
         for i, rate in enumerate(rates)
     ]
-    return np.concatenate(pieces)
+    return np.concatenate(due_by_step)
 
 
 def recorded(path: Path) -> np.ndarray:
-    """Due times from a file: seconds from the beginning, one a line; blank lines and # comments are skipped.
+    """Read due times in seconds from a file, one per line; blank lines and # comments are skipped.
 
     Raises:
-        DocumentError: with each line that is no such time.
+        DocumentError: the file is unreadable, empty or too long, or has invalid lines; lists the first 20.
     """
-    faults, due = [], []
+    faults, due_times = [], []
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
     except (OSError, UnicodeDecodeError) as error:
-        raise DocumentError(str(path), [Fault("", getattr(error, "strerror", None) or "no text")]) from None
+        raise DocumentError(
+            str(path), [Fault("", getattr(error, "strerror", None) or "not UTF-8 text")]
+        ) from None
     for number, line in enumerate(lines, 1):
         text = line.partition("#")[0].strip()
         if not text:
             continue
         try:
-            at = float(text)
+            due_s = float(text)
         except ValueError:
-            at = math.nan
-        if not 0 <= at <= 86_400:
+            due_s = math.nan
+        if not 0 <= due_s <= 86_400:
             faults.append(
-                Fault(f"line {number}", f"must be seconds from the beginning, up to a day; it is {text!r}")
+                Fault(f"line {number}", f"must be seconds from the start, from 0 to 86400; it is {text!r}")
             )
-        due.append(at)
-    if not faults and not due:
-        faults.append(Fault("", "holds no times"))
-    if not faults and len(due) > MOST_REQUESTS:
-        faults.append(Fault("", f"holds more than {MOST_REQUESTS} times"))
+        due_times.append(due_s)
+    if not faults and not due_times:
+        faults.append(Fault("", "contains no times"))
+    if not faults and len(due_times) > MAX_REQUESTS:
+        faults.append(Fault("", f"contains more than {MAX_REQUESTS} times"))
     if faults:
         raise DocumentError(str(path), faults[:20])
-    return np.sort(np.array(due))
+    return np.sort(np.array(due_times))
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, MOST_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @dataclass(slots=True)
-class Part:
-    """What has come of one class."""
+class ClassResult:
+    """Outcomes and latencies of the requests of one class."""
 
     ends: Counter[End] = field(default_factory=Counter)
-    late: int = 0  # served, but after the aim
-    latency: HdrHistogram = field(default_factory=_histogram)  # of what was served, in microseconds
+    late: int = 0  # served, but later than `aim_ms`
+    latency: HdrHistogram = field(default_factory=_histogram)  # of served requests, in microseconds
 
 
 class Load:
-    """One run against one or more addresses, which take requests in turn."""
+    """One run against one or more addresses, which receive requests in turn."""
 
     def __init__(self, targets: Sequence[tuple[str, int]], due_s: np.ndarray, mix: Mix, seed: int) -> None:
         self.due_s = due_s
         self.mix = mix
         self.pools = [ConnectionPool(loopback(host), port) for host, port in targets]
-        self.parts = {shape.name: Part() for shape in mix.shapes}
+        self.parts = {request_class.name: ClassResult() for request_class in mix.classes}
         self.sent = 0
-        self.open: set[_Shot] = set()
+        self.open: set[_LoadRequest] = set()
         self.clock = Clock()
         self.statuses: Counter[int] = Counter()
         self._body = b"x" * mix.body_bytes
         rng = np.random.default_rng([seed, 3])
-        count = len(due_s)
-        self._shapes = _dealt(rng, [shape.share for shape in mix.shapes], count)
-        self._tenants = _dealt(rng, [share for _, share in mix.tenants], count) if mix.tenants else None
-        # Not from the seed: a second run must not send the ids of the first again.
-        self._ids = rng.integers(0, 2**63, count) ^ secrets.randbits(63)
+        request_count = len(due_s)
+        self._class_indices = _draw_indices(
+            rng, [request_class.share for request_class in mix.classes], request_count
+        )
+        self._tenant_indices = (
+            _draw_indices(rng, [share for _, share in mix.tenants], request_count) if mix.tenants else None
+        )
+        # Not drawn from the seed alone: a second run with the same seed must not repeat the first one's ids.
+        self._request_ids = rng.integers(0, 2**63, request_count) ^ secrets.randbits(63)
         self._done = asyncio.Event()
 
     async def run(self, progress: Callable[[float], None] = lambda _: None) -> None:
-        """Send everything when it is due, and wait for the last answer."""
-        self.clock.begin()
+        """Send each request when it is due, and wait until all have an outcome."""
+        self.clock.start()
         self._done.clear()
         if len(self.due_s):
-            self._send()
+            self._send_due()
         else:
             self._done.set()
-        length = max(1e-9, float(self.due_s[-1])) if len(self.due_s) else 1.0
+        length_s = max(1e-9, float(self.due_s[-1])) if len(self.due_s) else 1.0
         while not self._done.is_set():
-            progress(min(1.0, self.clock.now_us() / 1e6 / length))
+            progress(min(1.0, self.clock.now_us() / 1e6 / length_s))
             try:
                 async with asyncio.timeout(0.25):
                     await self._done.wait()
@@ -182,9 +193,9 @@
         progress(1.0)
 
     def stop(self) -> None:
-        """Give up what is open; it counts for nothing."""
-        for shot in list(self.open):
-            shot.drop()
+        """Cancel all requests in flight; no outcome is recorded for them."""
+        for request in list(self.open):
+            request.cancel()
         self.open.clear()
 
     def close(self) -> None:
@@ -192,48 +203,66 @@
         for pool in self.pools:
             pool.close()
 
-    def _send(self) -> None:
-        """All that is due by now; then wait for the next."""
-        now_s = self.clock.now_us() / 1e6 + SOON_S
+    def _send_due(self) -> None:
+        """Send all requests that are due by now, and schedule the next call."""
+        now_s = self.clock.now_us() / 1e6 + SEND_AHEAD_S
         while self.sent < len(self.due_s) and self.due_s[self.sent] <= now_s:
             number = self.sent
             self.sent += 1
-            self.open.add(_Shot(self, number))
+            self.open.add(_LoadRequest(self, number))
         if self.sent < len(self.due_s):
-            self.clock.at(int(self.due_s[self.sent] * 1e6), self._send)
+            self.clock.at(int(self.due_s[self.sent] * 1e6), self._send_due)
 
-    def ended(self, shot: _Shot, end: End) -> None:
-        self.open.discard(shot)
-        part = self.parts[shot.shape.name]
-        part.ends[end] += 1
+    def on_request_finished(self, request: _LoadRequest, end: End) -> None:
+        """Record the outcome of one request."""
+        self.open.discard(request)
+        result = self.parts[request.request_class.name]
+        result.ends[end] += 1
         if end is End.SERVED:
-            took_us = max(1, self.clock.now_us() - shot.due_us)
-            part.latency.record_value(min(took_us, MOST_US))
-            part.late += shot.shape.aim_ms is not None and took_us > shot.shape.aim_ms * 1000
+            latency_us = max(1, self.clock.now_us() - request.due_us)
+            result.latency.record_value(min(latency_us, MAX_LATENCY_US))
+            result.late += (
+                request.request_class.aim_ms is not None and latency_us > request.request_class.aim_ms * 1000
+            )
         if self.sent >= len(self.due_s) and not self.open:
             self._done.set()
 
-    def request(self, number: int) -> tuple[Shape, bytes]:
-        shape = self.mix.shapes[int(self._shapes[number])]
-        name = int(self._ids[number])
-        tenant = self.mix.tenants[int(self._tenants[number])][0] if self._tenants is not None else None
-        key = f"{name ^ 0x5555:016x}" if shape.effect is Effect.DEDUPLICATED else None
-        data = render(f"{name:016x}", shape.name, shape.effect, shape.deadline_ms, tenant, key, self._body)
-        return shape, data
+    def build_request(self, number: int) -> tuple[Shape, bytes]:
+        """Build the request with this number; returns its class and the encoded request."""
+        request_class = self.mix.classes[int(self._class_indices[number])]
+        request_id = int(self._request_ids[number])
+        tenant = (
+            self.mix.tenants[int(self._tenant_indices[number])][0]
+            if self._tenant_indices is not None
+            else None
+        )
+        idempotency_key = (
+            f"{request_id ^ 0x5555:016x}" if request_class.effect is Effect.DEDUPLICATED else None
+        )
+        data = render(
+            f"{request_id:016x}",
+            request_class.name,
+            request_class.effect,
+            request_class.deadline_ms,
+            tenant,
+            idempotency_key,
+            self._body,
+        )
+        return request_class, data
 
     # --- the result ---
 
-    def whole(self) -> HdrHistogram:
-        """The latencies of all classes together."""
-        all_of_them = _histogram()
-        for part in self.parts.values():
-            all_of_them.add(part.latency)
-        return all_of_them
+    def merged_latency(self) -> HdrHistogram:
+        """The latencies of all classes in one histogram."""
+        merged = _histogram()
+        for result in self.parts.values():
+            merged.add(result.latency)
+        return merged
 
     def document(self) -> dict[str, Any]:
-        """All figures: latencies in milliseconds, rates a second."""
+        """All figures as a JSON document: latencies in milliseconds, rates per second."""
         seconds = max(1e-9, self.clock.now_us() / 1e6)
-        good = sum(part.ends[End.SERVED] - part.late for part in self.parts.values())
+        good = sum(result.ends[End.SERVED] - result.late for result in self.parts.values())
         return {
             "version": 1,
             "seconds": round(seconds, 3),
@@ -242,61 +271,67 @@
             "offered_per_s": round(self.sent / seconds, 2),
             "goodput_per_s": round(good / seconds, 2),
             "lateness_ms": self.clock.lateness_ms(),
-            "latency_ms": percentiles_ms(self.whole()),
+            "latency_ms": percentiles_ms(self.merged_latency()),
             "statuses": {str(status): count for status, count in sorted(self.statuses.items())},
             "classes": {
                 name: {
-                    "sent": sum(part.ends.values()),
-                    "late": part.late,
-                    **{end.value: part.ends[end] for end in End},
-                    "latency_ms": percentiles_ms(part.latency),
+                    "sent": sum(result.ends.values()),
+                    "late": result.late,
+                    **{end.value: result.ends[end] for end in End},
+                    "latency_ms": percentiles_ms(result.latency),
                 }
-                for name, part in self.parts.items()
+                for name, result in self.parts.items()
             },
         }
 
     def write_hgrm(self, out: IO[bytes]) -> None:
-        """Percentiles of all that was served, in milliseconds, in the form of HdrHistogram's tools."""
-        self.whole().output_percentile_distribution(out, 1000.0)
+        """Write the latency percentiles of served requests, in milliseconds, as HdrHistogram text."""
+        self.merged_latency().output_percentile_distribution(out, 1000.0)
 
 
-def _dealt(rng: np.random.Generator, shares: Sequence[float], count: int) -> np.ndarray:
-    parts = np.array(shares, dtype=float)
-    return rng.choice(len(parts), size=count, p=parts / parts.sum())
+def _draw_indices(rng: np.random.Generator, shares: Sequence[float], count: int) -> np.ndarray:
+    """Draw `count` indices into `shares`, each with a probability in proportion to its share."""
+    weights = np.array(shares, dtype=float)
+    return rng.choice(len(weights), size=count, p=weights / weights.sum())
 
 
 def percentiles_ms(histogram: HdrHistogram) -> dict[str, float]:
+    """Percentiles and maximum of a histogram of microseconds, in milliseconds; empty if it has no values."""
     if not histogram.get_total_count():
         return {}
-    found = {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
-    return {**found, "max": histogram.get_max_value() / 1000}
+    percentiles = {f"p{p:g}": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
+    return {**percentiles, "max": histogram.get_max_value() / 1000}
 
 
-class _Shot(Asking):
-    """One request on its way."""
+class _LoadRequest(Asking):
+    """One request in flight."""
 
     def __init__(self, load: Load, number: int) -> None:
         self._load = load
-        self.shape, data = load.request(number)
+        self.request_class, data = load.build_request(number)
         self.due_us = int(load.due_s[number] * 1e6)
         pool = load.pools[number % len(load.pools)]
-        super().__init__(load.clock, pool, data, self.due_us + self.shape.deadline_ms * 1000)
+        super().__init__(load.clock, pool, data, self.due_us + self.request_class.deadline_ms * 1000)
 
     def meaning(self, reply: Reply) -> End:
         self._load.statuses[reply.status] += 1
         return end_of(reply.status)
 
     def crossed(self, first: bool) -> bool:
-        return not first  # a kept connection's close
+        return not first  # the target may have closed a reused connection before it read the request
 
     def ended(self, end: End, reply: Reply | None) -> None:
-        self._load.ended(self, end)
+        self._load.on_request_finished(self, end)
 
 
 def steps(text: str) -> Iterator[float]:
-    """Rates from a list such as `50,100,200`."""
-    for piece in text.split(","):
-        rate = float(piece)
-        if not 0 <= rate <= MOST_REQUESTS:
-            raise ValueError(piece)
-        yield rate
+    """Parse rates in requests per second from a list such as `50,100,200`.
+
+    Raises:
+        ValueError: not a number, or out of range.
+    """
+    for item in text.split(","):
+        rate_per_s = float(item)
+        if not 0 <= rate_per_s <= MAX_REQUESTS:
+            raise ValueError(item)
+        yield rate_per_s
--- a/eiderhub/emulator/machines.py
+++ b/eiderhub/emulator/machines.py
@@ -1,4 +1,4 @@
-"""Endpoints on sockets: each has an address of its own for each sidecar, so that it knows who calls."""
+"""Endpoints on sockets; each listens on a separate address per sidecar, which identifies the caller."""
 
 from __future__ import annotations
 
@@ -16,81 +16,85 @@
 from eiderhub.world.judge import Judge
 from eiderhub.world.network import Network
 
-SOON_US = 300  # a delay below this is not worth a timer, whose own lateness is larger
-DECLINED = (b"Srv-Declined", b"1")
+MIN_DELAY_US = 300  # shorter delays are skipped: the lateness of a timer would exceed them
+DECLINED_HEADER = (b"Srv-Declined", b"1")
 
 
 @dataclass(frozen=True, slots=True)
-class Job:
-    """What a request id stands for, whoever sends it."""
+class RequestInfo:
+    """What the emulator knows about a request id, whether its own client or an external one sent it."""
 
-    grade: Grade
-    work_us: float  # the errand's
+    request_class: Grade
+    work_us: float  # of the whole errand, from which each tier's work is derived
     tenant: str | None
-    key: str | None
-    until_us: int
+    idempotency_key: str | None
+    deadline_us: int
 
 
-class Jobs:
-    """All requests of the day by their ids, and the answers that endpoints made for them."""
+class RequestTable:
+    """All requests of the day by id, and the response bodies that endpoints have produced for them."""
 
     def __init__(self) -> None:
-        self._jobs: dict[bytes, Job] = {}
-        self._produced: dict[bytes, set[bytes]] = {}
+        self._requests: dict[bytes, RequestInfo] = {}
+        self._bodies: dict[bytes, set[bytes]] = {}
         self._serial = 0
 
-    def new(self, job: Job) -> str:
-        """An id for it: 16 hex digits, as service has them."""
+    def register(self, request: RequestInfo) -> str:
+        """Register a request; returns its new id of 16 hexadecimal digits."""
         self._serial += 1
-        name = f"{(self._serial * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF:016x}"
-        self._jobs[name.encode()] = job
-        return name
-
-    def find(self, name: bytes) -> Job | None:
-        return self._jobs.get(name)
-
-    def adopt(self, name: bytes, job: Job) -> None:
-        """A request that came from elsewhere."""
-        self._jobs[name] = job
-
-    def forget(self, before_us: int) -> list[str]:
-        """Those whose time was over by then; returns them."""
-        old = [name for name, job in self._jobs.items() if job.until_us < before_us]
-        for name in old:
-            del self._jobs[name]
-            self._produced.pop(name, None)
-        return [name.decode("latin-1") for name in old]
-
-    def produce(self, name: bytes, endpoint: str) -> bytes:
-        body = name + b" " + endpoint.encode()
-        self._produced.setdefault(name, set()).add(body)
+        request_id = f"{(self._serial * 0x9E3779B97F4A7C15) & 0xFFFFFFFFFFFFFFFF:016x}"
+        self._requests[request_id.encode()] = request
+        return request_id
+
+    def find(self, request_id: bytes) -> RequestInfo | None:
+        return self._requests.get(request_id)
+
+    def add(self, request_id: bytes, request: RequestInfo) -> None:
+        """Register a request of an external client under the id that it has."""
+        self._requests[request_id] = request
+
+    def remove_expired(self, before_us: int) -> list[str]:
+        """Remove the requests whose deadline was before this time; returns their ids."""
+        expired = [
+            request_id for request_id, request in self._requests.items() if request.deadline_us < before_us
+        ]
+        for request_id in expired:
+            del self._requests[request_id]
+            self._bodies.pop(request_id, None)
+        return [request_id.decode("latin-1") for request_id in expired]
+
+    def create_body(self, request_id: bytes, endpoint: str) -> bytes:
+        """Create and record the body of an endpoint's response to the request."""
+        body = request_id + b" " + endpoint.encode()
+        self._bodies.setdefault(request_id, set()).add(body)
         return body
 
-    def was_produced(self, name: str, body: bytes) -> bool:
-        return body in self._produced.get(name.encode(), ())
+    def has_body(self, request_id: str, body: bytes) -> bool:
+        """Whether an endpoint has produced this body for this request."""
+        return body in self._bodies.get(request_id.encode(), ())
 
 
-class _Running:
-    """An attempt that an endpoint has."""
+class _Attempt:
+    """An attempt that has reached an endpoint."""
 
-    __slots__ = ("drop_call", "exchange", "job", "name", "post")
+    __slots__ = ("cancel_call", "exchange", "post", "request", "request_id")
 
-    def __init__(self, exchange: Exchange, post: Post, job: Job, name: bytes) -> None:
+    def __init__(self, exchange: Exchange, post: Post, request: RequestInfo, request_id: bytes) -> None:
         self.exchange = exchange
         self.post = post
-        self.job = job
-        self.name = name
-        self.drop_call: Callable[[], None] | None = None  # gives up its call to the next tier
+        self.request = request
+        self.request_id = request_id
+        self.cancel_call: Callable[[], None] | None = None  # cancels its call to the next tier
 
 
-# What to make of a request at the front that no client of the day has sent; nothing where it is no request.
-Adopt = Callable[[Exchange, Post], Job | None]
-# Makes a call to the next tier for an endpoint; says later whether it was served. Returns how to give it up.
-CallNext = Callable[[Plan, Job, Callable[[bool], None]], Callable[[], None]]
+# Registers a request of an external client at the front; returns None if it is not a valid one.
+AdoptRequest = Callable[[Exchange, Post], RequestInfo | None]
+# Calls the next tier for an endpoint and later reports whether it was served; returns its cancel function.
+CallNextTier = Callable[[Plan, RequestInfo, Callable[[bool], None]], Callable[[], None]]
 
 
 class Machine:
-    """One endpoint, its doors, and its work."""
+    """One endpoint: its listeners, its attempts, and the simulated endpoint that schedules their work."""
 
     def __init__(
         self,
@@ -101,11 +105,11 @@
         clock: Clock,
         network: Network,
         judge: Judge,
-        jobs: Jobs,
-        groups: Mapping[tuple[str, str], DedupGroup],
-        call_next: CallNext,
-        fallen: Callable[[Plan], None],
-        adopt: Adopt,
+        requests: RequestTable,
+        dedup_groups: Mapping[tuple[str, str], DedupGroup],
+        call_next: CallNextTier,
+        on_overload: Callable[[Plan], None],
+        adopt: AdoptRequest,
     ) -> None:
         self.plan = endpoint.plan
         self.endpoint = endpoint
@@ -113,224 +117,237 @@
         self._clock = clock
         self._network = network
         self._judge = judge
-        self._jobs = jobs
-        self._groups = groups
+        self._requests = requests
+        self._dedup_groups = dedup_groups
         self._call_next = call_next
-        self._fallen = fallen
+        self._on_overload = on_overload
         self._adopt = adopt
         self._rng = day.rng(f"machine {self.plan.id}")
-        self._running: dict[int, _Running] = {}
-        self._serial = 0
+        self._attempts: dict[int, _Attempt] = {}
+        self._last_token = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._timer_us = 0
-        self._vanished = False
-        self.doors = {
-            post.name: Door(host, self._server_for(post), clock.now_us, self._opened) for post in posts
+        self._timer_at_us = 0
+        self._blackholed = False
+        self.listeners = {
+            post.name: Door(host, self._server_for(post), clock.now_us, self._on_connection) for post in posts
         }
         self._zones = {post.name: post.zone for post in posts}
 
     async def open(self) -> None:
-        for door in self.doors.values():
-            await door.open()
+        """Start listening for all sidecars."""
+        for listener in self.listeners.values():
+            await listener.open()
 
     def _server_for(self, post: Post) -> Callable[[Exchange], None]:
-        return lambda exchange: self._came(post, exchange)
+        return lambda exchange: self._on_request(post, exchange)
 
-    # --- a request's way in ---
+    # --- incoming requests ---
 
-    def _opened(self) -> None:
+    def _on_connection(self) -> None:
         self.endpoint.handshake(self._clock.now_us())
 
-    def _came(self, post: Post, exchange: Exchange) -> None:
-        """Its last byte is here."""
-        now = self._clock.now_us()
-        if self._vanished or not self._network.arrives(post.zone, self.plan.zone):
-            return  # a machine that says nothing
-        name = exchange.headers.get(b"req-id")
-        if name is None:
+    def _on_request(self, post: Post, exchange: Exchange) -> None:
+        """Handle a request whose last byte has been read."""
+        now_us = self._clock.now_us()
+        if self._blackholed or not self._network.arrives(post.zone, self.plan.zone):
+            return  # an unreachable host does not answer
+        request_id = exchange.headers.get(b"req-id")
+        if request_id is None:
             exchange.respond(404)
             return
-        job = self._jobs.find(name) or self._adopt(exchange, post)
-        text = name.decode("latin-1")
-        known = self._judge.attempt(now, exchange.started_us, text, post.name, self.plan)
-        if job is None or not known or not _as_sent(exchange, job):
+        request = self._requests.find(request_id) or self._adopt(exchange, post)
+        request_id_text = request_id.decode("latin-1")
+        is_expected = self._judge.attempt(now_us, exchange.started_us, request_id_text, post.name, self.plan)
+        if request is None or not is_expected or not _matches_request(exchange, request):
             exchange.respond(400)
             return
         self._judge.crossed(post.zone, self.plan.zone)
-        delay = self._network.one_way_us(post.zone, self.plan.zone)
-        if exchange.is_first:  # its connection had to come up as well
-            delay += int(2 * self.plan.handshake_rtts * delay)
-        running = _Running(exchange, post, job, name)
-        exchange.on_disconnect = lambda _: self._left(None, running)
-        if delay < SOON_US:
-            self._arrive(running)
+        delay_us = self._network.one_way_us(post.zone, self.plan.zone)
+        if exchange.is_first:  # the simulated connection set-up precedes the first request
+            delay_us += int(2 * self.plan.handshake_rtts * delay_us)
+        attempt = _Attempt(exchange, post, request, request_id)
+        exchange.on_disconnect = lambda _: self._on_disconnect(None, attempt)
+        if delay_us < MIN_DELAY_US:
+            self._offer(attempt)
         else:
-            self._clock.at(now + delay, self._arrive, running)
+            self._clock.at(now_us + delay_us, self._offer, attempt)
 
-    def _arrive(self, running: _Running) -> None:
-        if running.exchange.finished:
+    def _offer(self, attempt: _Attempt) -> None:
+        if attempt.exchange.finished:
             return
-        now = self._clock.now_us()
-        self._serial += 1
-        token = self._serial
-        job = running.job
-        calls = calls_at(self._day, self.plan.tier, self._rng)
-        own_us = work_at(self._day, self.plan, job.work_us, self._rng)
-        work = Work(token, own_us, calls, job.key, self._groups.get((self.plan.id, job.grade.name)))
-        told = self._judge.told_of_start(running.post.name, self.plan.id, self.endpoint.started_us)
-        connections = sum(len(door.connections) for door in self.doors.values())
-        offer = self.endpoint.offer(now, work, told, connections)
+        now_us = self._clock.now_us()
+        self._last_token += 1
+        token = self._last_token
+        request = attempt.request
+        call_count = calls_at(self._day, self.plan.tier, self._rng)
+        own_work_us = work_at(self._day, self.plan, request.work_us, self._rng)
+        work = Work(
+            token,
+            own_work_us,
+            call_count,
+            request.idempotency_key,
+            self._dedup_groups.get((self.plan.id, request.request_class.name)),
+        )
+        start_known = self._judge.told_of_start(attempt.post.name, self.plan.id, self.endpoint.started_us)
+        connection_count = sum(len(listener.connections) for listener in self.listeners.values())
+        offer = self.endpoint.offer(now_us, work, start_known, connection_count)
         if offer is Offer.TAKEN:
-            self._running[token] = running
-            running.exchange.on_disconnect = lambda _: self._left(token, running)
+            self._attempts[token] = attempt
+            attempt.exchange.on_disconnect = lambda _: self._on_disconnect(token, attempt)
         elif offer is Offer.DECLINED:
-            self._attempt_over(running, never_ran=True)
-            self._send(running, lambda: running.exchange.respond(503, b"", DECLINED))
+            self._on_attempt_finished(attempt, never_ran=True)
+            self._deliver(attempt, lambda: attempt.exchange.respond(503, b"", DECLINED_HEADER))
         else:
-            self._attempt_over(running)
-            running.exchange.reset()
+            self._on_attempt_finished(attempt)
+            attempt.exchange.reset()
         self.moved()
 
-    def _attempt_over(self, running: _Running, never_ran: bool = False) -> None:
-        """It has its outcome here; that its caller goes after that changes nothing."""
-        running.exchange.on_disconnect = None
-        self._judge.attempt_ended(running.name.decode(), self.plan, never_ran)
-
-    def _left(self, token: int | None, running: _Running) -> None:
-        """Its sidecar has given the attempt up."""
-        self._attempt_over(running)
-        if token is not None and self._running.pop(token, None) is not None:
-            if running.drop_call is not None:
-                running.drop_call()
+    def _on_attempt_finished(self, attempt: _Attempt, never_ran: bool = False) -> None:
+        """Report the attempt as ended; a later disconnect of its caller has no effect."""
+        attempt.exchange.on_disconnect = None
+        self._judge.attempt_ended(attempt.request_id.decode(), self.plan, never_ran)
+
+    def _on_disconnect(self, token: int | None, attempt: _Attempt) -> None:
+        """Handle the disconnect of a sidecar, which cancels its attempt."""
+        self._on_attempt_finished(attempt)
+        if token is not None and self._attempts.pop(token, None) is not None:
+            if attempt.cancel_call is not None:
+                attempt.cancel_call()
             self.endpoint.cancel(self._clock.now_us(), token)
             self.moved()
 
-    # --- and its way out ---
+    # --- calls and responses ---
 
     def moved(self) -> None:
-        """Something has changed: carry out what the endpoint says, and look again when it next may."""
-        now = self._clock.now_us()
-        for said in self.endpoint.advance(now):
-            if isinstance(said, Fell):
-                self._judge.fell(now, self.plan.id, said)
-                self.shut()
-                self._fallen(self.plan)
+        """Advance the endpoint to the present, carry out its outputs, and set a timer for its next step.
+
+        Must be called after each change of the endpoint's state.
+        """
+        now_us = self._clock.now_us()
+        for output in self.endpoint.advance(now_us):
+            if isinstance(output, Fell):
+                self._judge.fell(now_us, self.plan.id, output)
+                self.stop_listening()
+                self._on_overload(self.plan)
                 continue
-            assert isinstance(said.token, int)
-            running = self._running.get(said.token)
-            if running is None:
+            assert isinstance(output.token, int)
+            attempt = self._attempts.get(output.token)
+            if attempt is None:
                 continue
-            if isinstance(said, Call):
-                running.drop_call = self._call_next(
+            if isinstance(output, Call):
+                attempt.cancel_call = self._call_next(
                     self.plan,
-                    running.job,
-                    lambda served, t=said.token: self._called(t, served),  # type: ignore[misc]
+                    attempt.request,
+                    lambda served, t=output.token: self._on_call_finished(t, served),  # type: ignore[misc]
                 )
             else:
-                self._done(running, said)
-        self._arm()
+                self._complete(attempt, output)
+        self._set_timer()
 
-    def _arm(self) -> None:
-        now = self._clock.now_us()
-        due = self.endpoint.next_us(now)
+    def _set_timer(self) -> None:
+        now_us = self._clock.now_us()
+        due_us = self.endpoint.next_us(now_us)
         if self._timer is not None:
-            if due is not None and due == self._timer_us and due > now:
+            if due_us is not None and due_us == self._timer_at_us and due_us > now_us:
                 return
             self._timer.cancel()
             self._timer = None
-        if due is not None:
-            self._timer_us = due
-            self._timer = self._clock.at(due, self._rang)
+        if due_us is not None:
+            self._timer_at_us = due_us
+            self._timer = self._clock.at(due_us, self._on_timer)
 
-    def _rang(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self.moved()
 
-    def _called(self, token: int, served: bool) -> None:
-        running = self._running.get(token)
-        if running is not None:
-            running.drop_call = None
+    def _on_call_finished(self, token: int, served: bool) -> None:
+        attempt = self._attempts.get(token)
+        if attempt is not None:
+            attempt.cancel_call = None
             self.endpoint.called(self._clock.now_us(), token, served)
             self.moved()
 
-    def _done(self, running: _Running, answer: Answer) -> None:
+    def _complete(self, attempt: _Attempt, answer: Answer) -> None:
         assert isinstance(answer.token, int)
-        del self._running[answer.token]
-        self._attempt_over(running)
+        del self._attempts[answer.token]
+        self._on_attempt_finished(attempt)
         if answer.served:
-            body = self._jobs.produce(running.name, self.plan.id)
-            self._send(running, lambda: running.exchange.respond(200, body))
+            body = self._requests.create_body(attempt.request_id, self.plan.id)
+            self._deliver(attempt, lambda: attempt.exchange.respond(200, body))
         else:
-            self._send(running, lambda: running.exchange.respond(500))
+            self._deliver(attempt, lambda: attempt.exchange.respond(500))
 
-    def _send(self, running: _Running, answer: Callable[[], None]) -> None:
-        """Answers take their way, too, and are lost where the network is cut."""
-        if self._vanished or not self._network.arrives(self.plan.zone, running.post.zone):
+    def _deliver(self, attempt: _Attempt, send_answer: Callable[[], None]) -> None:
+        """Send an answer with the network's delay; it is lost if the network is cut."""
+        if self._blackholed or not self._network.arrives(self.plan.zone, attempt.post.zone):
             return
-        delay = self._network.one_way_us(self.plan.zone, running.post.zone)
-        if delay < SOON_US:
-            answer()
+        delay_us = self._network.one_way_us(self.plan.zone, attempt.post.zone)
+        if delay_us < MIN_DELAY_US:
+            send_answer()
         else:
-            self._clock.at(self._clock.now_us() + delay, answer)
+            self._clock.at(self._clock.now_us() + delay_us, send_answer)
 
-    # --- what befalls it ---
+    # --- stops, starts and network changes ---
 
     def die(self, silent: bool = False) -> None:
-        """Its process ends; a silent one says nothing, not even that."""
-        self._drop_calls()
-        self._running.clear()
+        """End the endpoint's process; if `silent`, its host vanishes and connections are not even reset."""
+        self._cancel_calls()
+        self._attempts.clear()
         self.endpoint.die(self._clock.now_us())
-        self._vanished = silent
+        self._blackholed = silent
         if silent:
-            for door in self.doors.values():
-                door.silence()
+            for listener in self.listeners.values():
+                listener.blackhole()
         else:
-            self.shut()
+            self.stop_listening()
 
-    def shut(self) -> None:
-        self._drop_calls()
-        self._running.clear()
-        for door in self.doors.values():
-            door.shut()
+    def stop_listening(self) -> None:
+        """Refuse new connections and reset open ones; attempts and their calls are dropped."""
+        self._cancel_calls()
+        self._attempts.clear()
+        for listener in self.listeners.values():
+            listener.shut()
 
-    def _drop_calls(self) -> None:
-        for running in self._running.values():
-            if running.drop_call is not None:
-                running.drop_call()
-                running.drop_call = None
+    def _cancel_calls(self) -> None:
+        for attempt in self._attempts.values():
+            if attempt.cancel_call is not None:
+                attempt.cancel_call()
+                attempt.cancel_call = None
 
     async def start(self) -> None:
-        """A new process takes the same addresses, cold."""
-        self._vanished = False
-        for door in self.doors.values():
-            for connection in list(door.connections):
+        """Start a new process on the same addresses, without warm-up."""
+        self._blackholed = False
+        for listener in self.listeners.values():
+            for connection in list(listener.connections):
                 connection.reset()
-            await door.open()
+            await listener.open()
         self.endpoint.start(self._clock.now_us())
 
     async def rejoin(self) -> None:
-        """The network has changed: doors of sidecars out of reach fall silent, the others come back."""
+        """Apply a network change: blackhole the listeners of unreachable sidecars, and reopen the others."""
         if self.endpoint.state is State.DOWN:
             return
-        for name, door in self.doors.items():
+        for name, listener in self.listeners.items():
             if self._network.joined(self._zones[name], self.plan.zone):
-                await door.open()
-            elif not door.silent:
-                door.silence()
+                await listener.open()
+            elif not listener.is_blackholed:
+                listener.blackhole()
 
     def close(self) -> None:
+        """Cancel the timer and close all listeners."""
         if self._timer is not None:
             self._timer.cancel()
-        for door in self.doors.values():
-            door.close()
+        for listener in self.listeners.values():
+            listener.close()
 
 
-def _as_sent(exchange: Exchange, job: Job) -> bool:
-    """Whether method, path and key are those that the client sent."""
-    idempotent = job.grade.spec.effect is Effect.IDEMPOTENT
-    key = exchange.headers.get(b"idempotency-key")
+def _matches_request(exchange: Exchange, request: RequestInfo) -> bool:
+    """Whether method, path and idempotency key are those that the client sent."""
+    idempotent = request.request_class.spec.effect is Effect.IDEMPOTENT
+    idempotency_key = exchange.headers.get(b"idempotency-key")
     return (
         exchange.method == (b"GET" if idempotent else b"POST")
-        and exchange.url == b"/" + job.grade.name.encode()
-        and key == (job.key.encode() if job.key is not None else None)
+        and exchange.url == b"/" + request.request_class.name.encode()
+        and idempotency_key
+        == (request.idempotency_key.encode() if request.idempotency_key is not None else None)
     )
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator and the load tool against real sockets; the sidecars are real processes."""
+"""Tests of the emulator and the load tool on real sockets, with real sidecar processes."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 from eiderhub.world.scenario import load as load_scenario
 from tests.sidecar_support import FakeServer, run
 
-SMALL = """
-about = "two tiers, one sidecar at the front, and everything that can befall it within seconds"
+SMALL_SCENARIO = """
+about = "two tiers, two sidecars at the front, and troubles within seconds"
 seconds = 3
 zones = ["one", "two"]
 [front]
@@ -61,21 +61,23 @@
 """
 
 
-def scenario(tmp_path: Path, *troubles: str, head: str = "") -> str:
+def write_scenario(tmp_path: Path, *troubles: str, head: str = "") -> str:
     path = tmp_path / "small.toml"
-    told = "".join(f"\n[[trouble]]\n{trouble}\n" for trouble in troubles)
-    path.write_text(SMALL + head + told, encoding="utf-8")
+    trouble_tables = "".join(f"\n[[trouble]]\n{trouble}\n" for trouble in troubles)
+    path.write_text(SMALL_SCENARIO + head + trouble_tables, encoding="utf-8")
     return str(path)
 
 
-def play(path: str, command: list[str] | None = None, real_lists: bool = False) -> tuple[Result, Path]:
-    async def played() -> tuple[Result, Path]:
+def run_scenario(
+    path: str, command: list[str] | None = None, real_lists: bool = False
+) -> tuple[Result, Path]:
+    async def run_day() -> tuple[Result, Path]:
         deployment = Deployment(draw(load_scenario(path), 2, "small"), command, real_lists=real_lists)
         async with deployment:
             await deployment.play()
             return deployment.result(), deployment.folder
 
-    return asyncio.run(played())
+    return asyncio.run(run_day())
 
 
 @pytest.mark.parametrize(
@@ -97,14 +99,14 @@
         ),
     ],
 )
-def test_a_day_with_troubles_ends_with_the_rules_kept_and_nothing_left(
+def test_run_with_troubles_keeps_all_rules_and_removes_its_folder(
     tmp_path: Path, troubles: tuple[str, ...]
 ) -> None:
-    result, folder = play(scenario(tmp_path, *troubles))
+    result, folder = run_scenario(write_scenario(tmp_path, *troubles))
     assert result.verdict.breaches == {}
     assert result.crash is None
-    asked = sum(row.asked for row in result.verdict.classes.values())
-    assert asked == result.requests > 30  # each has one end
+    request_count = sum(row.asked for row in result.verdict.classes.values())
+    assert request_count == result.requests > 30  # each has exactly one outcome
     assert not folder.exists()
     assert {used["starts"] for used in result.usage.values()} <= {1.0, 2.0}
 
@@ -127,9 +129,9 @@
         ),
     ],
 )
-def test_the_real_list_service_fails_and_the_day_goes_on(tmp_path: Path, troubles: tuple[str, ...]) -> None:
+def test_run_survives_failures_of_the_real_list_service(tmp_path: Path, troubles: tuple[str, ...]) -> None:
     regions = '[regions]\na = ["one"]\nb = ["two"]'
-    result, folder = play(scenario(tmp_path, *troubles, head=regions), real_lists=True)
+    result, folder = run_scenario(write_scenario(tmp_path, *troubles, head=regions), real_lists=True)
     assert (result.verdict.breaches, result.crash) == ({}, None)
     assert sum(row.asked for row in result.verdict.classes.values()) == result.requests > 30
     assert result.verdict.whole > 0.5
@@ -140,15 +142,15 @@
 
 @given(st.lists(st.binary(max_size=5000), max_size=6), st.lists(st.sampled_from(list(How)), max_size=4))
 @settings(max_examples=25)
-def test_what_a_wire_delivers_is_whole_and_in_order_and_a_mended_one_delivers_all(
-    pieces: list[bytes], hows: list[How]
+def test_wire_delivers_data_in_order_and_completely_once_reopened(
+    pieces: list[bytes], states: list[How]
 ) -> None:
     async def test() -> None:
-        got = bytearray()
+        received = bytearray()
 
         class Sink(asyncio.Protocol):
             def data_received(self, data: bytes) -> None:
-                got.extend(data)
+                received.extend(data)
 
         loop = asyncio.get_running_loop()
         server = await loop.create_server(Sink, "127.0.0.1", 0)
@@ -159,7 +161,7 @@
         broken = False
         sent = b""
         for i, data in enumerate(pieces):
-            how = hows[i % len(hows)] if hows else How.OPEN
+            how = states[i % len(states)] if states else How.OPEN
             await wire.turn(how)
             if how is How.RESET:
                 broken = True
@@ -169,9 +171,9 @@
             await asyncio.sleep(0)
         await wire.turn(How.OPEN)
         if not broken:
-            while len(got) < len(sent):
+            while len(received) < len(sent):
                 await asyncio.sleep(0.001)
-        assert sent.startswith(got) and (broken or got == sent)
+        assert sent.startswith(received) and (broken or received == sent)
         writer.close()
         server.close()
         wire.close()
@@ -179,68 +181,69 @@
     run(test())
 
 
-def test_a_port_that_is_ours_stays_ours_while_nobody_listens() -> None:
+def test_listener_keeps_its_port_reserved_while_not_listening() -> None:
     async def test() -> None:
-        door = Door("127.99.0.1", lambda exchange: None, lambda: 0)
-        await door.open()
-        door.shut()
-        with socket.socket() as other:  # as another emulator would ask for it
+        listener = Door("127.99.0.1", lambda exchange: None, lambda: 0)
+        await listener.open()
+        listener.shut()
+        with socket.socket() as other:  # as another emulator might try to bind it
             with pytest.raises(OSError, match="in use"):
-                other.bind((door.host, door.port))
+                other.bind((listener.host, listener.port))
             with pytest.raises(ConnectionRefusedError):
-                other.connect((door.host, door.port))
-        for off in (door.shut, door.silence):
-            await door.open()
-            with socket.create_connection((door.host, door.port)):
+                other.connect((listener.host, listener.port))
+        for make_unavailable in (listener.shut, listener.blackhole):
+            await listener.open()
+            with socket.create_connection((listener.host, listener.port)):
                 pass
-            held = [os.dup(each.fileno()) for each in door.listening()]  # as a process has that just starts
-            off()
-            held += [os.dup(each.fileno()) for each in door.listening()]
-            await door.open()
-            for each in held:
-                os.close(each)
-        door.close()
+            # A process that is being started holds such duplicates for a short time.
+            duplicates = [os.dup(each.fileno()) for each in listener.listening_sockets()]
+            make_unavailable()
+            duplicates += [os.dup(each.fileno()) for each in listener.listening_sockets()]
+            await listener.open()
+            for descriptor in duplicates:
+                os.close(descriptor)
+        listener.close()
         with socket.socket() as other:
             other.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            other.bind((door.host, door.port))
+            other.bind((listener.host, listener.port))
 
     run(test())
 
 
-def test_a_deployment_that_gets_no_sockets_leaves_no_folder(
+def test_deployment_without_free_descriptors_leaves_no_folder(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def none_left(host: str) -> socket.socket:
+    def fail_to_claim(host: str) -> socket.socket:
         raise OSError(errno.EMFILE, "too many open files")
 
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path / "tmp"))
     (tmp_path / "tmp").mkdir()
-    monkeypatch.setattr("eiderhub.emulator.deployment.claim", none_left)
+    monkeypatch.setattr("eiderhub.emulator.deployment.claim", fail_to_claim)
     with pytest.raises(DeploymentError, match="ulimit"):
-        play(scenario(tmp_path))
+        run_scenario(write_scenario(tmp_path))
     assert list((tmp_path / "tmp").iterdir()) == []
 
 
-def test_a_sidecar_that_dies_at_its_start_is_named_with_its_last_words(tmp_path: Path) -> None:
+def test_sidecar_that_exits_at_start_is_reported_with_its_last_output(tmp_path: Path) -> None:
     command = [sys.executable, "-c", "import sys; print('no luck today'); sys.exit(3)"]
     with pytest.raises(DeploymentError, match=r"sidecar .* ended with status 3") as caught:
-        play(scenario(tmp_path), command)
+        run_scenario(write_scenario(tmp_path), command)
     assert caught.value.tail == ["no luck today"]
 
 
-def test_sidecar_imports_nothing_of_the_rooms_above_it(tmp_path: Path) -> None:
+def test_sidecar_imports_no_packages_of_higher_layers(tmp_path: Path) -> None:
     program = (
         "import runpy, sys\n"
         "try:\n    runpy.run_module('eiderhub.sidecar', run_name='__main__')\n"
         "except SystemExit:\n    print(*(name for name, module in sys.modules.items() if module))"
     )
-    environ = {name: value for name, value in environment().items() if not name.startswith("GW_")}
-    found = subprocess.run(
-        [sys.executable, "-c", program], env=environ, capture_output=True, text=True, check=True
+    sidecar_environment = {name: value for name, value in environment().items() if not name.startswith("GW_")}
+    completed = subprocess.run(
+        [sys.executable, "-c", program], env=sidecar_environment, capture_output=True, text=True, check=True
     )
-    loaded = set(found.stdout.split())
+    loaded = set(completed.stdout.split())
     assert "eiderhub.balancer" in loaded and "structlog.dev" in loaded
-    above = (
+    higher_layers = (
         "world",
         "emulator",
         "lab",
@@ -250,15 +253,26 @@
         "registry.client",
         "http1",
     )
-    foreign = ("numpy", "click", "hdrh", "rich", "xxhash", "tomllib")
-    assert not [name for name in loaded if name.startswith((*(f"eiderhub.{n}" for n in above), *foreign))]
+    third_party = ("numpy", "click", "hdrh", "rich", "xxhash", "tomllib")
+    assert not [
+        name for name in loaded if name.startswith((*(f"eiderhub.{n}" for n in higher_layers), *third_party))
+    ]
 
 
-def test_interrupt_leaves_no_process_and_no_folder_behind(tmp_path: Path) -> None:
+def test_interrupt_ends_all_processes_and_removes_all_folders(tmp_path: Path) -> None:
     temporary = tmp_path / "tmp"
     temporary.mkdir()
     process = subprocess.Popen(
-        [sys.executable, "-m", "eiderhub.cli", "demo", "--scenario", scenario(tmp_path), "--seconds", "60"],
+        [
+            sys.executable,
+            "-m",
+            "eiderhub.cli",
+            "demo",
+            "--scenario",
+            write_scenario(tmp_path),
+            "--seconds",
+            "60",
+        ],
         env=environment() | {"TMPDIR": str(temporary)},
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
@@ -266,16 +280,16 @@
     )
     try:
         assert process.stderr is not None
-        while "ended" not in process.stderr.readline():  # progress of the day: the deployment is up
+        while "ended" not in process.stderr.readline():  # the progress line of the day: the deployment is up
             assert process.poll() is None
         children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
         assert len(children) == 4
         process.send_signal(signal.SIGINT)
-        said, _ = process.communicate(timeout=30)
+        output, _ = process.communicate(timeout=30)
     finally:
         process.kill()
     assert process.returncode == 1
-    assert "score" in said  # what was measured up to then
+    assert "score" in output  # the result of the measurements up to then
     assert list(temporary.iterdir()) == []
     assert not any(os.path.exists(f"/proc/{pid}") for pid in children)
 
@@ -284,7 +298,7 @@
 
 
 @given(st.lists(st.floats(0, 300), min_size=1, max_size=5), st.floats(0.1, 3), st.integers(0, 99))
-def test_due_times_rise_within_the_run_and_come_from_the_seed(
+def test_due_times_ascend_within_the_run_and_depend_only_on_the_seed(
     rates: list[float], seconds: float, seed: int
 ) -> None:
     for pattern in Pattern:
@@ -295,7 +309,7 @@
         assert np.array_equal(due, again)
 
 
-def test_latency_runs_from_the_due_time_and_every_request_has_one_end() -> None:
+def test_latency_is_measured_from_the_due_time_and_each_request_has_one_outcome() -> None:
     async def test() -> None:
         fake = await FakeServer().start()
         host, _, port = fake.address.rpartition(":")
@@ -303,13 +317,13 @@
         due = np.arange(20) / 1000  # all due within 20 ms
         load = Load([(host, int(port))], due, mix, 1)
         running = asyncio.create_task(load.run())
-        asked = [await fake.next_request() for _ in due]
-        begun = time.monotonic()
-        await asyncio.sleep(0.2)  # the target stands still for all of them
-        stood_ms = (time.monotonic() - begun) * 1000
-        asked[0].reset()
-        asked[1].reply(503)
-        for each in asked[2:]:
+        received = [await fake.next_request() for _ in due]
+        started_s = time.monotonic()
+        await asyncio.sleep(0.2)  # the target stalls for all of them
+        stall_ms = (time.monotonic() - started_s) * 1000
+        received[0].reset()
+        received[1].reply(503)
+        for each in received[2:]:
             each.reply()
         await running
         load.close()
@@ -317,15 +331,15 @@
         ends = load.parts["look"].ends
         assert (ends[End.SERVED], ends[End.REFUSED], ends[End.BROKEN]) == (18, 1, 1)
         assert figures["statuses"] == {"200": 18, "503": 1}
-        assert figures["latency_ms"]["p50"] >= 0.99 * stood_ms
-        names = [each.message.headers["req-id"] for each in asked]
-        assert len(set(names)) == len(names)
+        assert figures["latency_ms"]["p50"] >= 0.99 * stall_ms
+        request_ids = [each.message.headers["req-id"] for each in received]
+        assert len(set(request_ids)) == len(request_ids)
 
     run(test())
 
 
 @pytest.mark.parametrize("host", ["10.0.0.1", "example.com", "0.0.0.0", "::", "192.168.1.1"])
-def test_load_goes_to_this_machine_alone(host: str) -> None:
+def test_load_is_sent_only_to_loopback_addresses(host: str) -> None:
     with pytest.raises(ValueError, match="loopback"):
         loopback(host)
     assert [loopback(each) for each in ("localhost", "127.8.0.1", "[::1]")] == [
@@ -335,7 +349,7 @@
     ]
 
 
-def test_recorded_times_are_sorted_and_each_bad_line_is_named(tmp_path: Path) -> None:
+def test_recorded_times_are_sorted_and_each_invalid_line_is_reported(tmp_path: Path) -> None:
     path = tmp_path / "times"
     path.write_text("# seconds\n0.5\n\n0.25 # early\n", encoding="utf-8")
     assert list(recorded(path)) == [0.25, 0.5]
