--- a/eiderhub/emulator/operators.py
+++ b/eiderhub/emulator/operators.py
@@ -1,4 +1,4 @@
-"""The operators' side of the management calls: one line out, one answer back."""
+"""Client of a sidecar's management port: sends one command line and reads the reply."""
 
 from __future__ import annotations
 
@@ -6,38 +6,38 @@
 
 
 class Unanswered(Exception):
-    """Nobody answered, or not as DAYS has it."""
+    """No reply from the management port, or a reply that is not in the form of DAYS."""
 
 
-async def call(host: str, port: int, line: str, wait_s: float = 1.0) -> str:
-    """The whole answer, without its last line end; it begins with OK or ERR.
+async def call(host: str, port: int, command: str, timeout_s: float = 1.0) -> str:
+    """Send one command and return the complete reply without its final line break; it starts with OK or ERR.
 
     Raises:
-        Unanswered: with the reason, worded for those on call.
+        Unanswered: with a reason that can be shown to an operator.
     """
     try:
-        async with asyncio.timeout(wait_s):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(host, port)
             try:
-                writer.write(line.encode() + b"\n")
-                # To the end of the connection, which the time bounds.
-                answer = (await reader.read()).decode("utf-8", "replace")
+                writer.write(command.encode() + b"\n")
+                # The reply ends when the sidecar closes the connection; the timeout bounds the wait.
+                reply = (await reader.read()).decode("utf-8", "replace")
             finally:
                 writer.close()
     except TimeoutError:
-        raise Unanswered(f"no answer within {wait_s:g} s") from None
+        raise Unanswered(f"no answer within {timeout_s:g} s") from None
     except OSError as error:
         raise Unanswered(error.strerror or str(error) or type(error).__name__) from None
-    if not answer.startswith(("OK", "ERR")):
-        raise Unanswered(f"no answer of a sidecar: {answer[:60]!r}")
-    return answer.rstrip("\n")
-
-
-def figures(answer: str) -> dict[str, int]:
-    """The figures of an answer to `stats`."""
-    found = {}
-    for line in answer.splitlines():
-        name, equals, value = line.partition("=")
-        if equals and value.isdigit():
-            found[name] = int(value)
-    return found
+    if not reply.startswith(("OK", "ERR")):
+        raise Unanswered(f"reply starts with neither OK nor ERR: {reply[:60]!r}")
+    return reply.rstrip("\n")
+
+
+def figures(reply: str) -> dict[str, int]:
+    """Parse the counters (`name=value` lines) of a reply to `stats`."""
+    counters = {}
+    for line in reply.splitlines():
+        name, separator, value = line.partition("=")
+        if separator and value.isdigit():
+            counters[name] = int(value)
+    return counters
--- a/eiderhub/emulator/processes.py
+++ b/eiderhub/emulator/processes.py
@@ -1,4 +1,4 @@
-"""Sidecars as real processes: started as the platform starts them, watched, and ended."""
+"""Child processes of the emulator: sidecars are started as the platform starts them, measured and stopped."""
 
 from __future__ import annotations
 
@@ -24,30 +24,37 @@
 from eiderhub.sidecar.config import Document
 from eiderhub.world.day import Post
 
-INHERITED = 4  # the descriptor of the clients' listening socket, where the platform holds it
-LOG_TAIL = 15
+INHERITED_SOCKET_FD = 4  # descriptor of the listening socket for clients, if the platform passes one
+LOG_TAIL_LINES = 15
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 BACKLOG = 1024
 
 
 def default_command() -> list[str]:
-    """What `run` in the deploy file starts, with this interpreter."""
+    """The command that `run` in the deploy file starts, with this interpreter."""
     return [sys.executable, "-B", "-m", "eiderhub.sidecar"]
 
 
 def environment() -> dict[str, str]:
-    """Ours, and a path on which a child of any working directory finds this package."""
-    package = str(Path(__file__).resolve().parents[2])
-    path = os.environ.get("PYTHONPATH")
-    return {**os.environ, "PYTHONPATH": f"{package}{os.pathsep}{path}" if path else package}
+    """This process's environment, with `PYTHONPATH` extended by the directory of this package.
+
+    A child process can then import the package from any working directory.
+    """
+    package_root = str(Path(__file__).resolve().parents[2])
+    python_path = os.environ.get("PYTHONPATH")
+    return {
+        **os.environ,
+        "PYTHONPATH": f"{package_root}{os.pathsep}{python_path}" if python_path else package_root,
+    }
 
 
 def claim(host: str) -> socket.socket:
-    """A port at this address that stays ours until the socket is closed, whoever listens there meanwhile.
+    """Reserve a free port at this address until the returned socket is closed.
 
-    Bound and never listening: connections are refused, a process that we start can listen there (both
-    allow reuse), and the system gives the port to nobody else, such as a second emulator.
+    The socket is bound but never listens, so connections are refused. A child process can listen on the
+    port, since both sockets set `SO_REUSEADDR`, and the system does not assign the port to any other
+    process, such as a second emulator.
     """
     sock = socket.socket()
     try:
@@ -60,7 +67,7 @@
 
 
 def listening(host: str) -> socket.socket:
-    """A listening socket such as the platform holds for upgrades."""
+    """Open a non-blocking listening socket, as the platform does for sidecars that it upgrades."""
     sock = claim(host)
     sock.listen(BACKLOG)
     sock.setblocking(False)
@@ -68,61 +75,62 @@
 
 
 class DeploymentError(Exception):
-    """The run can't go on; `tail` holds the last lines of the log of the process that it names."""
+    """The run cannot continue; carries the last log lines of the process named in the message."""
 
-    def __init__(self, why: str, tail: list[str]) -> None:
-        super().__init__(why)
-        self.tail = tail
+    def __init__(self, reason: str, log_tail: list[str]) -> None:
+        super().__init__(reason)
+        self.tail = log_tail
 
 
 @dataclass(slots=True)
 class Usage:
-    """What processes of one sidecar have used."""
+    """Resources used by all processes of one sidecar or service."""
 
-    cpu_s: float = 0.0  # of processes that have ended
-    before_s: float = 0.0  # of that and of those that live, when the day began
-    memory_mb: float = 0.0  # the most at any time
-    starts: int = 0
+    cpu_s: float = 0.0  # CPU time of the processes that have exited
+    before_s: float = 0.0  # CPU time of exited and running processes when the scenario started
+    memory_mb: float = 0.0  # peak resident memory of a single process
+    starts: int = 0  # number of processes started
 
 
 class Process:
-    """One process. `ended` is set once it has; `wanted` says that somebody has told it to."""
+    """One child process with its log and its resource usage."""
 
     def __init__(
         self,
         name: str,
         command: list[str],
         environ: dict[str, str],
-        log: Path,
-        descriptors: int,
-        inherited: socket.socket | None,
+        log_path: Path,
+        descriptor_limit: int,
+        inherited_socket: socket.socket | None,
         usage: Usage,
-        on_end: Callable[[Process, int], None],
+        on_exit: Callable[[Process, int], None],
     ) -> None:
         self.name = name
-        self.log = log
-        self.wanted = False
-        self.ended = asyncio.Event()
+        self.log_path = log_path
+        self.wanted = False  # whether the emulator requested its end
+        self.ended = asyncio.Event()  # set when the process has exited
         self._usage = usage
-        self._on_end = on_end
+        self._on_exit = on_exit
         usage.starts += 1
-        output = os.open(log, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
-        actions: list[Any] = [
+        log_fd = os.open(log_path, os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC, 0o644)
+        file_actions: list[Any] = [
             (os.POSIX_SPAWN_OPEN, 0, os.devnull, os.O_RDONLY, 0),
-            (os.POSIX_SPAWN_DUP2, output, 1),
-            (os.POSIX_SPAWN_DUP2, output, 2),
+            (os.POSIX_SPAWN_DUP2, log_fd, 1),
+            (os.POSIX_SPAWN_DUP2, log_fd, 2),
         ]
-        if inherited is not None:
-            actions.append((os.POSIX_SPAWN_DUP2, inherited.fileno(), INHERITED))
+        if inherited_socket is not None:
+            file_actions.append((os.POSIX_SPAWN_DUP2, inherited_socket.fileno(), INHERITED_SOCKET_FD))
         try:
-            # A group of its own: Ctrl-C at the terminal is ours to pass on, in our order.
+            # A process group of its own: Ctrl-C at the terminal reaches only the emulator, which then
+            # stops its processes in the order that it needs.
             self.pid = os.posix_spawnp(
-                command[0], command, environ, file_actions=actions, setpgroup=0, setsigmask=[]
+                command[0], command, environ, file_actions=file_actions, setpgroup=0, setsigmask=[]
             )
         finally:
-            os.close(output)
-        with contextlib.suppress(OSError):  # it may have ended already; its end is told below
-            resource.prlimit(self.pid, resource.RLIMIT_NOFILE, (descriptors, descriptors))
+            os.close(log_fd)
+        with contextlib.suppress(OSError):  # the process may have exited already; `_reap` handles that
+            resource.prlimit(self.pid, resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
         self._pidfd = os.pidfd_open(self.pid)
         asyncio.get_running_loop().add_reader(self._pidfd, self._reap)
 
@@ -130,55 +138,60 @@
         self.measure()
         asyncio.get_running_loop().remove_reader(self._pidfd)
         os.close(self._pidfd)
-        _, status, used = os.wait4(self.pid, 0)
-        self._usage.cpu_s += used.ru_utime + used.ru_stime
-        # Not `ru_maxrss`: it holds the size that our own process had when it spawned this one.
+        _, status, resource_usage = os.wait4(self.pid, 0)
+        self._usage.cpu_s += resource_usage.ru_utime + resource_usage.ru_stime
+        # `ru_maxrss` is not used: it includes the emulator's own size at the time of the spawn.
         self.ended.set()
-        self._on_end(self, os.waitstatus_to_exitcode(status))
+        self._on_exit(self, os.waitstatus_to_exitcode(status))
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal, unless the process has exited."""
         if not self.ended.is_set():
-            signal.pidfd_send_signal(self._pidfd, number)
+            signal.pidfd_send_signal(self._pidfd, signal_number)
 
     def terminate(self) -> None:
+        """Request the end of the process with SIGTERM."""
         self.wanted = True
         self.send(signal.SIGTERM)
 
     def kill(self) -> None:
-        """End it and whatever it has started."""
+        """Kill the process and its process group."""
         self.wanted = True
         if not self.ended.is_set():
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(self.pid, signal.SIGKILL)
 
     def measure(self) -> tuple[float, float]:
-        """Seconds of processor time and MB of memory, as of now."""
+        """Current CPU time in seconds and resident memory in MB; updates the peak memory.
+
+        Both are zero if the process no longer exists.
+        """
         try:
-            fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
-            pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
+            stat_fields = Path(f"/proc/{self.pid}/stat").read_text().rpartition(")")[2].split()
+            resident_pages = int(Path(f"/proc/{self.pid}/statm").read_text().split()[1])
         except (OSError, IndexError):
             return 0.0, 0.0
-        memory_mb = pages * PAGE_BYTES / (1 << 20)
+        memory_mb = resident_pages * PAGE_BYTES / (1 << 20)
         self._usage.memory_mb = max(self._usage.memory_mb, memory_mb)
-        return (int(fields[11]) + int(fields[12])) / TICKS_PER_S, memory_mb
+        return (int(stat_fields[11]) + int(stat_fields[12])) / TICKS_PER_S, memory_mb
 
     def tail(self) -> list[str]:
-        """The last lines of its log."""
+        """The last `LOG_TAIL_LINES` lines of the log; empty if the log cannot be read."""
         try:
-            return self.log.read_text(encoding="utf-8", errors="replace").splitlines()[-LOG_TAIL:]
+            return self.log_path.read_text(encoding="utf-8", errors="replace").splitlines()[-LOG_TAIL_LINES:]
         except OSError:
             return []
 
 
 @dataclass(slots=True)
 class Station:
-    """All that one sidecar is started with, again and again under the same name and addresses."""
+    """One sidecar's name, addresses and start parameters, which every restart reuses."""
 
     post: Post
     host: str
     port: int
-    claims: list[socket.socket]  # of ports for operators' calls
-    folder: Path  # its own: configuration, log, and the directory that processes of it share
+    claims: list[socket.socket]  # sockets that reserve the management ports
+    folder: Path  # the configuration, the log, and the temporary directory that its processes share
     settings: dict[str, Any]
     memory_mb: float
     descriptors: int
@@ -187,9 +200,9 @@
     discovery: str = ""
     management: str = ""
     usage: Usage = field(default_factory=Usage)
-    processes: list[Process] = field(default_factory=list)  # those that live, the newest last
-    follow: FollowSettings | None = None  # lists come from the project's own service
-    regions: dict[str, list[str]] = field(default_factory=dict)
+    processes: list[Process] = field(default_factory=list)  # running processes, the newest last
+    follow: FollowSettings | None = None  # set if lists come from the project's own list service
+    regions: dict[str, list[str]] = field(default_factory=dict)  # zones by region
 
     @property
     def config(self) -> Path:
@@ -199,8 +212,11 @@
     def log(self) -> Path:
         return self.folder / "log"
 
-    def write_config(self, known: dict[str, object], seed: int) -> None:
-        """The platform's JSON; or TOML, which alone can name the list service and regions."""
+    def write_config(self, known_endpoints: dict[str, object], seed: int) -> None:
+        """Write the configuration: the platform's JSON, or TOML if it has a list service or regions.
+
+        Only the TOML form has keys for these two. The file is replaced atomically.
+        """
         document = {
             "name": self.post.name,
             "listen": f"{self.host}:{self.port}",
@@ -208,37 +224,39 @@
             "management": self.management,
             "seed": f"{seed:016x}",
             "limits": {"cores": 1.0, "memory_mb": self.memory_mb, "sockets": self.descriptors},
-            "known": known,
+            "known": known_endpoints,
             "settings": self.settings,
         }
-        beside = self.config.with_suffix(".new")
+        temporary_path = self.config.with_suffix(".new")
         data = msgspec.json.encode(document)
         if self.config.suffix == ".toml":
-            found = convert(document, Document)
-            found = msgspec.structs.replace(found, registry=self.follow, regions=self.regions)
-            data = tomli_w.dumps(to_human_format(found)).encode()
-        beside.write_bytes(data)
-        beside.replace(self.config)
-
-    def start(self, on_end: Callable[[Process, int], None]) -> Process:
-        """One more process; an upgrade has its second one beside the first."""
-        temporary = self.folder / "tmp"
-        if not self.processes:  # it is empty at a start, and common to processes that live side by side
-            shutil.rmtree(temporary, ignore_errors=True)
-            temporary.mkdir(parents=True)
-        # Two processes of one sidecar live side by side in an upgrade, so they take turns.
-        held = self.claims[self.usage.starts % len(self.claims)]
-        self.management = f"{self.host}:{held.getsockname()[1]}"
+            typed_document = convert(document, Document)
+            typed_document = msgspec.structs.replace(
+                typed_document, registry=self.follow, regions=self.regions
+            )
+            data = tomli_w.dumps(to_human_format(typed_document)).encode()
+        temporary_path.write_bytes(data)
+        temporary_path.replace(self.config)
+
+    def start(self, on_exit: Callable[[Process, int], None]) -> Process:
+        """Start another process; an upgrade starts the new one while the old one is still running."""
+        temporary_folder = self.folder / "tmp"
+        if not self.processes:  # emptied before a start, and shared by processes that run at the same time
+            shutil.rmtree(temporary_folder, ignore_errors=True)
+            temporary_folder.mkdir(parents=True)
+        # During an upgrade two processes run at the same time, so starts alternate between the ports.
+        management_socket = self.claims[self.usage.starts % len(self.claims)]
+        self.management = f"{self.host}:{management_socket.getsockname()[1]}"
         environ = environment() | {
             "GW_NAME": self.post.name,
             "GW_LISTEN": f"{self.host}:{self.port}",
             "GW_DISCOVERY": self.discovery,
             "GW_CONFIG": str(self.config),
             "GW_MANAGEMENT": self.management,
-            "TMPDIR": str(temporary),
+            "TMPDIR": str(temporary_folder),
         }
         if self.inherited is not None:
-            environ["GW_FD"] = str(INHERITED)
+            environ["GW_FD"] = str(INHERITED_SOCKET_FD)
         process = Process(
             self.post.name,
             self.command,
@@ -247,18 +265,19 @@
             self.descriptors,
             self.inherited,
             self.usage,
-            on_end,
+            on_exit,
         )
         self.processes.append(process)
         return process
 
 
 def new_folder() -> Path:
+    """Create a temporary folder for the files of one run."""
     return Path(tempfile.mkdtemp(prefix="ottercleat-"))
 
 
 def end_on_signals() -> None:
-    """Ctrl-C or SIGTERM cancels the task that runs now, once: what then ends it must not be cut short."""
+    """Make SIGINT and SIGTERM cancel the current task once; later signals do not interrupt its cleanup."""
     task = asyncio.current_task()
     interrupted = False
 
@@ -268,5 +287,5 @@
             interrupted = True
             task.cancel()
 
-    for number in (signal.SIGINT, signal.SIGTERM):
-        asyncio.get_running_loop().add_signal_handler(number, interrupt)
+    for signal_number in (signal.SIGINT, signal.SIGTERM):
+        asyncio.get_running_loop().add_signal_handler(signal_number, interrupt)
--- a/eiderhub/emulator/roster.py
+++ b/eiderhub/emulator/roster.py
@@ -1,4 +1,4 @@
-"""Discovery on sockets: the registry's lists in PROTOCOL's form, at one address for each sidecar"""
+"""Discovery over HTTP: serves the lists of the simulated registry (PROTOCOL), one address per sidecar."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from eiderhub.world.judge import Judge
 from eiderhub.world.registry import Delivery, Listing, Registry, Told
 
-MOST_WAIT_MS = 60_000
-MOVED_S = 1.5  # after a move, connections to the old address are closed
+MAX_LONG_POLL_MS = 60_000
+OLD_ADDRESS_CLOSE_DELAY_S = 1.5  # from a move until connections to the old address are reset
 
 
 class Roster:
-    """Hosts a `Registry`; `address_of` says where an endpoint listens for a sidecar."""
+    """Serves a `Registry`; `address_of` returns the address of an endpoint for a given sidecar."""
 
     def __init__(
         self,
@@ -33,34 +33,39 @@
         self._clock = clock
         self._judge = judge
         self._address_of = address_of
-        self._asked: dict[int, tuple[Post, Exchange]] = {}
+        self._pending_calls: dict[int, tuple[Post, Exchange]] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self.doors: dict[str, Door] = {}
-        self._old: list[Door] = []
+        self.listeners: dict[str, Door] = {}
+        self._replaced_listeners: list[Door] = []
 
     async def open(self, post: Post, host: str) -> str:
-        """The address at which this sidecar asks."""
-        door = Door(host, lambda exchange: self._came(post, exchange), self._clock.now_us)
-        await door.open()
-        self.doors[post.name] = door
-        return door.address
+        """Open a listener for this sidecar and return its address."""
+        listener = Door(host, lambda exchange: self._handle_call(post, exchange), self._clock.now_us)
+        await listener.open()
+        self.listeners[post.name] = listener
+        return listener.address
 
     async def move(self, post: Post) -> str:
-        """A new address for it; the old one takes no new connections and soon closes those it has."""
-        old = self.doors[post.name]
-        old.shut(reset=False)
-        self._old.append(old)
-        self._clock.at(self._clock.now_us() + int(MOVED_S * 1e6), old.shut)
-        return await self.open(post, old.host)
+        """Open a new address for a sidecar and return it.
+
+        The old address refuses new connections at once; its open connections are reset after
+        `OLD_ADDRESS_CLOSE_DELAY_S`.
+        """
+        replaced = self.listeners[post.name]
+        replaced.shut(reset=False)
+        self._replaced_listeners.append(replaced)
+        self._clock.at(self._clock.now_us() + int(OLD_ADDRESS_CLOSE_DELAY_S * 1e6), replaced.shut)
+        return await self.open(post, replaced.host)
 
     def close(self) -> None:
+        """Close all listeners and cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
-        for door in (*self.doors.values(), *self._old):
-            door.close()
+        for listener in (*self.listeners.values(), *self._replaced_listeners):
+            listener.close()
 
     def document(self, post: Post, listing: Listing) -> dict[str, object]:
-        """A list in discovery's form."""
+        """Convert a list to the JSON document of the discovery protocol."""
         return {
             "generation": listing.generation,
             "reset": listing.whole,
@@ -81,57 +86,57 @@
 
     # --- calls ---
 
-    def _came(self, post: Post, exchange: Exchange) -> None:
-        now = self._clock.now_us()
+    def _handle_call(self, post: Post, exchange: Exchange) -> None:
+        now_us = self._clock.now_us()
         target = urlsplit(exchange.url.decode("latin-1"))
         if target.path != "/discovery/hosts" or exchange.method != b"GET":
             exchange.respond(404)
             return
         query = parse_qs(target.query)
         try:
-            after = int(query["after"][0]) if "after" in query else None
-            wait_ms = min(MOST_WAIT_MS, max(0, int(query.get("wait_ms", ["0"])[0])))
+            after_generation = int(query["after"][0]) if "after" in query else None
+            wait_ms = min(MAX_LONG_POLL_MS, max(0, int(query.get("wait_ms", ["0"])[0])))
         except ValueError:
             exchange.respond(400)
             return
-        self._judge.asked_list(now, post.name)
-        ticket = self._registry.ask(now, post.tier, after, wait_ms * 1000)
-        self._asked[ticket] = (post, exchange)
-        exchange.on_disconnect = lambda _: self._hung_up(ticket)
+        self._judge.asked_list(now_us, post.name)
+        ticket = self._registry.ask(now_us, post.tier, after_generation, wait_ms * 1000)
+        self._pending_calls[ticket] = (post, exchange)
+        exchange.on_disconnect = lambda _: self._handle_disconnect(ticket)
         self.moved()
 
-    def _hung_up(self, ticket: int) -> None:
-        self._asked.pop(ticket, None)
+    def _handle_disconnect(self, ticket: int) -> None:
+        self._pending_calls.pop(ticket, None)
         self._registry.hang_up(ticket)
 
     def moved(self) -> None:
-        """Answer what is due, and look again when the registry next has something."""
-        now = self._clock.now_us()
-        for told in self._registry.advance(now):
-            asked = self._asked.pop(told.ticket, None)
-            if asked is not None:
-                self._tell(now, *asked, told)
-        for when, entry in self._registry.news:
-            self._judge.listed(when, entry)
+        """Send the answers that are due, and schedule the next check for when the registry has more."""
+        now_us = self._clock.now_us()
+        for answer in self._registry.advance(now_us):
+            pending_call = self._pending_calls.pop(answer.ticket, None)
+            if pending_call is not None:
+                self._send_answer(now_us, *pending_call, answer)
+        for known_at_us, entry in self._registry.news:
+            self._judge.listed(known_at_us, entry)
         self._registry.news.clear()
         if self._timer is not None:
             self._timer.cancel()
-        due = self._registry.next_us(now)
-        self._timer = self._clock.at(due, self.moved) if due is not None else None
+        due_us = self._registry.next_us(now_us)
+        self._timer = self._clock.at(due_us, self.moved) if due_us is not None else None
 
-    def _tell(self, now: int, post: Post, exchange: Exchange, told: Told) -> None:
+    def _send_answer(self, now_us: int, post: Post, exchange: Exchange, answer: Told) -> None:
         exchange.on_disconnect = None
-        if told.listing is None:
-            self._judge.told(now, post.name, None)
+        if answer.listing is None:
+            self._judge.told(now_us, post.name, None)
             exchange.respond(503)
             return
-        body = msgspec.json.encode(self.document(post, told.listing))
-        if told.delivery is Delivery.WHOLE:
-            self._judge.told(now, post.name, told.listing)
+        body = msgspec.json.encode(self.document(post, answer.listing))
+        if answer.delivery is Delivery.WHOLE:
+            self._judge.told(now_us, post.name, answer.listing)
             exchange.respond(200, body)
             return
-        self._judge.told(now, post.name, None)
-        answer = render_response(200, [], body)
-        exchange.write(answer[: len(answer) - len(body) // 2 - 1])
-        if told.delivery is Delivery.BREAKS_OFF:
+        self._judge.told(now_us, post.name, None)
+        response = render_response(200, [], body)
+        exchange.write(response[: len(response) - len(body) // 2 - 1])
+        if answer.delivery is Delivery.BREAKS_OFF:
             exchange.reset()
--- a/eiderhub/emulator/services.py
+++ b/eiderhub/emulator/services.py
@@ -1,4 +1,4 @@
-"""The real list service in a deployment: its processes, wires to them, and endpoints' registrations."""
+"""The real list service in a deployment: its processes, proxies to them, and endpoint registrations."""
 
 from __future__ import annotations
 
@@ -43,25 +43,25 @@
 from eiderhub.world.network import Network
 from eiderhub.world.scenario import TroubleKind
 
-SERVICE = "emulated"
-FOLLOWERS = 2
+SERVICE_NAME = "emulated"
+FOLLOWER_COUNT = 2
 LEASE_MS = 3000
-DESCRIPTORS = 4096
-READY_S = 20.0  # for the service to list all endpoints
-ASK_S = 0.05
-MOVED_S = 1.5  # after a move, connections to the old addresses are closed
-WAIT_S = 5.0  # of the sidecars' watches
-HOWS = {how.value: how for how in How}
+DESCRIPTOR_LIMIT = 4096
+READY_TIMEOUT_S = 20.0  # for a process to serve, and for the service to list all endpoints
+POLL_INTERVAL_S = 0.05
+OLD_ADDRESS_CLOSE_DELAY_S = 1.5  # from a move until connections to the old addresses are reset
+LONG_POLL_S = 5.0  # of every watch
+MODES_BY_VALUE = {mode.value: mode for mode in How}
 
 
 @dataclass(slots=True)
-class _Server:
-    """One process's place, the same after a restart."""
+class _ServiceNode:
+    """One process of the list service; its folder and address stay the same over restarts."""
 
     name: str
     folder: Path
     address: Address
-    follow: list[str]
+    main_addresses: list[str]
     usage: Usage = field(default_factory=Usage)
     process: Process | None = None
 
@@ -69,19 +69,30 @@
     def store(self) -> Path:
         return self.folder / "store"
 
-    def start(self, on_end: Callable[[Process, int], None]) -> None:
+    def start(self, on_exit: Callable[[Process, int], None]) -> None:
         self.folder.mkdir(exist_ok=True)
         document: dict[str, Any] = {"listen": str(self.address), "limits": {"settle_s": 1.0}}
-        document |= {"follow": self.follow} if self.follow else {"store": str(self.store)}
-        path = self.folder / "registry.toml"
-        path.write_text(tomli_w.dumps(document), encoding="utf-8")
-        command = [sys.executable, "-B", "-m", "eiderhub.cli", "registry", "serve", "--config", str(path)]
-        log = self.folder / "log"
-        self.process = Process(self.name, command, environment(), log, DESCRIPTORS, None, self.usage, on_end)
-
-    def signal(self, number: signal.Signals) -> None:
+        document |= {"follow": self.main_addresses} if self.main_addresses else {"store": str(self.store)}
+        config_path = self.folder / "registry.toml"
+        config_path.write_text(tomli_w.dumps(document), encoding="utf-8")
+        command = [
+            sys.executable,
+            "-B",
+            "-m",
+            "eiderhub.cli",
+            "registry",
+            "serve",
+            "--config",
+            str(config_path),
+        ]
+        log_path = self.folder / "log"
+        self.process = Process(
+            self.name, command, environment(), log_path, DESCRIPTOR_LIMIT, None, self.usage, on_exit
+        )
+
+    def send_signal(self, signal_number: signal.Signals) -> None:
         if self.process is not None:
-            self.process.send(number)
+            self.process.send(signal_number)
 
     async def kill(self) -> None:
         if self.process is not None:
@@ -89,24 +100,27 @@
             await self.process.ended.wait()
 
 
-class _Tap:
-    """Reads along what one connection to the service carries: calls, and the lists that are answered."""
+class _AnswerParser:
+    """Parses the responses on one proxied connection and passes each list on.
 
-    def __init__(self, told: Callable[[DiscoveryResponse | None], None]) -> None:
-        self._told = told
+    `on_answer` is called with the list, or with None for a response whose status is not 200.
+    """
+
+    def __init__(self, on_answer: Callable[[DiscoveryResponse | None], None]) -> None:
+        self._on_answer = on_answer
         self._parser = httptools.HttpResponseParser(self)
-        self._body: list[bytes] = []
+        self._body_parts: list[bytes] = []
 
     def feed(self, data: bytes) -> None:
         with contextlib.suppress(httptools.HttpParserError):
             self._parser.feed_data(data)
 
     def on_body(self, body: bytes) -> None:
-        self._body.append(body)
+        self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        body, self._body = b"".join(self._body), []
-        self._told(
+        body, self._body_parts = b"".join(self._body_parts), []
+        self._on_answer(
             msgspec.json.decode(body, type=DiscoveryResponse)
             if self._parser.get_status_code() == 200
             else None
@@ -114,7 +128,7 @@
 
 
 class Services:
-    """A main process and its followers. Every connection to them runs over a wire of its own."""
+    """A main process and its followers. Each caller reaches them through proxies of its own."""
 
     def __init__(
         self,
@@ -123,148 +137,162 @@
         clock: Clock,
         judge: Judge,
         address_of: AddressOf,
-        ready: Callable[[str], bool],
+        accepts_requests: Callable[[str], bool],
         fail: Callable[[BaseException], None],
     ) -> None:
-        """`ready`: whether an endpoint takes requests, in truth."""
+        """`accepts_requests` returns an endpoint's actual state; `fail` ends the run with an error."""
         self._day = day
         self._clock = clock
         self._judge = judge
         self._address_of = address_of
-        self._ready = ready
+        self._accepts_requests = accepts_requests
         self._fail = fail
         self._closing = False
         self._plans: dict[str, Plan] = {plan.id: plan for plan in day.plans}
-        self._wire_count = 0
-        self._wires: list[Wire] = []  # all there are
-        self._ends: dict[Wire, tuple[str, str]] = {}  # the zones of those at both ends
-        self._callers: dict[str, list[Wire]] = {}  # those of a sidecar
-        self._claims = [claim(f"127.7.0.{1 + number}") for number in range(1 + FOLLOWERS)]
-        addresses = [Address(*sock.getsockname()) for sock in self._claims]
-        zones = day.scenario.zones  # the processes stand in them by turns, the main one in the first
-        self._places = {address: zones[i % len(zones)] for i, address in enumerate(addresses)}
-        feeds = [self._wire(addresses[0], zone=self._places[address]) for address in addresses[1:]]
-        self._servers = [_Server("registry-0", folder / "registry-0", addresses[0], [])]
-        for number, (wire, address) in enumerate(zip(feeds, addresses[1:], strict=True), 1):
+        self._proxy_count = 0
+        self._proxies: list[Wire] = []
+        self._zones_by_proxy: dict[Wire, tuple[str, str]] = {}  # of the caller and the process
+        self._sidecar_proxies: dict[str, list[Wire]] = {}  # by sidecar name
+        self._reserved_ports = [claim(f"127.7.0.{1 + index}") for index in range(1 + FOLLOWER_COUNT)]
+        addresses = [Address(*sock.getsockname()) for sock in self._reserved_ports]
+        zones = day.scenario.zones  # processes are assigned round-robin, the main one to the first zone
+        self._zone_by_address = {address: zones[i % len(zones)] for i, address in enumerate(addresses)}
+        feed_proxies = [
+            self._add_proxy(addresses[0], zone=self._zone_by_address[address]) for address in addresses[1:]
+        ]
+        self._nodes = [_ServiceNode("registry-0", folder / "registry-0", addresses[0], [])]
+        for number, (proxy, address) in enumerate(zip(feed_proxies, addresses[1:], strict=True), 1):
             name = f"registry-{number}"
-            self._servers.append(_Server(name, folder / name, address, [str(wire.address)]))
-        self._log_file = folder / "endpoints.log"
-        self._told_of = self._log_file.open("w", encoding="utf-8")
-        self._log = structlog.wrap_logger(
-            structlog.WriteLogger(self._told_of),
+            self._nodes.append(_ServiceNode(name, folder / name, address, [str(proxy.address)]))
+        self._log_path = folder / "endpoints.log"
+        self._log_stream = self._log_path.open("w", encoding="utf-8")
+        self._logger = structlog.wrap_logger(
+            structlog.WriteLogger(self._log_stream),
             processors=[structlog.processors.add_log_level, structlog.processors.JSONRenderer()],
         )
         self._registrations: dict[str, Registration] = {}
-        self._registrars: dict[str, Wire] = {}
+        self._registration_proxies: dict[str, Wire] = {}
         self._draining: set[str] = set()
-        self._started: dict[tuple[str, int], int] = {}  # by endpoint and Unix time: the time of the day
+        # Time of the scenario's clock, by endpoint and Unix time in ms.
+        self._start_times_us: dict[tuple[str, int], int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._watches = {
             tier: ListWatch(
-                self._follow(tier, "", [addresses[0]]), partial(self._listed, tier), logger=self._log
+                self._follow_settings(tier, "", [addresses[0]]),
+                partial(self._record_adoption, tier),
+                logger=self._logger,
             )
             for tier in range(len(day.scenario.tier))
         }
 
-    def _wire(
-        self, target: Address, watch: Callable[[object, bool, bytes], None] | None = None, zone: str = ""
+    def _add_proxy(
+        self, target: Address, observer: Callable[[object, bool, bytes], None] | None = None, zone: str = ""
     ) -> Wire:
-        """`zone`: of whoever calls by it."""
-        number, self._wire_count = self._wire_count, self._wire_count + 1
-        wire = Wire(f"127.7.{1 + number // 200}.{1 + number % 200}", lambda: target, watch)
-        self._wires.append(wire)
-        self._ends[wire] = (zone, self._places[target])
-        return wire
+        """Create a proxy to `target`; `zone` is the zone of the caller that uses it."""
+        index, self._proxy_count = self._proxy_count, self._proxy_count + 1
+        proxy = Wire(f"127.7.{1 + index // 200}.{1 + index % 200}", lambda: target, observer)
+        self._proxies.append(proxy)
+        self._zones_by_proxy[proxy] = (zone, self._zone_by_address[target])
+        return proxy
 
     async def rejoin(self, network: Network) -> None:
-        """A zone that is cut off is so for the list service's callers as well."""
-        for wire, (caller, server) in self._ends.items():
-            up, down = network.arrives(caller, server), network.arrives(server, caller)
-            how = {(True, True): How.OPEN, (False, True): How.CUT_UP, (True, False): How.CUT_DOWN}
-            await wire.turn(how.get((up, down), How.CUT))
+        """Apply the network partitions between zones to all proxies of the list service."""
+        for proxy, (caller_zone, server_zone) in self._zones_by_proxy.items():
+            caller_to_server, server_to_caller = (
+                network.arrives(caller_zone, server_zone),
+                network.arrives(server_zone, caller_zone),
+            )
+            modes = {(True, True): How.OPEN, (False, True): How.CUT_UP, (True, False): How.CUT_DOWN}
+            await proxy.turn(modes.get((caller_to_server, server_to_caller), How.CUT))
 
-    def _tier(self, number: int) -> str:
-        return self._day.scenario.tier[number].name
+    def _tier_name(self, tier: int) -> str:
+        return self._day.scenario.tier[tier].name
 
-    def _follow(
-        self, tier: int, view: str, addresses: list[Address], keep: Path | None = None
+    def _follow_settings(
+        self, tier: int, view: str, addresses: list[Address], snapshot_path: Path | None = None
     ) -> FollowSettings:
         return FollowSettings(
             addresses=[str(address) for address in addresses],
-            service=SERVICE,
-            tier=self._tier(tier),
+            service=SERVICE_NAME,
+            tier=self._tier_name(tier),
             view=view,
-            keep=str(keep) if keep is not None else None,
-            wait_s=WAIT_S,
+            keep=str(snapshot_path) if snapshot_path is not None else None,
+            wait_s=LONG_POLL_S,
         )
 
-    def _task(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._handle_task_end)
 
-    def _done(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self._fail(error)
 
-    # --- its life ---
+    # --- start and stop ---
 
     async def open(self) -> None:
-        for wire in self._wires:
-            await wire.open()
-        for server in self._servers:
-            server.start(self._ended)
-        await self._until_up(self._servers[0])
+        """Start all processes and register all endpoints; returns once every endpoint is listed.
+
+        Raises:
+            DeploymentError: if the service is not ready in time.
+        """
+        for proxy in self._proxies:
+            await proxy.open()
+        for node in self._nodes:
+            node.start(self._handle_exit)
+        await self._wait_until_serving(self._nodes[0])
         for plan in self._day.plans:
             await self._register(plan.id, 0)
         for watch in self._watches.values():
             watch.start()
         try:
-            async with asyncio.timeout(READY_S):
-                await self._until_listed()
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                await self._wait_until_listed()
         except TimeoutError:
-            why = f"the list service does not list all endpoints after {READY_S:g} s"
-            process = self._servers[0].process
-            raise DeploymentError(why, process.tail() if process is not None else []) from None
+            reason = f"the list service does not list all endpoints after {READY_TIMEOUT_S:g} s"
+            process = self._nodes[0].process
+            raise DeploymentError(reason, process.tail() if process is not None else []) from None
 
-    async def _until_listed(self) -> None:
+    async def _wait_until_listed(self) -> None:
         for registration in self._registrations.values():
             await registration.registered.wait()
-        version = await self._version(self._servers[0])
-        for server in self._servers[1:]:
-            while await self._version(server) < version:
-                await asyncio.sleep(ASK_S)
+        main_version = await self._served_version(self._nodes[0])
+        for node in self._nodes[1:]:
+            while await self._served_version(node) < main_version:
+                await asyncio.sleep(POLL_INTERVAL_S)
         for tier, watch in self._watches.items():
             count = sum(plan.tier == tier for plan in self._day.plans)
             while len(watch.adopted_list.entries) < count:
-                await asyncio.sleep(ASK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _version(self, server: _Server) -> int:
-        """What it serves; -1 where it does not."""
-        line = RegistryClient(server.address)
+    async def _served_version(self, node: _ServiceNode) -> int:
+        """The version of the list that a process serves; -1 if it does not serve."""
+        client = RegistryClient(node.address)
         try:
-            status = decode_reply(await line.get(api.STATUS_PATH, {}, 1.0), api.StatusResponse)
+            status = decode_reply(await client.get(api.STATUS_PATH, {}, 1.0), api.StatusResponse)
             return status.version if status.branch else -1
         except (NoReplyError, RequestRefusedError):
             return -1
         finally:
-            line.close()
+            client.close()
 
-    async def _until_up(self, server: _Server) -> None:
+    async def _wait_until_serving(self, node: _ServiceNode) -> None:
         try:
-            async with asyncio.timeout(READY_S):
-                while await self._version(server) < 0:
-                    await asyncio.sleep(ASK_S)
+            async with asyncio.timeout(READY_TIMEOUT_S):
+                while await self._served_version(node) < 0:
+                    await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
-            tail = server.process.tail() if server.process is not None else []
-            raise DeploymentError(f"{server.name}: not ready after {READY_S:g} s", tail) from None
+            log_tail = node.process.tail() if node.process is not None else []
+            raise DeploymentError(f"{node.name}: not ready after {READY_TIMEOUT_S:g} s", log_tail) from None
 
-    def _ended(self, process: Process, status: int) -> None:
+    def _handle_exit(self, process: Process, status: int) -> None:
         if not process.wanted and not self._closing:
             self._fail(DeploymentError(f"{process.name} ended with status {status}", process.tail()))
 
     async def close(self) -> None:
+        """Stop all registrations and watches, kill the processes and close the sockets."""
         self._closing = True
         for task in list(self._tasks):
             task.cancel()
@@ -272,207 +300,227 @@
             watch.stop()
         for registration in self._registrations.values():
             registration.abandon()
-        await asyncio.gather(*(server.kill() for server in self._servers))
+        await asyncio.gather(*(node.kill() for node in self._nodes))
         self.close_sockets()
 
     def close_sockets(self) -> None:
-        for wire in self._wires:
-            wire.close()
-        for sock in self._claims:
+        """Close all proxies, release the reserved ports and flush the log."""
+        for proxy in self._proxies:
+            proxy.close()
+        for sock in self._reserved_ports:
             sock.close()
-        self._told_of.flush()
+        self._log_stream.flush()
 
     def usage(self) -> dict[str, Usage]:
-        for server in self._servers:
-            if server.process is not None and not server.process.ended.is_set():
-                server.process.measure()
-        return {server.name: server.usage for server in self._servers}
+        """Resource usage by process name."""
+        for node in self._nodes:
+            if node.process is not None and not node.process.ended.is_set():
+                node.process.measure()
+        return {node.name: node.usage for node in self._nodes}
 
     def logs(self) -> dict[str, Path]:
-        self._told_of.flush()
-        return {server.name: server.folder / "log" for server in self._servers} | {
-            "endpoints": self._log_file
-        }
+        """Paths of the log files by name: one per process, and that of the endpoints' registrations."""
+        self._log_stream.flush()
+        return {node.name: node.folder / "log" for node in self._nodes} | {"endpoints": self._log_path}
 
     # --- the sidecars ---
 
     async def reach(self, station: Station) -> None:
+        """Open proxies to the list service for a sidecar, and set its discovery addresses."""
         post = station.post
-        # Followers first, by turns, and the main process last: the nearest stands for what most read from.
-        servers = self._servers[1:]
-        turn = post.rank % len(servers)
-        order = [*servers[turn:], *servers[:turn], self._servers[0]]
-        wires = [self._wire(server.address, self._reader(post), post.zone) for server in order]
-        for wire in wires:
-            await wire.open()
-        self._callers[post.name] = wires
-        addresses = [wire.address for wire in wires]
+        # Followers first, rotated by the sidecar's rank, and the main process last: the first follower
+        # stands for the nearest one, from which most sidecars read.
+        followers = self._nodes[1:]
+        start = post.rank % len(followers)
+        nodes = [*followers[start:], *followers[:start], self._nodes[0]]
+        proxies = [self._add_proxy(node.address, self._traffic_observer(post), post.zone) for node in nodes]
+        for proxy in proxies:
+            await proxy.open()
+        self._sidecar_proxies[post.name] = proxies
+        addresses = [proxy.address for proxy in proxies]
         station.discovery = str(addresses[0])
-        station.follow = self._follow(post.tier, post.name, addresses, station.folder / "list.json")
+        station.follow = self._follow_settings(post.tier, post.name, addresses, station.folder / "list.json")
 
     async def move(self, station: Station) -> None:
-        old = self._callers[station.post.name]
+        """Give a sidecar new discovery addresses, and reset connections to the old ones after a delay."""
+        old_proxies = self._sidecar_proxies[station.post.name]
         await self.reach(station)
 
-        async def close_old() -> None:
-            await asyncio.sleep(MOVED_S)
-            for wire in old:
-                await wire.turn(How.RESET)
+        async def reset_old_proxies() -> None:
+            await asyncio.sleep(OLD_ADDRESS_CLOSE_DELAY_S)
+            for proxy in old_proxies:
+                await proxy.turn(How.RESET)
 
-        self._task(close_old())
+        self._start_task(reset_old_proxies())
 
-    def _reader(self, post: Post) -> Callable[[object, bool, bytes], None]:
-        taps: dict[object, _Tap] = {}
+    def _traffic_observer(self, post: Post) -> Callable[[object, bool, bytes], None]:
+        parsers: dict[object, _AnswerParser] = {}
 
-        def seen(link: object, up: bool, data: bytes) -> None:
-            if up:
+        def observe(connection: object, from_caller: bool, data: bytes) -> None:
+            if from_caller:
                 self._judge.asked_list(self._clock.now_us(), post.name)
                 return
-            if link not in taps:
-                if len(taps) >= 8:  # those of connections that have ended
-                    taps.clear()
-                taps[link] = _Tap(partial(self._told, post))
-            taps[link].feed(data)
+            if connection not in parsers:
+                if len(parsers) >= 8:  # drops the parsers of connections that have ended
+                    parsers.clear()
+                parsers[connection] = _AnswerParser(partial(self._record_answer, post))
+            parsers[connection].feed(data)
 
-        return seen
+        return observe
 
-    def _told(self, post: Post, response: DiscoveryResponse | None) -> None:
-        now = self._clock.now_us()
+    def _record_answer(self, post: Post, response: DiscoveryResponse | None) -> None:
+        now_us = self._clock.now_us()
         if response is None:
-            self._judge.told(now, post.name, None)
+            self._judge.told(now_us, post.name, None)
             return
-        entries = [self._entry(post.tier, entry) for entry in response.instances]
+        entries = [self._world_entry(post.tier, entry) for entry in response.instances]
         if response.reset:
-            named = {entry.id for entry in entries}
+            listed_ids = {entry.id for entry in entries}
             entries += [
-                world.Entry(p.id, p.tier, p.zone, p.kind, p.cell, Readiness.GONE, None)
-                for p in self._day.plans
-                if p.tier == post.tier and p.id not in named
+                world.Entry(plan.id, plan.tier, plan.zone, plan.kind, plan.cell, Readiness.GONE, None)
+                for plan in self._day.plans
+                if plan.tier == post.tier and plan.id not in listed_ids
             ]
-        # Rule 3 is about endpoints that leave. What a service lists wrongly is for the client to see through.
-        told = tuple(e for e in entries if e.lifecycle is Readiness.READY or not self._ready(e.id))
-        self._judge.told(now, post.name, world.Listing(response.generation, False, told))
+        # Rule 3 concerns endpoints that leave. An entry that is not ready although its endpoint accepts
+        # requests is an error of the service, which the client must detect: it is left out.
+        consistent = tuple(
+            entry
+            for entry in entries
+            if entry.lifecycle is Readiness.READY or not self._accepts_requests(entry.id)
+        )
+        self._judge.told(now_us, post.name, world.Listing(response.generation, False, consistent))
 
-    def _entry(self, tier: int, entry: Entry) -> world.Entry:
-        started_us = self._started.get((entry.instance_id, entry.started_at_ms))
+    def _world_entry(self, tier: int, entry: Entry) -> world.Entry:
+        started_us = self._start_times_us.get((entry.instance_id, entry.started_at_ms))
         return world.Entry(
             entry.instance_id, tier, entry.zone, entry.machine_type, entry.cell, entry.lifecycle, started_us
         )
 
-    def _listed(self, tier: int, verdict: AdoptionResult) -> None:
-        """The main process can tell of this from now on."""
-        now = self._clock.now_us()
-        for entry in verdict.entries:
-            found = self._entry(tier, entry)
-            if found.lifecycle is Readiness.READY or not self._ready(found.id):
-                self._judge.listed(now, found)
+    def _record_adoption(self, tier: int, adoption: AdoptionResult) -> None:
+        """Record for the judge that the main process lists these changes from now on."""
+        now_us = self._clock.now_us()
+        for entry in adoption.entries:
+            world_entry = self._world_entry(tier, entry)
+            if world_entry.lifecycle is Readiness.READY or not self._accepts_requests(world_entry.id):
+                self._judge.listed(now_us, world_entry)
 
     def known(self, post: Post) -> tuple[dict[str, object], world.Listing]:
-        belief = self._watches[post.tier].adopted_list
-        entries = list(belief.entries.values())
-        rows = [
+        """The current list for a sidecar: as a discovery response, and in the form of the world."""
+        adopted_list = self._watches[post.tier].adopted_list
+        entries = list(adopted_list.entries.values())
+        instances = [
             msgspec.structs.replace(entry, host_port=self._address_of(entry.instance_id, post.name))
             for entry in entries
         ]
-        response = DiscoveryResponse(generation=belief.version, reset=True, instances=rows)
-        listing = world.Listing(belief.version, True, tuple(self._entry(post.tier, e) for e in entries))
+        response = DiscoveryResponse(generation=adopted_list.version, reset=True, instances=instances)
+        listing = world.Listing(
+            adopted_list.version, True, tuple(self._world_entry(post.tier, entry) for entry in entries)
+        )
         return json.loads(msgspec.json.encode(response)), listing
 
     # --- the endpoints ---
 
     async def _register(self, endpoint: str, started_ms: int) -> None:
         plan = self._plans[endpoint]
-        posts = [post.name for post in self._day.tier_posts(plan.tier)]
-        views = {name: self._address_of(endpoint, name) for name in posts}
+        sidecars = [post.name for post in self._day.tier_posts(plan.tier)]
+        addresses_by_sidecar = {name: self._address_of(endpoint, name) for name in sidecars}
         entry = Entry(
             instance_id=endpoint,
-            host_port=views[posts[0]],
+            host_port=addresses_by_sidecar[sidecars[0]],
             zone=plan.zone,
             machine_type=plan.kind,
             cell=plan.cell,
             started_at_ms=started_ms,
         )
-        serial = len(self._started)
+        serial = len(self._start_times_us)
         record = Record(
-            service=SERVICE,
-            tier=self._tier(plan.tier),
+            service=SERVICE_NAME,
+            tier=self._tier_name(plan.tier),
             entry=entry,
             owner=f"{endpoint}.{serial}.{started_ms}",
             lease_ms=LEASE_MS,
-            views=views,
+            views=addresses_by_sidecar,
             region=self._day.regions.get(plan.zone, ""),
         )
-        wire = self._registrars.get(endpoint)
-        if wire is None:
-            wire = self._registrars[endpoint] = self._wire(self._servers[0].address, zone=plan.zone)
-            await wire.open()
+        proxy = self._registration_proxies.get(endpoint)
+        if proxy is None:
+            proxy = self._registration_proxies[endpoint] = self._add_proxy(
+                self._nodes[0].address, zone=plan.zone
+            )
+            await proxy.open()
 
-        async def alive() -> bool:
-            return True  # who is registered lives; whoever dies is abandoned
+        async def is_alive() -> bool:
+            return True  # the registration of an endpoint that dies is abandoned, see `gone`
 
         registration = self._registrations[endpoint] = Registration(
-            record, [wire.address], alive, logger=self._log
+            record, [proxy.address], is_alive, logger=self._logger
         )
         registration.start()
 
-    def begun(self) -> None: ...
+    def begun(self) -> None: ...  # the processes run on real time
 
     def came_up(self, endpoint: str, started_us: int) -> None:
+        """Register the new process of an endpoint."""
         started_ms = self._clock.unix_ms(started_us)
-        self._started[endpoint, started_ms] = started_us
+        self._start_times_us[endpoint, started_ms] = started_us
         self._draining.discard(endpoint)
-        self._task(self._register(endpoint, started_ms))
+        self._start_task(self._register(endpoint, started_ms))
 
     def drains(self, endpoint: str) -> None:
+        """Mark an endpoint's record as draining."""
         self._draining.add(endpoint)
-        self._task(self._registrations[endpoint].drain())
+        self._start_task(self._registrations[endpoint].drain())
 
     def gone(self, endpoint: str, silent: bool = False) -> None:
+        """Remove the record of an endpoint that drained; otherwise leave it to expire with its lease."""
         registration = self._registrations[endpoint]
-        if endpoint in self._draining and not silent:  # an end that was planned is told
-            self._task(registration.remove())
+        if endpoint in self._draining and not silent:
+            self._start_task(registration.remove())
         else:
             registration.abandon()
 
-    # --- troubles ---
+    # --- faults ---
 
     def set_down(self, down: bool) -> None:
-        self._turn(self._all(), How.RESET if down else How.OPEN)
+        """Refuse or accept the sidecars' connections to the list service."""
+        self._set_modes(self._all_sidecar_proxies(), How.RESET if down else How.OPEN)
 
     def stall(self, on: bool) -> None:
-        self._turn(self._all(), How.BROKEN if on else How.OPEN)
+        """Truncate the responses to sidecars, or deliver them in full."""
+        self._set_modes(self._all_sidecar_proxies(), How.BROKEN if on else How.OPEN)
 
-    def _all(self) -> list[Wire]:
-        return [wire for wires in self._callers.values() for wire in wires]
+    def _all_sidecar_proxies(self) -> list[Wire]:
+        return [proxy for proxies in self._sidecar_proxies.values() for proxy in proxies]
 
-    def _turn(self, wires: list[Wire], how: How) -> None:
-        async def turn() -> None:
-            for wire in wires:
-                await wire.turn(how)
+    def _set_modes(self, proxies: list[Wire], mode: How) -> None:
+        async def set_modes() -> None:
+            for proxy in proxies:
+                await proxy.turn(mode)
 
-        self._task(turn())
+        self._start_task(set_modes())
 
     async def befall(self, event: Event, until: Until) -> None:
-        main = self._servers[0]
+        """Apply a fault of the list service from now until the end of the event."""
+        main = self._nodes[0]
         if event.kind is TroubleKind.REGISTRY_PAUSED:
-            main.signal(signal.SIGSTOP)
+            main.send_signal(signal.SIGSTOP)
             await until(event.until_us)
-            main.signal(signal.SIGCONT)
+            main.send_signal(signal.SIGCONT)
             return
         if event.kind is TroubleKind.REGISTRY_CUT:
-            how = HOWS[event.how or How.CUT.value]
-            for wire in self._wires:
-                await wire.turn(how)
+            mode = MODES_BY_VALUE[event.how or How.CUT.value]
+            for proxy in self._proxies:
+                await proxy.turn(mode)
             await until(event.until_us)
-            for wire in self._wires:
-                await wire.turn(How.OPEN)
+            for proxy in self._proxies:
+                await proxy.turn(How.OPEN)
             return
-        storm = event.kind is TroubleKind.REGISTRY_STORM
-        hit = self._servers if storm else [main]
-        await asyncio.gather(*(server.kill() for server in hit))
+        is_storm = event.kind is TroubleKind.REGISTRY_STORM
+        affected = self._nodes if is_storm else [main]
+        await asyncio.gather(*(node.kill() for node in affected))
         if event.kind is TroubleKind.REGISTRY_EMPTIED:
             shutil.rmtree(main.store)
         await until(event.until_us)
-        for server in hit:
-            server.start(self._ended)
-        await asyncio.gather(*(self._until_up(server) for server in hit))
+        for node in affected:
+            node.start(self._handle_exit)
+        await asyncio.gather(*(self._wait_until_serving(node) for node in affected))
--- a/eiderhub/emulator/settings.py
+++ b/eiderhub/emulator/settings.py
@@ -1,4 +1,4 @@
-"""What a day's sidecars are told: the settings object of WIRE, made from the scenario."""
+"""Start-up settings of a sidecar (WIRE), built from the scenario."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def settings_of(day: Day, post: Post) -> dict[str, Any]:
-    """Times in microseconds, names as the platform's JSON has them."""
+    """The settings object for one sidecar: times in microseconds, names as in the platform's JSON."""
     scenario = day.scenario
     allowed, rules, goal = scenario.allowed, scenario.rules, scenario.goal
     kinds = [kind.name for kind in scenario.tier[post.tier].kind]
@@ -31,17 +31,17 @@
         "Balancers": post.peers,
         "Categories": [
             {
-                "AimUs": grade.aim_us,
-                "Credit": grade.spec.worth,
-                "DeadlineUs": grade.deadline_us,
-                "DedupWindowUs": int(grade.spec.window_ms * 1000),
-                "Effect": grade.spec.effect.value,
-                "Group": grade.spec.group.value,
-                "LateShare": grade.spec.late_worth,
-                "Name": grade.name,
+                "AimUs": request_class.aim_us,
+                "Credit": request_class.spec.worth,
+                "DeadlineUs": request_class.deadline_us,
+                "DedupWindowUs": int(request_class.spec.window_ms * 1000),
+                "Effect": request_class.spec.effect.value,
+                "Group": request_class.spec.group.value,
+                "LateShare": request_class.spec.late_worth,
+                "Name": request_class.name,
                 "Streaming": False,
             }
-            for grade in day.grades
+            for request_class in day.grades
         ],
         "Charges": {
             "CrossRegion": goal.cross_region,
@@ -66,8 +66,8 @@
         "ZoneVerdicts": True,
         "OverShareWorth": goal.over_share_worth,
         "Parties": [
-            {"Name": party.name, "QuotaPerS": party.quota_per_s, "Share": party.share}
-            for party in day.parties
+            {"Name": tenant.name, "QuotaPerS": tenant.quota_per_s, "Share": tenant.share}
+            for tenant in day.parties
         ],
         "Rank": post.rank,
         "Report": {"Fields": [], "How": "none"},
--- a/eiderhub/emulator/troubles.py
+++ b/eiderhub/emulator/troubles.py
@@ -1,4 +1,4 @@
-"""What befalls a deployment: each kind of trouble, carried out on its sockets and processes."""
+"""Fault injection: carries out each kind of event on a deployment's sockets and processes."""
 
 from __future__ import annotations
 
@@ -17,21 +17,20 @@
 from eiderhub.world.network import Network, Way
 from eiderhub.world.scenario import TroubleKind
 
-DRAIN_S = 3.0  # an endpoint that is replaced completes what it holds for so long
-AGAIN_S = 0.5  # between the end of a process and the next one's start
-DEAD_S = 1.0  # at least, for endpoints that die
-KILLED_S = 1.0  # until the platform starts a killed sidecar again
-LONGEST_S = (
-    3.0  # SIGKILL comes this, or the longest deadline if that is shorter, and `AFTER_S`, after SIGTERM
-)
-AFTER_S = 0.7
-YES_S = 6.0  # a new version has so long to say yes
-ACTIVE_S = 2.0  # and a sidecar that is taken back
-ASK_S = 0.1
+REPLACEMENT_DRAIN_S = 3.0  # time for an endpoint to complete its requests before it is replaced
+RESTART_DELAY_S = 0.5  # between the end of a process and the start of the next one
+MIN_DOWNTIME_S = 1.0  # for endpoints that die
+KILL_RESTART_DELAY_S = 1.0  # until the platform restarts a killed sidecar
+# SIGKILL follows SIGTERM after the longest deadline, limited to MAX_STOP_WAIT_S, plus STOP_MARGIN_S.
+MAX_STOP_WAIT_S = 3.0
+STOP_MARGIN_S = 0.7
+UPGRADE_READY_TIMEOUT_S = 6.0  # for a new version to report that it is ready
+ACTIVATION_TIMEOUT_S = 2.0  # for a sidecar that returns from standby to report that it is ready
+STATUS_POLL_INTERVAL_S = 0.1
 
 
-class Stage(Protocol):
-    """The parts of a deployment that troubles touch."""
+class FaultTarget(Protocol):
+    """The parts of a deployment that the fault injector uses."""
 
     day: Day
     clock: Clock
@@ -48,281 +47,295 @@
         """Kill all processes of this sidecar."""
 
     def beside(self, endpoint: str) -> str | None:
-        """The sidecar that belongs to this endpoint."""
+        """The name of the sidecar that belongs to this endpoint, if there is one."""
 
-    async def until_up(self, name: str) -> None: ...
+    async def until_up(self, name: str) -> None:
+        """Wait until this sidecar reports ready."""
+        ...
 
-    async def says_yes(self, name: str) -> bool: ...
+    async def says_yes(self, name: str) -> bool:
+        """Whether this sidecar reports ready."""
+        ...
 
     def note(self, text: str) -> None:
-        """Something that the result should tell."""
+        """Add a note to the result."""
 
 
 class Troubles:
-    """Plays the events of a day."""
-
-    def __init__(self, stage: Stage) -> None:
-        self._stage = stage
-        longest = max((grade.deadline_us for grade in stage.day.grades), default=0) / 1e6
-        self._end_s = min(LONGEST_S, longest) + AFTER_S
-        self._plays: dict[TroubleKind, Callable[[Event], Coroutine[Any, Any, None]]] = {
-            TroubleKind.BURST: self._nothing,  # the arrivals have it
-            TroubleKind.SHARED_SLOW: self._shared_slow,
-            TroubleKind.HANG: self._hang,
-            TroubleKind.PAUSES: self._pauses,
-            TroubleKind.RELEASE: self._release,
-            TroubleKind.DEATH: self._death,
-            TroubleKind.ZONE_LOST: self._zone_lost,
-            TroubleKind.REGION_LOST: self._zone_lost,
-            TroubleKind.ZONE_CUT: self._zone_cut,
-            TroubleKind.REGION_CUT: self._zone_cut,
-            TroubleKind.ZONE_CUT_ONE_WAY: self._zone_cut,
-            TroubleKind.ZONE_FLAP: self._zone_flap,
-            TroubleKind.ZONE_GREY: self._zone_grey,
-            TroubleKind.CALLERS_MOVE: self._callers_move,
-            TroubleKind.DISCOVERY_DOWN: self._discovery_down,
-            TroubleKind.DISCOVERY_STALLS: self._discovery_stalls,
-            TroubleKind.RESTART: self._restart,
-            TroubleKind.KILL: self._kill,
-            TroubleKind.RELOAD: self._reload,
-            TroubleKind.UPGRADE: self._upgrade,
-            TroubleKind.STANDBY: self._standby,
-            TroubleKind.REGISTRY_KILLED: self._befall,
-            TroubleKind.REGISTRY_PAUSED: self._befall,
-            TroubleKind.REGISTRY_CUT: self._befall,
-            TroubleKind.REGISTRY_EMPTIED: self._befall,
-            TroubleKind.REGISTRY_STORM: self._befall,
+    """Runs the events of a scenario against a deployment."""
+
+    def __init__(self, target: FaultTarget) -> None:
+        self._target = target
+        longest_deadline_s = (
+            max((request_class.deadline_us for request_class in target.day.grades), default=0) / 1e6
+        )
+        self._stop_timeout_s = min(MAX_STOP_WAIT_S, longest_deadline_s) + STOP_MARGIN_S
+        self._handlers: dict[TroubleKind, Callable[[Event], Coroutine[Any, Any, None]]] = {
+            TroubleKind.BURST: self._do_nothing,  # part of the generated arrivals
+            TroubleKind.SHARED_SLOW: self._slow_all_endpoints,
+            TroubleKind.HANG: self._hang_endpoints,
+            TroubleKind.PAUSES: self._pause_endpoints,
+            TroubleKind.RELEASE: self._replace_endpoints,
+            TroubleKind.DEATH: self._kill_endpoints,
+            TroubleKind.ZONE_LOST: self._take_zones_down,
+            TroubleKind.REGION_LOST: self._take_zones_down,
+            TroubleKind.ZONE_CUT: self._partition_zones,
+            TroubleKind.REGION_CUT: self._partition_zones,
+            TroubleKind.ZONE_CUT_ONE_WAY: self._partition_zones,
+            TroubleKind.ZONE_FLAP: self._flap_zones,
+            TroubleKind.ZONE_GREY: self._degrade_zones,
+            TroubleKind.CALLERS_MOVE: self._move_callers,
+            TroubleKind.DISCOVERY_DOWN: self._take_discovery_down,
+            TroubleKind.DISCOVERY_STALLS: self._stall_discovery,
+            TroubleKind.RESTART: self._restart_sidecars,
+            TroubleKind.KILL: self._kill_sidecars,
+            TroubleKind.RELOAD: self._reload_sidecars,
+            TroubleKind.UPGRADE: self._upgrade_sidecars,
+            TroubleKind.STANDBY: self._set_standby,
+            TroubleKind.REGISTRY_KILLED: self._fault_list_service,
+            TroubleKind.REGISTRY_PAUSED: self._fault_list_service,
+            TroubleKind.REGISTRY_CUT: self._fault_list_service,
+            TroubleKind.REGISTRY_EMPTIED: self._fault_list_service,
+            TroubleKind.REGISTRY_STORM: self._fault_list_service,
         }
 
     async def play(self, event: Event) -> None:
-        await self._until(event.at_us)
-        await self._plays[event.kind](event)
+        """Wait for the start of an event and carry it out to its end."""
+        await self._sleep_until(event.at_us)
+        await self._handlers[event.kind](event)
 
-    async def _until(self, when_us: int) -> None:
-        await asyncio.sleep(max(0, when_us - self._stage.clock.now_us()) / 1e6)
+    async def _sleep_until(self, when_us: int) -> None:
+        await asyncio.sleep(max(0, when_us - self._target.clock.now_us()) / 1e6)
 
-    async def _one_by_one(
+    async def _spread_evenly(
         self, event: Event, names: tuple[str, ...], work: Callable[[str], Coroutine[Any, Any, None]]
     ) -> None:
-        """Begin the work for each name, spread evenly over the event's time; wait for all of it."""
+        """Start the work for each name, spread evenly over the event's duration, and wait for all of it."""
         step_us = (event.until_us - event.at_us) // max(1, len(names))
         async with asyncio.TaskGroup() as group:
             for i, name in enumerate(names):
-                await self._until(event.at_us + i * step_us)
+                await self._sleep_until(event.at_us + i * step_us)
                 group.create_task(work(name))
 
-    async def _nothing(self, event: Event) -> None: ...
+    async def _do_nothing(self, event: Event) -> None: ...
 
     # --- endpoints ---
 
-    async def _shared_slow(self, event: Event) -> None:
+    async def _slow_all_endpoints(self, event: Event) -> None:
         for factor, until_us in ((event.size, event.until_us), (1.0, event.until_us)):
-            for machine in self._stage.machines.values():
-                machine.endpoint.slow(self._stage.clock.now_us(), factor)
+            for machine in self._target.machines.values():
+                machine.endpoint.slow(self._target.clock.now_us(), factor)
                 machine.moved()
-            await self._until(until_us)
+            await self._sleep_until(until_us)
 
-    async def _hang(self, event: Event) -> None:
+    async def _hang_endpoints(self, event: Event) -> None:
         for name in event.endpoints:
-            machine = self._stage.machines[name]
-            machine.endpoint.hang(self._stage.clock.now_us(), event.until_us)
+            machine = self._target.machines[name]
+            machine.endpoint.hang(self._target.clock.now_us(), event.until_us)
             machine.moved()
 
-    async def _pauses(self, event: Event) -> None:
-        rng = self._stage.day.rng(f"pauses at {event.at_us}")
+    async def _pause_endpoints(self, event: Event) -> None:
+        rng = self._target.day.rng(f"pauses at {event.at_us}")
         length_us = int(event.size * 1000)
 
-        async def pause(name: str) -> None:
-            machine = self._stage.machines[name]
-            at = event.at_us + int(rng.uniform(0, event.every_us))
-            while at < event.until_us:
-                await self._until(at)
-                machine.endpoint.pause(self._stage.clock.now_us(), at + length_us)
+        async def pause_repeatedly(name: str) -> None:
+            machine = self._target.machines[name]
+            at_us = event.at_us + int(rng.uniform(0, event.every_us))
+            while at_us < event.until_us:
+                await self._sleep_until(at_us)
+                machine.endpoint.pause(self._target.clock.now_us(), at_us + length_us)
                 machine.moved()
-                at += int(event.every_us * rng.uniform(0.5, 1.5))
+                at_us += int(event.every_us * rng.uniform(0.5, 1.5))
 
-        await asyncio.gather(*(pause(name) for name in event.endpoints))
+        await asyncio.gather(*(pause_repeatedly(name) for name in event.endpoints))
 
-    async def _release(self, event: Event) -> None:
-        await self._one_by_one(event, event.endpoints, self._replace)
+    async def _replace_endpoints(self, event: Event) -> None:
+        await self._spread_evenly(event, event.endpoints, self._replace_endpoint)
 
-    async def _replace(self, name: str) -> None:
-        stage = self._stage
-        machine = stage.machines[name]
-        machine.endpoint.drain(stage.clock.now_us())
-        stage.lists.drains(name)
-        await asyncio.sleep(DRAIN_S)
-        self._end(name, silent=False)
-        await asyncio.sleep(AGAIN_S)
-        await self._begin(name)
+    async def _replace_endpoint(self, name: str) -> None:
+        target = self._target
+        machine = target.machines[name]
+        machine.endpoint.drain(target.clock.now_us())
+        target.lists.drains(name)
+        await asyncio.sleep(REPLACEMENT_DRAIN_S)
+        self._stop_endpoint(name, silent=False)
+        await asyncio.sleep(RESTART_DELAY_S)
+        await self._start_endpoint(name)
 
-    async def _death(self, event: Event) -> None:
+    async def _kill_endpoints(self, event: Event) -> None:
         for name in event.endpoints:
-            self._end(name, silent=False)
-        await asyncio.sleep(DEAD_S)
-        await self._until(event.until_us)
-        await asyncio.gather(*(self._begin(name) for name in event.endpoints))
+            self._stop_endpoint(name, silent=False)
+        await asyncio.sleep(MIN_DOWNTIME_S)
+        await self._sleep_until(event.until_us)
+        await asyncio.gather(*(self._start_endpoint(name) for name in event.endpoints))
 
-    async def _zone_lost(self, event: Event) -> None:
+    async def _take_zones_down(self, event: Event) -> None:
         for name in event.endpoints:
-            self._end(name, silent=True)
-        await self._until(event.until_us)
-        await asyncio.gather(*(self._begin(name) for name in event.endpoints))
-
-    def _end(self, name: str, silent: bool) -> None:
-        """An endpoint's process ends, and with it the sidecar beside it."""
-        stage = self._stage
-        stage.machines[name].die(silent)
-        sidecar = stage.beside(name)
+            self._stop_endpoint(name, silent=True)
+        await self._sleep_until(event.until_us)
+        await asyncio.gather(*(self._start_endpoint(name) for name in event.endpoints))
+
+    def _stop_endpoint(self, name: str, silent: bool) -> None:
+        """Stop an endpoint and kill the sidecar that belongs to it."""
+        target = self._target
+        target.machines[name].die(silent)
+        sidecar = target.beside(name)
         if sidecar is not None:
-            stage.kill(sidecar)
-        stage.lists.gone(name, silent)
+            target.kill(sidecar)
+        target.lists.gone(name, silent)
 
-    async def _begin(self, name: str) -> None:
-        """A new process under the same id; it takes requests once the sidecar beside it says yes."""
-        stage = self._stage
-        sidecar = stage.beside(name)
+    async def _start_endpoint(self, name: str) -> None:
+        """Start a new endpoint process under the same ID, after its sidecar has reported ready."""
+        target = self._target
+        sidecar = target.beside(name)
         if sidecar is not None:
-            for process in list(stage.stations[sidecar].processes):
+            for process in list(target.stations[sidecar].processes):
                 await process.ended.wait()
-            stage.launch(sidecar)
-            await stage.until_up(sidecar)
-        machine = stage.machines[name]
+            target.launch(sidecar)
+            await target.until_up(sidecar)
+        machine = target.machines[name]
         await machine.start()
         assert machine.endpoint.started_us is not None
-        stage.lists.came_up(name, machine.endpoint.started_us)
+        target.lists.came_up(name, machine.endpoint.started_us)
 
     # --- the network and discovery ---
 
-    async def _zone_cut(self, event: Event) -> None:
-        await self._cut(event, event.until_us)
+    async def _partition_zones(self, event: Event) -> None:
+        await self._partition_until(event, event.until_us)
 
-    async def _cut(self, event: Event, until_us: int) -> None:
-        network = self._stage.network
-        cut = network.cut(event.zones, Way(event.how) if event.how else Way.BOTH)
-        await self._rejoin()
-        await self._until(until_us)
-        network.heal(cut)
-        await self._rejoin()
+    async def _partition_until(self, event: Event, until_us: int) -> None:
+        network = self._target.network
+        partition = network.cut(event.zones, Way(event.how) if event.how else Way.BOTH)
+        await self._apply_partitions()
+        await self._sleep_until(until_us)
+        network.heal(partition)
+        await self._apply_partitions()
 
-    async def _rejoin(self) -> None:
-        """Have everybody's connections follow the network as it is now."""
-        for machine in self._stage.machines.values():
+    async def _apply_partitions(self) -> None:
+        """Apply the network's current partitions to the connections of endpoints and list service."""
+        for machine in self._target.machines.values():
             await machine.rejoin()
-        await self._stage.lists.rejoin(self._stage.network)
+        await self._target.lists.rejoin(self._target.network)
 
-    async def _zone_flap(self, event: Event) -> None:
+    async def _flap_zones(self, event: Event) -> None:
         at_us = event.at_us
         while at_us < event.until_us:
-            await self._until(at_us)
-            await self._cut(event, min(at_us + event.every_us // 2, event.until_us))
+            await self._sleep_until(at_us)
+            await self._partition_until(event, min(at_us + event.every_us // 2, event.until_us))
             at_us += event.every_us
 
-    async def _zone_grey(self, event: Event) -> None:
-        machines = [m for m in self._stage.machines.values() if m.plan.zone in event.zones]
-        for factor, share, until_us in ((event.size, event.part, event.until_us), (1.0, 0.0, event.until_us)):
+    async def _degrade_zones(self, event: Event) -> None:
+        machines = [machine for machine in self._target.machines.values() if machine.plan.zone in event.zones]
+        for factor, error_rate, until_us in (
+            (event.size, event.part, event.until_us),
+            (1.0, 0.0, event.until_us),
+        ):
             for machine in machines:
-                machine.endpoint.slow(self._stage.clock.now_us(), factor)
-                machine.endpoint.fail(share)
+                machine.endpoint.slow(self._target.clock.now_us(), factor)
+                machine.endpoint.fail(error_rate)
                 machine.moved()
-            await self._until(until_us)
+            await self._sleep_until(until_us)
 
-    async def _callers_move(self, event: Event) -> None:
-        self._stage.front.move(event.zone, event.to)
-        await self._until(event.until_us)
-        self._stage.front.move(event.zone, None)
+    async def _move_callers(self, event: Event) -> None:
+        self._target.front.move(event.zone, event.to)
+        await self._sleep_until(event.until_us)
+        self._target.front.move(event.zone, None)
 
-    async def _discovery_down(self, event: Event) -> None:
+    async def _take_discovery_down(self, event: Event) -> None:
         for down in (True, False):
-            self._stage.lists.set_down(down)
+            self._target.lists.set_down(down)
             if down:
-                await self._until(event.until_us)
+                await self._sleep_until(event.until_us)
 
-    async def _discovery_stalls(self, event: Event) -> None:
-        self._stage.lists.stall(True)
-        await self._until(event.until_us)
-        self._stage.lists.stall(False)
+    async def _stall_discovery(self, event: Event) -> None:
+        self._target.lists.stall(True)
+        await self._sleep_until(event.until_us)
+        self._target.lists.stall(False)
 
-    async def _befall(self, event: Event) -> None:
-        await self._stage.lists.befall(event, self._until)
+    async def _fault_list_service(self, event: Event) -> None:
+        await self._target.lists.befall(event, self._sleep_until)
 
     # --- sidecars ---
 
-    async def _restart(self, event: Event) -> None:
+    async def _restart_sidecars(self, event: Event) -> None:
         async def restart(name: str) -> None:
-            for process in list(self._stage.stations[name].processes):
-                await self._stop(process)
-            await asyncio.sleep(AGAIN_S)
-            self._stage.launch(name)
+            for process in list(self._target.stations[name].processes):
+                await self._stop_process(process)
+            await asyncio.sleep(RESTART_DELAY_S)
+            self._target.launch(name)
 
-        await self._one_by_one(event, event.sidecars, restart)
+        await self._spread_evenly(event, event.sidecars, restart)
 
-    async def _stop(self, process: Process) -> None:
-        """SIGTERM, and SIGKILL when its time is over."""
+    async def _stop_process(self, process: Process) -> None:
+        """Send SIGTERM, and SIGKILL if the process has not exited after the stop timeout."""
         process.terminate()
         try:
-            async with asyncio.timeout(self._end_s):
+            async with asyncio.timeout(self._stop_timeout_s):
                 await process.ended.wait()
         except TimeoutError:
-            self._stage.note(
-                f"{process.name} had not ended {self._end_s:.1f} s after SIGTERM, and was killed"
+            self._target.note(
+                f"{process.name} had not exited {self._stop_timeout_s:.1f} s after SIGTERM and was killed"
             )
             process.kill()
             await process.ended.wait()
 
-    async def _kill(self, event: Event) -> None:
-        killed = [process for name in event.sidecars for process in self._stage.kill(name)]
+    async def _kill_sidecars(self, event: Event) -> None:
+        killed = [process for name in event.sidecars for process in self._target.kill(name)]
         await asyncio.gather(*(process.ended.wait() for process in killed))
-        await asyncio.sleep(KILLED_S)
+        await asyncio.sleep(KILL_RESTART_DELAY_S)
         for name in event.sidecars:
-            self._stage.launch(name)
+            self._target.launch(name)
 
-    async def _reload(self, event: Event) -> None:
-        for station in self._stage.stations.values():
-            await self._stage.lists.move(station)
-            station.write_config(self._stage.lists.known(station.post)[0], event.at_us)
+    async def _reload_sidecars(self, event: Event) -> None:
+        for station in self._target.stations.values():
+            await self._target.lists.move(station)
+            station.write_config(self._target.lists.known(station.post)[0], event.at_us)
             for process in station.processes:
                 process.send(signal.SIGHUP)
 
-    async def _upgrade(self, event: Event) -> None:
+    async def _upgrade_sidecars(self, event: Event) -> None:
         async def upgrade(name: str) -> None:
-            old = list(self._stage.stations[name].processes)
-            new = self._stage.launch(name)
-            if not await self._says_ok(name, YES_S):
-                self._stage.note(f"{name}: the new version did not say yes within {YES_S:g} s, and was ended")
-                new.kill()
+            old_processes = list(self._target.stations[name].processes)
+            new_process = self._target.launch(name)
+            if not await self._reports_ready(name, UPGRADE_READY_TIMEOUT_S):
+                self._target.note(
+                    f"{name}: new version not ready within {UPGRADE_READY_TIMEOUT_S:g} s; process killed"
+                )
+                new_process.kill()
                 return
-            for process in old:
-                await self._stop(process)
+            for process in old_processes:
+                await self._stop_process(process)
 
-        await self._one_by_one(event, event.sidecars, upgrade)
+        await self._spread_evenly(event, event.sidecars, upgrade)
 
-    async def _says_ok(self, name: str, patience_s: float) -> bool:
-        station = self._stage.stations[name]
+    async def _reports_ready(self, name: str, timeout_s: float) -> bool:
+        station = self._target.stations[name]
         host, _, port = station.management.rpartition(":")
         loop = asyncio.get_running_loop()
-        until = loop.time() + patience_s
-        while loop.time() < until:
+        deadline_s = loop.time() + timeout_s
+        while loop.time() < deadline_s:
             try:
                 if (await operators.call(host, int(port), "status")).startswith("OK"):
                     return True
             except operators.Unanswered:
-                pass  # it has not begun to listen
-            await asyncio.sleep(ASK_S)
+                pass  # the management port is not open yet
+            await asyncio.sleep(STATUS_POLL_INTERVAL_S)
         return False
 
-    async def _standby(self, event: Event) -> None:
-        for line in ("standby", "active"):
+    async def _set_standby(self, event: Event) -> None:
+        for command in ("standby", "active"):
             for name in event.sidecars:
-                host, _, port = self._stage.stations[name].management.rpartition(":")
+                host, _, port = self._target.stations[name].management.rpartition(":")
                 try:
-                    answer = await operators.call(host, int(port), line)
+                    reply = await operators.call(host, int(port), command)
                 except operators.Unanswered as error:
-                    answer = f"ERR {error}"
-                if not answer.startswith("OK"):
-                    self._stage.note(f"{name}: {line}: {answer}")
-            if line == "standby":
-                await self._until(event.until_us)
+                    reply = f"ERR {error}"
+                if not reply.startswith("OK"):
+                    self._target.note(f"{name}: {command}: {reply}")
+            if command == "standby":
+                await self._sleep_until(event.until_us)
         for name in event.sidecars:
-            if not await self._says_ok(name, ACTIVE_S):
-                self._stage.note(f"{name} does not say yes {ACTIVE_S:g} s after it was taken back")
+            if not await self._reports_ready(name, ACTIVATION_TIMEOUT_S):
+                self._target.note(
+                    f"{name}: not ready {ACTIVATION_TIMEOUT_S:g} s after its return from standby"
+                )
--- a/eiderhub/emulator/wires.py
+++ b/eiderhub/emulator/wires.py
@@ -1,4 +1,4 @@
-"""Connections between processes run over wires, which can be cut, slow, reset, or break off answers."""
+"""TCP proxies between processes that inject faults: partitions, delays, resets and truncated responses."""
 
 from __future__ import annotations
 
@@ -15,228 +15,235 @@
 from eiderhub.emulator.processes import claim
 from eiderhub.http1 import ZERO_LINGER
 
-SLOW_S = 0.4  # one way, on a slow wire
-MOST_HELD = 1 << 20  # bytes on their way on one connection; then its sender waits
+SLOW_DELAY_S = 0.4  # one way
+MAX_HELD_BYTES = 1 << 20  # per connection and direction; above it, reading from the sender pauses
 
 
 class How(enum.Enum):
-    """What a wire does to what is sent."""
+    """The fault that a proxy applies to its connections."""
 
-    OPEN = "open"
-    CUT = "cut"  # nothing arrives, either way, until it is mended; new connections get no answer
-    CUT_UP = "cut-up"  # nothing arrives from the caller
-    CUT_DOWN = "cut-down"  # nothing comes back to the caller
-    SLOW = "slow"  # everything arrives late
-    RESET = "reset"  # connections are reset, and new ones refused
-    BROKEN = "broken-off"  # each answer breaks off in its midst
+    OPEN = "open"  # no fault
+    CUT = "cut"  # data is held in both directions until the mode changes; new connections get no response
+    CUT_UP = "cut-up"  # data from the caller is held
+    CUT_DOWN = "cut-down"  # data to the caller is held
+    SLOW = "slow"  # data is delayed by SLOW_DELAY_S in both directions
+    RESET = "reset"  # connections are reset and new ones refused
+    BROKEN = "broken-off"  # half of the next data to the caller is sent, then the connection is reset
 
 
-UP_HELD = (How.CUT, How.CUT_UP)
-DOWN_HELD = (How.CUT, How.CUT_DOWN)
+MODES_HOLDING_UPSTREAM = (How.CUT, How.CUT_UP)
+MODES_HOLDING_DOWNSTREAM = (How.CUT, How.CUT_DOWN)
 
 
-class _End(asyncio.Protocol):
-    """One side of a connection over a wire."""
+class _Side(asyncio.Protocol):
+    """The transport to the caller or to the target of one proxied connection."""
 
-    def __init__(self, link: _Link, up: bool) -> None:
-        self.link = link
-        self.up = up  # whether what is read here goes up, to the target
+    def __init__(self, connection: _ProxyConnection, reads_upstream: bool) -> None:
+        self.connection = connection
+        self.reads_upstream = reads_upstream  # whether data read here goes to the target
         self.transport: asyncio.Transport | None = None
         self.lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         # Not `isinstance`: uvloop's transports only have the shape of asyncio's.
         self.transport = cast(asyncio.Transport, transport)
-        self.link.joined(self)
+        self.connection.handle_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        self.link.came(self, data)
+        self.connection.handle_data(self, data)
 
     def eof_received(self) -> bool:
-        self.link.ended(self, reset=False)
+        self.connection.handle_end(self, reset=False)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.lost = True
-        self.link.ended(self, reset=exc is not None)
+        self.connection.handle_end(self, reset=exc is not None)
 
     def pause_writing(self) -> None:
-        other = self.link.other(self).transport
-        if other is not None:
+        peer_transport = self.connection.other_side(self).transport
+        if peer_transport is not None:
             with contextlib.suppress(RuntimeError):
-                other.pause_reading()
+                peer_transport.pause_reading()
 
     def resume_writing(self) -> None:
-        other = self.link.other(self).transport
-        if other is not None:
+        peer_transport = self.connection.other_side(self).transport
+        if peer_transport is not None:
             with contextlib.suppress(RuntimeError):
-                other.resume_reading()
-
-
-class _Link:
-    """One connection over a wire. What can't go on now is held, in order, as TCP would send it again."""
-
-    def __init__(self, wire: Wire) -> None:
-        self.wire = wire
-        self.near = _End(self, up=True)
-        self.far = _End(self, up=False)
-        self._held: dict[bool, list[bytes | None]] = {True: [], False: []}  # None: the end of the sending
-        self._late: dict[bool, deque[tuple[float, bytes | None]]] = {True: deque(), False: deque()}
-        self._connecting: asyncio.Task[None] | None = None
-        self.over = False
-
-    def other(self, end: _End) -> _End:
-        return self.far if end is self.near else self.near
-
-    def joined(self, end: _End) -> None:
-        if end is self.near:
-            self.wire.links.add(self)
-        self.flow()
-
-    def came(self, end: _End, data: bytes) -> None:
-        self.wire.seen(self, end.up, data)
-        self._hold(end, data)
-
-    def ended(self, end: _End, reset: bool) -> None:
-        other = self.other(end)
-        gone = end.lost and (other.lost or other.transport is None)
-        if gone or (reset and not self.wire.held(end.up)):
+                peer_transport.resume_reading()
+
+
+class _ProxyConnection:
+    """One proxied connection. Data that cannot be forwarded is held in order, as TCP would retransmit it."""
+
+    def __init__(self, proxy: Wire) -> None:
+        self.proxy = proxy
+        self.caller_side = _Side(self, reads_upstream=True)
+        self.target_side = _Side(self, reads_upstream=False)
+        self._held: dict[bool, list[bytes | None]] = {
+            True: [],
+            False: [],
+        }  # by direction; None: end of the stream
+        self._delayed: dict[bool, deque[tuple[float, bytes | None]]] = {True: deque(), False: deque()}
+        self._connect_task: asyncio.Task[None] | None = None
+        self.closed = False
+
+    def other_side(self, side: _Side) -> _Side:
+        return self.target_side if side is self.caller_side else self.caller_side
+
+    def handle_connected(self, side: _Side) -> None:
+        if side is self.caller_side:
+            self.proxy.links.add(self)
+        self.send_held()
+
+    def handle_data(self, side: _Side, data: bytes) -> None:
+        self.proxy.observe(self, side.reads_upstream, data)
+        self._forward(side, data)
+
+    def handle_end(self, side: _Side, reset: bool) -> None:
+        other = self.other_side(side)
+        both_lost = side.lost and (other.lost or other.transport is None)
+        if both_lost or (reset and not self.proxy.is_held(side.reads_upstream)):
             self.abort()
         else:
-            self._hold(end, None)
+            self._forward(side, None)
 
-    def _hold(self, end: _End, data: bytes | None) -> None:
-        if self.over:
+    def _forward(self, side: _Side, data: bytes | None) -> None:
+        if self.closed:
             return
-        late = self._late[end.up]
-        if self.wire.how is How.SLOW or late:  # what comes after late pieces waits behind them
+        delayed = self._delayed[side.reads_upstream]
+        if self.proxy.mode is How.SLOW or delayed:  # data after delayed data must wait for it
             loop = asyncio.get_running_loop()
-            late.append((loop.time() + (SLOW_S if self.wire.how is How.SLOW else 0.0), data))
-            if len(late) == 1:
-                loop.call_at(late[0][0], self._arrive, end.up)
-        elif self.wire.how is How.BROKEN and not end.up and data:
-            self._write(self.near, data[: len(data) // 2])
+            delayed.append((loop.time() + (SLOW_DELAY_S if self.proxy.mode is How.SLOW else 0.0), data))
+            if len(delayed) == 1:
+                loop.call_at(delayed[0][0], self._forward_delayed, side.reads_upstream)
+        elif self.proxy.mode is How.BROKEN and not side.reads_upstream and data:
+            self._write(self.caller_side, data[: len(data) // 2])
             asyncio.get_running_loop().call_soon(self.abort)
         else:
-            self._pass(end.up, data)
+            self._enqueue(side.reads_upstream, data)
 
-    def _arrive(self, up: bool) -> None:
-        late = self._late[up]
+    def _forward_delayed(self, upstream: bool) -> None:
+        delayed = self._delayed[upstream]
         loop = asyncio.get_running_loop()
-        while late and late[0][0] <= loop.time() + 0.001:
-            self._pass(up, late.popleft()[1])
-        if late and not self.over:
-            loop.call_at(late[0][0], self._arrive, up)
+        while delayed and delayed[0][0] <= loop.time() + 0.001:
+            self._enqueue(upstream, delayed.popleft()[1])
+        if delayed and not self.closed:
+            loop.call_at(delayed[0][0], self._forward_delayed, upstream)
 
-    def _pass(self, up: bool, data: bytes | None) -> None:
-        held = self._held[up]
+    def _enqueue(self, upstream: bool, data: bytes | None) -> None:
+        held = self._held[upstream]
         held.append(data)
-        self.flow()
-        if sum(len(each) for each in held if each is not None) > MOST_HELD:
-            sender = self.near if up else self.far
+        self.send_held()
+        if sum(len(chunk) for chunk in held if chunk is not None) > MAX_HELD_BYTES:
+            sender = self.caller_side if upstream else self.target_side
             if sender.transport is not None:
                 with contextlib.suppress(RuntimeError):
                     sender.transport.pause_reading()
 
-    def flow(self) -> None:
-        """Send on what may go."""
-        if self.over:
+    def send_held(self) -> None:
+        """Forward the held data in each direction that is not blocked; connect to the target first."""
+        if self.closed:
             return
-        if self.far.transport is None:
-            if self._connecting is None and not self.wire.held(True):
-                self._connecting = asyncio.get_running_loop().create_task(self._connect())
+        if self.target_side.transport is None:
+            if self._connect_task is None and not self.proxy.is_held(True):
+                self._connect_task = asyncio.get_running_loop().create_task(self._connect())
             return
-        for up, target in ((True, self.far), (False, self.near)):
-            if not self.wire.held(up):
-                held, self._held[up] = self._held[up], []
+        for upstream, target in ((True, self.target_side), (False, self.caller_side)):
+            if not self.proxy.is_held(upstream):
+                held, self._held[upstream] = self._held[upstream], []
                 for data in held:
                     self._write(target, data)
-                sender = (self.near if up else self.far).transport
+                sender = (self.caller_side if upstream else self.target_side).transport
                 if sender is not None and held:
                     with contextlib.suppress(RuntimeError):
                         sender.resume_reading()
 
-    def _write(self, end: _End, data: bytes | None) -> None:
-        if end.transport is None or end.lost:
+    def _write(self, side: _Side, data: bytes | None) -> None:
+        if side.transport is None or side.lost:
             return
         if data is None:
-            end.transport.close()
+            side.transport.close()
         else:
-            end.transport.write(data)
+            side.transport.write(data)
 
     async def _connect(self) -> None:
-        target = self.wire.target()
+        target = self.proxy.target()
         try:
-            await asyncio.get_running_loop().create_connection(lambda: self.far, target.host, target.port)
+            await asyncio.get_running_loop().create_connection(
+                lambda: self.target_side, target.host, target.port
+            )
         except OSError:
             self.abort()
 
     def abort(self) -> None:
-        """Reset both sides."""
-        self.over = True
-        self.wire.links.discard(self)
-        if self._connecting is not None and not self._connecting.done():
-            self._connecting.cancel()
-        for end in (self.near, self.far):
-            if end.transport is not None and not end.lost:
-                sock = end.transport.get_extra_info("socket")
+        """Reset the connections to the caller and to the target."""
+        self.closed = True
+        self.proxy.links.discard(self)
+        if self._connect_task is not None and not self._connect_task.done():
+            self._connect_task.cancel()
+        for side in (self.caller_side, self.target_side):
+            if side.transport is not None and not side.lost:
+                sock = side.transport.get_extra_info("socket")
                 with contextlib.suppress(OSError):
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
-                end.transport.abort()
+                side.transport.abort()
 
 
 class Wire:
-    """A listening address whose connections go on to a target, as `how` says."""
+    """A listening address that forwards its connections to a target, with the fault given by `mode`."""
 
     def __init__(
         self,
         host: str,
         target: Callable[[], Address],
-        watch: Callable[[object, bool, bytes], None] | None = None,
+        observer: Callable[[object, bool, bytes], None] | None = None,
     ) -> None:
-        """`watch` sees what goes over it: on which connection, whether up, and the bytes."""
-        self._claim = claim(host)
-        self.address = Address(host, int(self._claim.getsockname()[1]))
+        """`observer` is called with each piece of data: connection, whether it goes to the target, bytes."""
+        self._reserved_port = claim(host)
+        self.address = Address(host, int(self._reserved_port.getsockname()[1]))
         self.target = target
-        self.how = How.OPEN
-        self.links: set[_Link] = set()
-        self._watch = watch
+        self.mode = How.OPEN
+        self.links: set[_ProxyConnection] = set()
+        self._observer = observer
         self._server: asyncio.Server | None = None
 
     async def open(self) -> None:
+        """Start to listen, if the proxy does not listen already."""
         if self._server is None:
             self._server = await asyncio.get_running_loop().create_server(
-                lambda: _Link(self).near,
+                lambda: _ProxyConnection(self).caller_side,
                 self.address.host,
                 self.address.port,
                 backlog=BACKLOG,
                 reuse_address=True,
             )
 
-    async def turn(self, how: How) -> None:
-        """From now on it does this; mended, it delivers what was held."""
-        self.how = how
-        if how is How.RESET:
-            self.reset()
-            self._shut()
+    async def turn(self, mode: How) -> None:
+        """Apply a mode from now on, and forward the held data that it no longer blocks."""
+        self.mode = mode
+        if mode is How.RESET:
+            self.reset_connections()
+            self._stop_listening()
         else:
             await self.open()
-        for link in list(self.links):
-            link.flow()
+        for connection in list(self.links):
+            connection.send_held()
 
-    def reset(self) -> None:
-        """Reset what is open; new connections are as before."""
-        for link in list(self.links):
-            link.abort()
+    def reset_connections(self) -> None:
+        """Reset all open connections; new connections are not affected."""
+        for connection in list(self.links):
+            connection.abort()
 
-    def held(self, up: bool) -> bool:
-        return self.how in (UP_HELD if up else DOWN_HELD)
+    def is_held(self, upstream: bool) -> bool:
+        """Whether the current mode holds data of this direction."""
+        return self.mode in (MODES_HOLDING_UPSTREAM if upstream else MODES_HOLDING_DOWNSTREAM)
 
-    def seen(self, link: _Link, up: bool, data: bytes) -> None:
-        if self._watch is not None:
-            self._watch(link, up, data)
+    def observe(self, connection: _ProxyConnection, upstream: bool, data: bytes) -> None:
+        if self._observer is not None:
+            self._observer(connection, upstream, data)
 
-    def _shut(self) -> None:
+    def _stop_listening(self) -> None:
         if self._server is not None:
             for listener in self._server.sockets:
                 unlisten(listener.fileno())
@@ -244,6 +251,7 @@
             self._server = None
 
     def close(self) -> None:
-        self._shut()
-        self.reset()
-        self._claim.close()
+        """Stop listening, reset all connections and release the port."""
+        self._stop_listening()
+        self.reset_connections()
+        self._reserved_port.close()
--- a/tests/registry_support.py
+++ b/tests/registry_support.py
@@ -142,8 +142,8 @@
     async def __aexit__(self, *_: object) -> None:
         for watcher in self.watchers:
             watcher.watch.stop()
-        for wire in self.wires:
-            wire.close()
+        for proxy in self.wires:
+            proxy.close()
         for node in self.nodes:
             await node.kill()
             node.close()
@@ -154,10 +154,10 @@
         return await self.nodes[-1].start()
 
     async def add_wire(self, node: RegistryNode) -> Wire:
-        wire = Wire("127.0.0.1", lambda: node.address)
-        self.wires.append(wire)
-        await wire.open()
-        return wire
+        proxy = Wire("127.0.0.1", lambda: node.address)
+        self.wires.append(proxy)
+        await proxy.open()
+        return proxy
 
     def add_watcher(self, *addresses: Address, **settings: Any) -> Watcher:
         follow = FollowSettings(addresses=[str(a) for a in addresses], **{"wait_s": 2.0, **settings})
