--- a/eiderhub/scale/hollow.py
+++ b/eiderhub/scale/hollow.py
@@ -1,8 +1,9 @@
-"""Many hollow sidecars in one process: the real client code and decisions, without the data path.
+"""Runs many hollow sidecars in one process: the real client code and decisions, without the data path.
 
     python -m eiderhub.scale.hollow FILE
 
-FILE is a `Part`. Whoever runs it calls at its address, in JSON over HTTP: what to do, and what came of it.
+FILE is a `ProcessConfig` in JSON. The process is controlled by JSON requests over HTTP to its control
+address; the paths are listed in `SidecarHost`.
 """
 
 from __future__ import annotations
@@ -42,37 +43,38 @@
 from eiderhub.sidecar.discovery import ListedEndpoint
 from eiderhub.sidecar.registry_watcher import RegistryWatcher
 
-TOGETHER = 16  # registrations or first lists that are under way at a time
-TICK_S = 0.02  # how often the lateness of timers is looked at
-MOST_BODY = 64 << 20
-UP_MS = 3_600_000  # sidecars of the fill have been up for so long: they are warm
+MAX_CONCURRENT_STARTS = 16  # registrations or first list requests in progress at the same time
+TIMER_PROBE_INTERVAL_S = 0.02  # interval at which the lateness of timers is sampled
+MAX_BODY_BYTES = 64 << 20
+# Uptime that the sidecars registered in the fill phase report, so that they count as warm.
+INITIAL_UPTIME_MS = 3_600_000
 log = structlog.get_logger()
-# What is counted of what client code says.
+# Warnings that are counted by their text; the registry client logs the first two itself.
 LOST = "the list service has no record of this endpoint; registering again"
-UNANSWERED = "the list service does not answer"
-UNRENEWED = f"{UNANSWERED} a registration"
+SERVICE_UNANSWERED = "the list service does not answer"
+UNRENEWED = f"{SERVICE_UNANSWERED} a registration"
 EMPTIED = "a list became empty"
 WENT_BACK = "a list went back"
 
 
-class State(enum.Enum):
-    """A sidecar's life. Its record may outlive it by a lease."""
+class SidecarState(enum.Enum):
+    """Lifecycle of a hollow sidecar. After `ENDED` the list service may keep its record for one lease."""
 
-    NEW = "new"  # nothing of it is known to the list service
-    HELD = "held"  # it registers, and renews
+    NEW = "new"  # not registered yet
+    ALIVE = "held"  # registers and renews its lease
     ENDED = "ended"
 
 
-class Part(Struct, frozen=True, kw_only=True):
-    """What one process holds."""
+class ProcessConfig(Struct, frozen=True, kw_only=True):
+    """Configuration of one process of hollow sidecars."""
 
-    control: str  # where it is called
+    control: str  # address of the control server
     seats: list[Seat]
-    main: dict[str, list[str]]  # by region: where sidecars register
-    followers: dict[str, list[str]]  # by region: whom they ask for lists, the nearest first
-    endpoint: str  # where all their endpoints listen
-    regions: dict[str, list[str]]
-    settings: dict[str, Any]  # of the sidecars, as TOML has them
+    main: dict[str, list[str]]  # by region: addresses at which sidecars register
+    followers: dict[str, list[str]]  # by region: addresses from which lists are fetched, the nearest first
+    endpoint: str  # address shared by the endpoints of all sidecars
+    regions: dict[str, list[str]]  # zones by region
+    settings: dict[str, Any]  # of the sidecars, in the form of their TOML file
     lease_ms: int
     wait_s: float
     calls_per_s: float
@@ -80,7 +82,7 @@
 
 
 class Nothing(Struct, frozen=True):
-    """A call or an answer that has nothing to say."""
+    """A request or response without content."""
 
 
 class Change(Struct, frozen=True, array_like=True):
@@ -88,154 +90,164 @@
 
     service: str
     version: int
-    acknowledged_s: float  # of the machine's monotonic clock
+    acknowledged_s: float  # time of the acknowledgement on the machine's monotonic clock
 
 
 class Settle(Struct, frozen=True):
+    """Request for the delays after which changes were in force."""
+
     changes: list[Change]
 
 
 class Settled(Struct, frozen=True):
-    """For each change, how long it took to be in force at each sidecar that follows that list."""
+    """For each change, the delay until it was in force at each sidecar that follows that list."""
 
     delays_ms: list[list[float]]
-    missing: int  # pairs of a change and a sidecar that it has never reached
+    missing: int  # pairs of a change and a sidecar that never adopted it
+
 
+class CompareRequest(Struct, frozen=True):
+    """Request to compare the sidecars' lists with those of the main service."""
 
-class Compare(Struct, frozen=True):
-    """What the main service has: a digest for each list."""
+    digests: dict[str, str]  # `list_digest` by service
 
-    digests: dict[str, str]
 
+class CompareResponse(Struct, frozen=True):
+    """Result of a comparison of lists."""
 
-class Compared(Struct, frozen=True):
-    differ: int  # sidecars whose list is another one
-    lists: int
-    last_change_s: float  # when any of them last had news, on the monotonic clock
+    differ: int  # sidecars whose list differs
+    lists: int  # lists compared
+    last_change_s: float  # time of the last list update of any sidecar, on the monotonic clock
 
 
 class Which(Struct, frozen=True):
-    """Sidecars by name."""
+    """Sidecars that a request applies to."""
 
     ids: list[str]
 
 
 class Replace(Struct, frozen=True):
-    """Sidecars to end in good order, each with who takes its place."""
+    """Sidecars to shut down gracefully, each with its replacement."""
 
     pairs: list[tuple[str, Seat]]
 
 
 class Snapshot(Struct, frozen=True):
-    """What the process has counted since its start; `late_ms` and buckets since the last look."""
+    """Counts since the start of the process; `late_ms` and buckets: since the previous snapshot."""
 
-    connections: dict[str, Told]
-    said: dict[str, int]  # what the client code warned of, and how often
-    held: int  # sidecars that live and are registered
-    listed: int  # that have a list
-    late_ms: list[float]
-    lists: int  # news that the decisions have been told of
+    connections: dict[str, Told]  # traffic by address
+    said: dict[str, int]  # number of warnings by text
+    held: int  # sidecars that are alive and registered
+    listed: int  # sidecars that are alive and have received a list
+    late_ms: list[float]  # lateness of timers: 50th and 99th percentile, maximum; empty without samples
+    lists: int  # list updates passed to the decisions
 
 
-def digest(entries: Mapping[str, Entry]) -> str:
-    """Of a list's endpoints and their states, whatever their order."""
+def list_digest(entries: Mapping[str, Entry]) -> str:
+    """Return a digest of a list's endpoints and their states, independent of their order."""
     rows = sorted(f"{e.instance_id} {e.lifecycle.value} {e.started_at_ms}" for e in entries.values())
     return xxhash.xxh3_64_hexdigest("\n".join(rows).encode())
 
 
-class Actions:
-    """What the decisions ask of their host: timers alone, as no calls come."""
+class HollowActions:
+    """Host actions for a hollow sidecar's decisions. Only timers and the watch work: there are no calls."""
 
-    def __init__(self, sidecar: Hollow) -> None:
+    def __init__(self, sidecar: HollowSidecar) -> None:
         self._sidecar = sidecar
 
     def timer(self, delay_us: int, mark: str) -> None:
+        """Wake the decisions with `mark` after the delay."""
         Alarm(now_us() + delay_us, lambda: self._sidecar.wake(mark))
 
     def watch(self, on: bool) -> None:
-        self._sidecar.following.set_enabled(on)
+        """Start or stop the watch of the list."""
+        self._sidecar.watcher.set_enabled(on)
 
     def write_log(self, text: str, **fields: str | int | float) -> None:
-        """Nobody reads it."""
+        """Discard the log line."""
 
     def hand_off(self, call: str, endpoint: str, max_wait_us: int) -> None:
-        raise AssertionError("no calls come")
+        raise AssertionError("a hollow sidecar has no calls")
 
     def cancel(self, call: str, attempt: int) -> None:
-        raise AssertionError("no calls come")
+        raise AssertionError("a hollow sidecar has no calls")
 
     def shed(self, call: str, wait_us: int) -> None:
-        raise AssertionError("no calls come")
+        raise AssertionError("a hollow sidecar has no calls")
 
     def surrender(self, call: str) -> None:
-        raise AssertionError("no calls come")
+        raise AssertionError("a hollow sidecar has no calls")
 
     def close_idle(self, endpoint: str) -> None:
-        """There are no connections to endpoints."""
+        """Do nothing: there are no connections to endpoints."""
 
 
-class Hollow:
-    """One hollow sidecar: it keeps its record alive, and follows one list into its decisions."""
+class HollowSidecar:
+    """One hollow sidecar: renews its record's lease and passes the list that it follows to its decisions."""
 
-    def __init__(self, part: Part, seat: Seat, settings: Settings) -> None:
-        self.seat = seat
-        self.state = State.NEW
-        self._part = part
+    def __init__(self, config: ProcessConfig, spec: Seat, settings: Settings) -> None:
+        self.spec = spec
+        self.state = SidecarState.NEW
+        self._config = config
         self._settings = dataclasses.replace(
-            settings, zone=seat.zone, rank=seat.rank, balancers=seat.balancers
+            settings, zone=spec.zone, rank=spec.rank, balancers=spec.balancers
         )
-        follow = FollowSettings(
-            addresses=part.followers[seat.region],
-            service=seat.follows,
-            wait_s=part.wait_s,
-            calls_per_s=part.calls_per_s,
+        follow_settings = FollowSettings(
+            addresses=config.followers[spec.region],
+            service=spec.follows,
+            wait_s=config.wait_s,
+            calls_per_s=config.calls_per_s,
         )
-        self.following = RegistryWatcher(follow, self._on_list, self._on_steering)
-        self.in_force: list[tuple[float, int]] = []  # when which version was in the decisions
-        self.listed = asyncio.Event()
-        self.lists = 0
-        self.balancer = Balancer(self._settings, part.seed ^ hash_of(seat.id), Actions(self))
+        self.watcher = RegistryWatcher(follow_settings, self._on_list, self._on_steering)
+        self.adoptions: list[tuple[float, int]] = []  # time, version passed to the decisions
+        self.list_received = asyncio.Event()
+        self.list_updates = 0
+        self.balancer = Balancer(self._settings, config.seed ^ hash_name(spec.id), HollowActions(self))
         self.registration: Registration | None = None
 
     def register(self, started_ms: int) -> Registration:
-        seat, part = self.seat, self._part
-        told = RegisterSettings(
-            id=seat.id,
-            address=part.endpoint,
-            service=seat.service,
-            zone=seat.zone,
-            region=seat.region,
-            lease_ms=part.lease_ms,
+        """Start the registration; doesn't wait for its acknowledgement."""
+        spec, config = self.spec, self._config
+        register_settings = RegisterSettings(
+            id=spec.id,
+            address=config.endpoint,
+            service=spec.service,
+            zone=spec.zone,
+            region=spec.region,
+            lease_ms=config.lease_ms,
+        )
+        addresses = [parse_host_port(text) for text in config.main[spec.region]]
+        self.registration = Registration(
+            build_record(register_settings, started_ms), addresses, _always_alive
         )
-        addresses = [parse_host_port(text) for text in part.main[seat.region]]
-        self.registration = Registration(build_record(told, started_ms), addresses, _alive)
-        self.state = State.HELD
+        self.state = SidecarState.ALIVE
         self.registration.start()
         return self.registration
 
     def follow(self) -> None:
-        """As a sidecar starts: the decisions first, with an empty list, then the watch."""
+        """Start the decisions with an empty list, then the watch, in the order of a real sidecar's start."""
         self.balancer.start(now_us())
         self._on_list(ListForm.CACHED, [])
-        self.following.set_enabled(True)
+        self.watcher.set_enabled(True)
 
     def abandon(self) -> None:
-        """As if its process had been killed."""
+        """Stop without draining or removing the record, like a killed process."""
         if self.registration is not None:
             self.registration.abandon()
-        self.following.watch.stop()
-        self.state = State.ENDED
+        self.watcher.watch.stop()
+        self.state = SidecarState.ENDED
 
-    async def leave(self) -> None:
-        """In good order: it drains, and then its record goes."""
+    async def shut_down(self) -> None:
+        """Shut down gracefully: drain the endpoint, remove its record, and stop the watch."""
         if self.registration is not None:
             await self.registration.drain()
             await self.registration.remove()
-        self.following.watch.stop()
-        self.state = State.ENDED
+        self.watcher.watch.stop()
+        self.state = SidecarState.ENDED
 
     def wake(self, mark: str) -> None:
-        if self.state is State.HELD:
+        """Pass an expired timer to the decisions while the sidecar is alive."""
+        if self.state is SidecarState.ALIVE:
             self.balancer.wake(now_us(), mark)
 
     def _on_steering(self, shares: Mapping[str, float], regions: Mapping[str, str]) -> None:
@@ -245,214 +257,217 @@
         self.balancer.discovery(now_us(), form, [entry.endpoint for entry in entries])
         if form is ListForm.CACHED:
             return
-        self.lists += 1
-        if not self.following.watch.adopted_list.entries:
-            log.warning(EMPTIED, id=self.seat.id)
-        version = self.following.watch.adopted_list.version
-        if self.in_force and version < self.in_force[-1][1]:
-            log.warning(WENT_BACK, id=self.seat.id)
-        self.in_force.append((time.monotonic(), version))
-        self.listed.set()
+        self.list_updates += 1
+        if not self.watcher.watch.adopted_list.entries:
+            log.warning(EMPTIED, id=self.spec.id)
+        version = self.watcher.watch.adopted_list.version
+        if self.adoptions and version < self.adoptions[-1][1]:
+            log.warning(WENT_BACK, id=self.spec.id)
+        self.adoptions.append((time.monotonic(), version))
+        self.list_received.set()
 
 
-async def _alive() -> bool:
+async def _always_alive() -> bool:
     return True
 
 
-def hash_of(name: str) -> int:
+def hash_name(name: str) -> int:
+    """Return a hash of a name that is the same in every process."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
-class Holder:
-    """All hollow sidecars of this process, and the calls that tell it what to do."""
+class SidecarHost:
+    """All hollow sidecars of this process, and the control server."""
 
-    def __init__(self, part: Part, said: Counter[str]) -> None:
-        self.part = part
-        self._said = said
-        setup = convert(part.settings, Setup)
-        places = {zone: region for region, zones in part.regions.items() for zone in zones}
-        self._settings = dataclasses.replace(setup.settings(), regions=places)
-        self.sidecars = {seat.id: self._make(seat) for seat in part.seats}
-        self._late: list[float] = []
-        self._rng = random.Random(part.seed)
+    def __init__(self, config: ProcessConfig, warnings: Counter[str]) -> None:
+        self.config = config
+        self._warnings = warnings
+        setup = convert(config.settings, Setup)
+        region_by_zone = {zone: region for region, zones in config.regions.items() for zone in zones}
+        self._settings = dataclasses.replace(setup.settings(), regions=region_by_zone)
+        self.sidecars = {spec.id: self._create(spec) for spec in config.seats}
+        self._lateness_ms: list[float] = []
+        self._rng = random.Random(config.seed)
         self._tasks: set[asyncio.Task[None]] = set()
         self._connections: set[ServerConnection] = set()
-        self._calls: dict[str, tuple[type[Struct], Callable[[Any], Awaitable[Struct]]]] = {
+        self._handlers: dict[str, tuple[type[Struct], Callable[[Any], Awaitable[Struct]]]] = {
             "/register": (Nothing, self._register),
             "/follow": (Nothing, self._follow),
             "/snapshot": (Nothing, self._snapshot),
             "/settle": (Settle, self._settle),
-            "/compare": (Compare, self._compare),
+            "/compare": (CompareRequest, self._compare),
             "/abandon": (Which, self._abandon),
             "/return": (Which, self._return),
             "/replace": (Replace, self._replace),
         }
 
-    def _make(self, seat: Seat) -> Hollow:
-        return Hollow(self.part, seat, self._settings)
+    def _create(self, spec: Seat) -> HollowSidecar:
+        return HollowSidecar(self.config, spec, self._settings)
 
     async def serve(self) -> None:
-        """Until SIGTERM."""
+        """Serve control requests until SIGTERM or SIGINT, then abandon all sidecars."""
         loop = asyncio.get_running_loop()
         stop = asyncio.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, stop.set)
-        address = parse_host_port(self.part.control)
-        bounds = ConnectionLimits(max_body_bytes=MOST_BODY)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, stop.set)
+        address = parse_host_port(self.config.control)
+        limits = ConnectionLimits(max_body_bytes=MAX_BODY_BYTES)
         listener = await loop.create_server(
-            lambda: ServerConnection(self._came, now_us, self._connections, limits=bounds),
+            lambda: ServerConnection(self._on_request, now_us, self._connections, limits=limits),
             address.host,
             address.port,
         )
-        ticking = loop.create_task(self._tick(stop))
+        probing = loop.create_task(self._probe_timers(stop))
         await stop.wait()
-        ticking.cancel()
+        probing.cancel()
         listener.close()
         for sidecar in self.sidecars.values():
-            if sidecar.state is State.HELD:
+            if sidecar.state is SidecarState.ALIVE:
                 sidecar.abandon()
 
-    async def _tick(self, stop: asyncio.Event) -> None:
-        started_by = os.getppid()
+    async def _probe_timers(self, stop: asyncio.Event) -> None:
+        parent_pid = os.getppid()
         while True:
-            if os.getppid() != started_by:  # who started us has been killed
+            if os.getppid() != parent_pid:  # the parent process has been killed
                 stop.set()
-            due = time.monotonic() + TICK_S
-            await asyncio.sleep(TICK_S)
-            self._late.append((time.monotonic() - due) * 1000)
+            due_s = time.monotonic() + TIMER_PROBE_INTERVAL_S
+            await asyncio.sleep(TIMER_PROBE_INTERVAL_S)
+            self._lateness_ms.append((time.monotonic() - due_s) * 1000)
 
-    def _came(self, exchange: Exchange) -> None:
-        task = asyncio.get_running_loop().create_task(self._answer(exchange))
+    def _on_request(self, exchange: Exchange) -> None:
+        task = asyncio.get_running_loop().create_task(self._respond(exchange))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _answer(self, exchange: Exchange) -> None:
-        kind, call = self._calls[exchange.url.decode("ascii")]
+    async def _respond(self, exchange: Exchange) -> None:
+        request_type, handler = self._handlers[exchange.url.decode("ascii")]
         try:
-            found = await call(msgspec.json.decode(exchange.body, type=kind))
-        except Exception as error:  # whoever asked must hear of it, or would wait for long
+            response = await handler(msgspec.json.decode(exchange.body, type=request_type))
+        except Exception as error:  # respond in any case: the caller would wait until its timeout
             exchange.respond(500, msgspec.json.encode({"why": f"{type(error).__name__}: {error}"}))
             raise
-        exchange.respond(200, msgspec.json.encode(found))
+        exchange.respond(200, msgspec.json.encode(response))
 
-    # --- calls ---
+    # --- control requests ---
 
     async def _register(self, _: Nothing) -> Nothing:
-        await _bounded(self._put(sidecar) for sidecar in self.sidecars.values())
+        await _run_bounded(self._register_one(sidecar) for sidecar in self.sidecars.values())
         return Nothing()
 
-    async def _put(self, sidecar: Hollow) -> None:
-        await sidecar.register(time.time_ns() // 1_000_000 - UP_MS).registered.wait()
+    async def _register_one(self, sidecar: HollowSidecar) -> None:
+        await sidecar.register(time.time_ns() // 1_000_000 - INITIAL_UPTIME_MS).registered.wait()
 
     async def _follow(self, _: Nothing) -> Nothing:
-        await _bounded(self._first(sidecar) for sidecar in self.sidecars.values())
-        # What lives from here on need not be walked again: a full collection would hold up every timer.
+        await _run_bounded(self._follow_one(sidecar) for sidecar in self.sidecars.values())
+        # Exclude all objects created so far from collections: a full collection would delay every timer.
         gc.collect()
         gc.freeze()
         return Nothing()
 
     @staticmethod
-    async def _first(sidecar: Hollow) -> None:
+    async def _follow_one(sidecar: HollowSidecar) -> None:
         sidecar.follow()
-        await sidecar.listed.wait()
+        await sidecar.list_received.wait()
 
     async def _snapshot(self, _: Nothing) -> Snapshot:
-        late, self._late = self._late, []
-        living = [sidecar for sidecar in self.sidecars.values() if sidecar.state is State.HELD]
+        lateness_ms, self._lateness_ms = self._lateness_ms, []
+        alive = [sidecar for sidecar in self.sidecars.values() if sidecar.state is SidecarState.ALIVE]
         return Snapshot(
             connections=counting().told(),
-            said=dict(self._said),
-            held=sum(s.registration is not None and s.registration.registered.is_set() for s in living),
-            listed=sum(sidecar.listed.is_set() for sidecar in living),
-            late_ms=[round(float(value), 2) for value in np.percentile(late, [50, 99, 100])] if late else [],
-            lists=sum(sidecar.lists for sidecar in self.sidecars.values()),
+            said=dict(self._warnings),
+            held=sum(s.registration is not None and s.registration.registered.is_set() for s in alive),
+            listed=sum(sidecar.list_received.is_set() for sidecar in alive),
+            late_ms=[round(float(value), 2) for value in np.percentile(lateness_ms, [50, 99, 100])]
+            if lateness_ms
+            else [],
+            lists=sum(sidecar.list_updates for sidecar in self.sidecars.values()),
         )
 
-    async def _settle(self, call: Settle) -> Settled:
+    async def _settle(self, request: Settle) -> Settled:
         by_service: dict[str, list[np.ndarray[Any, Any]]] = {}
         for sidecar in self.sidecars.values():
-            if sidecar.state is State.HELD:
-                moments = np.array(sidecar.in_force, dtype=float).reshape(-1, 2)
-                by_service.setdefault(sidecar.seat.follows, []).append(moments)
-                sidecar.in_force = sidecar.in_force[-1:]
-        found: list[list[float]] = []
+            if sidecar.state is SidecarState.ALIVE:
+                adoptions = np.array(sidecar.adoptions, dtype=float).reshape(-1, 2)
+                by_service.setdefault(sidecar.spec.follows, []).append(adoptions)
+                sidecar.adoptions = sidecar.adoptions[-1:]
+        delays_by_change: list[list[float]] = []
         missing = 0
-        for change in call.changes:
+        for change in request.changes:
             delays: list[float] = []
-            for moments in by_service.get(change.service, ()):
-                delay = delay_ms(moments, change)
+            for adoptions in by_service.get(change.service, ()):
+                delay = delay_ms(adoptions, change)
                 if delay is None:
                     missing += 1
                 else:
                     delays.append(delay)
-            found.append(delays)
-        return Settled(found, missing)
+            delays_by_change.append(delays)
+        return Settled(delays_by_change, missing)
 
-    async def _compare(self, call: Compare) -> Compared:
-        living = [sidecar for sidecar in self.sidecars.values() if sidecar.state is State.HELD]
+    async def _compare(self, request: CompareRequest) -> CompareResponse:
+        alive = [sidecar for sidecar in self.sidecars.values() if sidecar.state is SidecarState.ALIVE]
         differ = 0
-        for turn, sidecar in enumerate(living):
-            has = digest(sidecar.following.watch.adopted_list.entries)
-            differ += has != call.digests.get(sidecar.seat.follows, digest({}))
-            if not turn % 50:
-                await asyncio.sleep(0)  # the others' timers go on
-        last = max((s.in_force[-1][0] for s in living if s.in_force), default=0.0)
-        return Compared(differ, len(living), last)
-
-    async def _abandon(self, call: Which) -> Nothing:
-        for name in call.ids:
+        for index, sidecar in enumerate(alive):
+            digest = list_digest(sidecar.watcher.watch.adopted_list.entries)
+            differ += digest != request.digests.get(sidecar.spec.follows, list_digest({}))
+            if not index % 50:
+                await asyncio.sleep(0)  # let timers run
+        last_change_s = max((s.adoptions[-1][0] for s in alive if s.adoptions), default=0.0)
+        return CompareResponse(differ, len(alive), last_change_s)
+
+    async def _abandon(self, request: Which) -> Nothing:
+        for name in request.ids:
             if name in self.sidecars:
                 self.sidecars[name].abandon()
         return Nothing()
 
-    async def _return(self, call: Which) -> Nothing:
-        """New processes in their places, all in the same moment; it is not waited for."""
-        for name in call.ids:
+    async def _return(self, request: Which) -> Nothing:
+        """Start new sidecars with the same specifications, all at once; doesn't wait until they register."""
+        for name in request.ids:
             if name in self.sidecars:
-                sidecar = self.sidecars[name] = self._make(self.sidecars[name].seat)
+                sidecar = self.sidecars[name] = self._create(self.sidecars[name].spec)
                 sidecar.register(time.time_ns() // 1_000_000)
                 sidecar.follow()
         return Nothing()
 
-    async def _replace(self, call: Replace) -> Nothing:
-        for name, seat in call.pairs:
+    async def _replace(self, request: Replace) -> Nothing:
+        for name, spec in request.pairs:
             if name in self.sidecars:
-                await self.sidecars[name].leave()
+                await self.sidecars[name].shut_down()
                 del self.sidecars[name]
-                sidecar = self.sidecars[seat.id] = self._make(seat)
+                sidecar = self.sidecars[spec.id] = self._create(spec)
                 sidecar.follow()
                 await sidecar.register(time.time_ns() // 1_000_000).registered.wait()
         return Nothing()
 
 
-def delay_ms(moments: np.ndarray[Any, Any], change: Change) -> float | None:
-    """From a change's acknowledgement until it was in force; None: it never was.
+def delay_ms(adoptions: np.ndarray[Any, Any], change: Change) -> float | None:
+    """Return the time from a change's acknowledgement until it was in force, or None if it never was.
 
-    `moments`: rows of when, in seconds, and which version.
+    `adoptions` has one row for each adopted list: time in seconds, version.
     """
-    place = int(np.searchsorted(moments[:, 1], change.version))
-    if place == len(moments):
+    index = int(np.searchsorted(adoptions[:, 1], change.version))
+    if index == len(adoptions):
         return None
-    return round(max(0.0, 1000 * float(moments[place, 0] - change.acknowledged_s)), 2)
+    return round(max(0.0, 1000 * float(adoptions[index, 0] - change.acknowledged_s)), 2)
 
 
-async def _bounded(work: Any) -> None:
-    """All of it, some at a time."""
-    waiting = iter(work)
+async def _run_bounded(work: Any) -> None:
+    """Await all of `work`, at most `MAX_CONCURRENT_STARTS` at the same time."""
+    remaining = iter(work)
 
-    async def some() -> None:
-        for each in waiting:
-            await each
+    async def worker() -> None:
+        for awaitable in remaining:
+            await awaitable
 
-    await asyncio.gather(*(some() for _ in range(TOGETHER)))
+    await asyncio.gather(*(worker() for _ in range(MAX_CONCURRENT_STARTS)))
 
 
-def _count_what_is_said(said: Counter[str]) -> None:
+def _count_warnings(warnings: Counter[str]) -> None:
     def count(_: Any, method: str, event: Any) -> Any:
         if method in ("warning", "error"):
             text = str(event.get("event"))
-            # A watch says which address, a registration whose record.
-            said[UNRENEWED if text == UNANSWERED and "id" in event else text] += 1
+            # Watches and registrations log the same text; only a registration adds the id of its record.
+            warnings[UNRENEWED if text == SERVICE_UNANSWERED and "id" in event else text] += 1
         if method == "error":
             print(event, file=sys.stderr, flush=True)
         raise structlog.DropEvent
@@ -461,13 +476,14 @@
 
 
 def main() -> int:
-    part = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=Part)
-    said: Counter[str] = Counter()
-    _count_what_is_said(said)
-    gc.set_threshold(20_000, 20, 50)  # as a sidecar has it
+    """Run the process whose configuration file is the first argument."""
+    config = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ProcessConfig)
+    warnings: Counter[str] = Counter()
+    _count_warnings(warnings)
+    gc.set_threshold(20_000, 20, 50)  # the thresholds of a real sidecar
 
     async def serve() -> None:
-        await Holder(part, said).serve()
+        await SidecarHost(config, warnings).serve()
 
     with asyncio.Runner(loop_factory=CountingLoop) as runner:
         runner.run(serve())
--- a/eiderhub/scale/looks.py
+++ b/eiderhub/scale/looks.py
@@ -1,4 +1,4 @@
-"""What all processes of a run have said and cost up to a moment; two of these make a phase."""
+"""Measurements of the traffic and resource use of all processes of a run; two of them delimit a phase."""
 
 from __future__ import annotations
 
@@ -14,132 +14,165 @@
 from eiderhub.scale.counts import WRITES, Told, cost, peak, since, together
 from eiderhub.scale.hollow import Nothing, Snapshot
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, RUN, Phase, Role
-from eiderhub.scale.topology import Topology, ours, sum_by_role
+from eiderhub.scale.topology import Topology, read_own_traffic, sum_by_role
 
-LATE_P99 = 1  # its place in `Snapshot.late_ms`
+LATE_P99_INDEX = 1  # of the 99th percentile in `Snapshot.late_ms`
 
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """One moment. Counts are since the run's start, but for buckets and lateness: since the look before."""
+    """State of a run at one moment.
 
-    at_s: float
+    Counts start with the run; buckets and lateness start at the previous measurement.
+    """
+
+    at_s: float  # on the monotonic clock
     costs: dict[str, tuple[float, float]]  # by role: seconds of processor time, MB
-    services: dict[str, Told]  # by role: what reached it and what it answered
-    hollow: dict[str, Told]  # what hollow sidecars have said, by the service's role
-    real: dict[str, Told]
-    feed: Told  # what followers have said to the main one
-    run: Told  # what this run itself has
-    statuses: dict[str, api.StatusResponse]
-    held: int
-    said: dict[str, int]
-    late_ms: float
+    services: dict[str, Told]  # traffic that reached each service, by its role
+    hollow: dict[str, Told]  # traffic of the hollow sidecars, by the service's role
+    real: dict[str, Told]  # traffic of the real sidecars, by the service's role
+    feed: Told  # traffic of the followers with the main service
+    own: Told  # traffic of this process with the main service, without relayed connections
+    statuses: dict[str, api.StatusResponse]  # by role
+    registered: int  # hollow sidecars that are alive and registered
+    said: dict[str, int]  # number of the hollow sidecars' warnings, by text
+    late_ms: float  # of the hollow processes' timers: 99th percentile of the worst process
     pids: dict[str, tuple[int, ...]]  # by role
 
 
-async def look(topology: Topology) -> Look:
-    """Raises NoReplyError, Refused or Ended."""
+async def measure_run(topology: Topology) -> Look:
+    """Measure all processes of a run.
+
+    Raises:
+        NoReplyError: a process does not answer.
+        RequestRefusedError: a process refuses the request.
+        Ended: a process has ended.
+    """
     topology.check()
     statuses, snapshots = await asyncio.gather(
         topology.statuses(), topology.each("/snapshot", Nothing(), Snapshot)
     )
-    direct, any_way = topology.roles()
-    hollow = [snapshot.connections for snapshot in snapshots]
-    said = sum((Counter(snapshot.said) for snapshot in snapshots), Counter[str]())
-    placed = topology.placed()
-    costs = {role: each.cost() for role, each in placed.items()} | {RUN: cost(os.getpid())}
-    here = ours()
-    main = here.get(str(topology.main.address), Told())
-    reals = [real.told() for real in topology.reals]
-    over_wires = {address: role for address, role in any_way.items() if address not in direct}
-    passed_on = [*reals, sum_by_role(hollow, over_wires)]
-    fed = Told({"feed": main.calls.get("feed", 0)}, *topology.fed())
+    direct_roles, all_roles = topology.roles_by_address()
+    hollow_traffic = [snapshot.connections for snapshot in snapshots]
+    warnings = sum((Counter(snapshot.said) for snapshot in snapshots), Counter[str]())
+    processes_by_role = topology.processes_by_role()
+    costs = {role: role_processes.cost() for role, role_processes in processes_by_role.items()} | {
+        RUN: cost(os.getpid())
+    }
+    own_process_traffic = read_own_traffic()
+    main_traffic = own_process_traffic.get(str(topology.main.address), Told())
+    real_traffic = [real.read_traffic() for real in topology.reals]
+    wired_roles = {address: role for address, role in all_roles.items() if address not in direct_roles}
+    relayed_traffic = [*real_traffic, sum_by_role(hollow_traffic, wired_roles)]
+    feed_traffic = Told({"feed": main_traffic.calls.get("feed", 0)}, *topology.feed_bytes())
     return Look(
         at_s=time.monotonic(),
         costs=costs,
-        services=sum_by_role([*hollow, here], direct),
-        hollow=sum_by_role(hollow, any_way),
-        real=sum_by_role(reals, {name: name for name in any_way.values()}),
-        feed=fed,
-        run=_own(main, [fed, *(one[MAIN] for one in passed_on if MAIN in one)]),
+        services=sum_by_role([*hollow_traffic, own_process_traffic], direct_roles),
+        hollow=sum_by_role(hollow_traffic, all_roles),
+        real=sum_by_role(real_traffic, {name: name for name in all_roles.values()}),
+        feed=feed_traffic,
+        own=_own_traffic(
+            main_traffic, [feed_traffic, *(traffic[MAIN] for traffic in relayed_traffic if MAIN in traffic)]
+        ),
         statuses=statuses,
-        held=sum(snapshot.held for snapshot in snapshots),
-        said=dict(said),
-        late_ms=max((s.late_ms[LATE_P99] for s in snapshots if s.late_ms), default=0.0),
-        pids={role: tuple(p.pid for p in each.processes) for role, each in placed.items()}
+        registered=sum(snapshot.held for snapshot in snapshots),
+        said=dict(warnings),
+        late_ms=max(
+            (snapshot.late_ms[LATE_P99_INDEX] for snapshot in snapshots if snapshot.late_ms), default=0.0
+        ),
+        pids={
+            role: tuple(process.pid for process in role_processes.processes)
+            for role, role_processes in processes_by_role.items()
+        }
         | {RUN: (os.getpid(),)},
     )
 
 
-def _own(main: Told, passed_on: list[Told]) -> Told:
-    """What goes from this process to the main service, less what it passes on for others."""
-    others = together(passed_on)
-    calls = {k: max(0, count - others.calls.get(k, 0)) for k, count in main.calls.items() if k in WRITES}
-    return Told(calls, max(0, main.bytes_out - others.bytes_out), max(0, main.bytes_in - others.bytes_in))
+def _own_traffic(main_traffic: Told, relayed_traffic: list[Told]) -> Told:
+    """Return the traffic of this process with the main service, without that relayed for other processes."""
+    relayed = together(relayed_traffic)
+    calls = {
+        kind: max(0, count - relayed.calls.get(kind, 0))
+        for kind, count in main_traffic.calls.items()
+        if kind in WRITES
+    }
+    return Told(
+        calls,
+        max(0, main_traffic.bytes_out - relayed.bytes_out),
+        max(0, main_traffic.bytes_in - relayed.bytes_in),
+    )
 
 
-def _since(after: dict[str, Told], before: dict[str, Told]) -> dict[str, Told]:
-    return {role: since(told, before.get(role, Told())) for role, told in after.items()}
+def _traffic_since(after: dict[str, Told], before: dict[str, Told]) -> dict[str, Told]:
+    return {role: since(traffic, before.get(role, Told())) for role, traffic in after.items()}
 
 
-def _sidecars(before: Look, after: Look, role: str, told: dict[str, Told], records: int) -> Role:
-    """Of hollow or real ones, from what they said to each service."""
-    every = together(list(told.values()))
-    found = _role(before, after, role, every, records, False, every.open)
-    main = told.get(MAIN, Told())
-    main_bytes = main.bytes_in + main.bytes_out
+def _sidecar_role(
+    before: Look, after: Look, role: str, traffic_by_service: dict[str, Told], records: int
+) -> Role:
+    """Build the role of the hollow or real sidecars from their traffic with each service."""
+    total = together(list(traffic_by_service.values()))
+    built = _build_role(before, after, role, total, records, False, total.open)
+    main_traffic = traffic_by_service.get(MAIN, Told())
+    main_bytes = main_traffic.bytes_in + main_traffic.bytes_out
     return structs.replace(
-        found, main_bytes=main_bytes, follower_bytes=every.bytes_in + every.bytes_out - main_bytes
+        built, main_bytes=main_bytes, follower_bytes=total.bytes_in + total.bytes_out - main_bytes
     )
 
 
-def _role(
-    before: Look, after: Look, role: str, told: Told, records: int, serves: bool, connections: int
+def _build_role(
+    before: Look, after: Look, role: str, traffic: Told, records: int, serves: bool, connections: int
 ) -> Role:
     cpu_s, memory_mb = after.costs[role]
-    if before.pids.get(role) == after.pids[role]:  # else it was started anew meanwhile
+    if before.pids.get(role) == after.pids[role]:  # otherwise it was restarted in between
         cpu_s = max(0.0, cpu_s - before.costs[role][0])
-    kinds = {kind: count for kind, count in told.calls.items() if kind != "status"}
-    into, out = (told.bytes_out, told.bytes_in) if serves else (told.bytes_in, told.bytes_out)
+    calls_by_kind = {kind: count for kind, count in traffic.calls.items() if kind != "status"}
+    bytes_in, bytes_out = (
+        (traffic.bytes_out, traffic.bytes_in) if serves else (traffic.bytes_in, traffic.bytes_out)
+    )
     return Role(
         processes=len(after.pids[role]),
         cpu_s=round(cpu_s, 6),
         memory_mb=round(memory_mb, 1),
-        calls=sum(kinds.values()),
-        bytes_in=into,
-        bytes_out=out,
+        calls=sum(calls_by_kind.values()),
+        bytes_in=bytes_in,
+        bytes_out=bytes_out,
         connections=connections,
         records=records,
-        answers=kinds.get("list", 0),
-        entries=told.entries,
-        renewals=kinds.get("renew", 0),
-        peak_per_100ms=peak(told.buckets),
+        answers=calls_by_kind.get("list", 0),
+        entries=traffic.entries,
+        renewals=calls_by_kind.get("renew", 0),
+        peak_per_100ms=peak(traffic.buckets),
     )
 
 
-def phase(name: str, before: Look, after: Look) -> Phase:
-    """What came between two looks."""
-    services = _since(after.services, before.services)
+def build_phase(name: str, before: Look, after: Look) -> Phase:
+    """Build a phase from the measurements at its start and end."""
+    services = _traffic_since(after.services, before.services)
     roles = {}
     for role, status in after.statuses.items():
-        told = services.get(role, Told())
-        roles[role] = _role(before, after, role, told, status.records, True, status.callers)
-    hollow, real = _since(after.hollow, before.hollow), _since(after.real, before.real)
-    roles[HOLLOW] = _sidecars(before, after, HOLLOW, hollow, after.held)
+        traffic = services.get(role, Told())
+        roles[role] = _build_role(before, after, role, traffic, status.records, True, status.callers)
+    hollow_traffic, real_traffic = (
+        _traffic_since(after.hollow, before.hollow),
+        _traffic_since(after.real, before.real),
+    )
+    roles[HOLLOW] = _sidecar_role(before, after, HOLLOW, hollow_traffic, after.registered)
     if REAL in after.costs:
-        roles[REAL] = _sidecars(before, after, REAL, real, len(after.pids[REAL]))
-    roles[RUN] = _role(before, after, RUN, since(after.run, before.run), 0, False, 0)
-    main = services.get(MAIN, Told())
-    followers = [told for role, told in services.items() if role != MAIN]
+        roles[REAL] = _sidecar_role(before, after, REAL, real_traffic, len(after.pids[REAL]))
+    roles[RUN] = _build_role(before, after, RUN, since(after.own, before.own), 0, False, 0)
+    main_traffic = services.get(MAIN, Told())
+    follower_traffic = [traffic for role, traffic in services.items() if role != MAIN]
     feed = since(after.feed, before.feed)
     return Phase(
         name=name,
         seconds=round(after.at_s - before.at_s, 3),
         changes=after.statuses[MAIN].version - before.statuses[MAIN].version,
-        writes=sum(main.calls.get(kind, 0) for kind in WRITES),
-        renewals=main.calls.get("renew", 0),
-        watch_answers=sum(told.calls.get("list", 0) for told in followers),
-        entries_told=sum(told.entries for told in followers),
+        writes=sum(main_traffic.calls.get(kind, 0) for kind in WRITES),
+        renewals=main_traffic.calls.get("renew", 0),
+        watch_answers=sum(traffic.calls.get("list", 0) for traffic in follower_traffic),
+        entries_told=sum(traffic.entries for traffic in follower_traffic),
         feed_answers=feed.calls.get("feed", 0),
         feed_bytes=feed.bytes_in + feed.bytes_out,
         roles=roles,
--- a/eiderhub/scale/plan.py
+++ b/eiderhub/scale/plan.py
@@ -1,4 +1,4 @@
-"""What a scale run consists of, and whether a machine can bear it. Pure: it is told what the machine has."""
+"""Plans a scale run and checks that it fits the machine. Pure: the machine's capacity is a parameter."""
 
 from __future__ import annotations
 
@@ -9,69 +9,70 @@
 
 from eiderhub.capacity.fleet import Fleet
 
-MOST_PROCESSES = 300
-HOLLOW_PROCESSES = 8
+MAX_PROCESSES = 300
+MAX_HOLLOW_PROCESSES = 8
 SIDECARS_PER_PROCESS = 150  # fewer processes where there are fewer sidecars
-SIDECARS_PER_FOLLOWER = 30  # likewise: at least so many on the mean
-MEMORY_PART = 0.5  # of the machine's
-OWN_DESCRIPTORS = 200  # of a process besides those that go by sidecars
-REAL_DESCRIPTORS = 2  # of our own, for one connection over a wire
-REAL_CONNECTIONS = 8  # of a real one: over its wires, and the callers' to it and to its endpoint
-SPARE_PORTS = 2000  # of those that the system gives out: others use them as well
+SIDECARS_PER_FOLLOWER = 30  # mean number at least; fewer followers where there are fewer sidecars
+MAX_MEMORY_SHARE = 0.5  # of the machine's memory
+BASE_DESCRIPTORS = 200  # of a process, in addition to those that grow with the number of sidecars
+DESCRIPTORS_PER_RELAYED_CONNECTION = 2  # in the run's own process, for one connection over a wire
+# Connections over its wires, and those of the callers to the sidecar and to its endpoint.
+CONNECTIONS_PER_REAL_SIDECAR = 8
+RESERVED_PORTS = 2000  # of the system's ephemeral ports, left to other programs
 CHANGES_PER_S = 10.0
 
-# Memory in KB, from trials with 2,000 and 19,000 sidecars, rounded up. It decides what is refused, no more.
-BASE_KB = 45 * 1024  # a process of ours with nothing in it
-RECORD_KB = 3.0  # at the main service and at each follower
-CONNECTION_KB = 4.0  # at a service
-SIDECAR_KB = 20.0  # a hollow one with an empty list
-ENTRY_KB = 1.3  # of its list
-REAL_KB = 50 * 1024  # a real one with its endpoint
+# Memory estimates in KB for 2,000 to 19,000 sidecars, rounded up. Used only to refuse runs that do not fit.
+KB_PER_PROCESS = 45 * 1024  # a process of the run, before it holds any data
+KB_PER_RECORD = 3.0  # at the main service and at each follower
+KB_PER_CONNECTION = 4.0  # at a service
+KB_PER_HOLLOW_SIDECAR = 20.0  # with an empty list
+KB_PER_LIST_ENTRY = 1.3  # in the list of a hollow sidecar
+KB_PER_REAL_SIDECAR = 50 * 1024  # including its endpoint
 
 
 class TooLarge(ValueError):
-    """The run does not fit, in one line that says what would."""
+    """The run does not fit the machine. The message is one line that names a size that would fit."""
 
 
-class Bears(NamedTuple):
-    """What the machine has."""
+class MachineCapacity(NamedTuple):
+    """Resources of the machine."""
 
     memory_mb: float
-    descriptors: int  # that a process may have
-    ports: int  # that the system gives to connections to one address
+    descriptors: int  # limit of file descriptors per process
+    ports: int  # ephemeral ports for connections to one address
 
 
 class Asked(NamedTuple):
-    """What a run is asked for."""
+    """Requested size and settings of a run."""
 
-    hollow: int
-    real: int = 0
+    hollow: int  # number of hollow sidecars
+    real: int = 0  # number of real sidecars
     seed: int = 1
-    lease_s: float | None = None  # in place of the fleet's
-    followers: int | None = None  # in place of one for each region
+    lease_s: float | None = None  # instead of the fleet's
+    followers: int | None = None  # instead of one for each region
 
 
 class Seat(Struct, frozen=True):
-    """One sidecar's place in the fleet: whose record it keeps, and whose list it follows."""
+    """Specification of one sidecar: the record that it registers and the list that it follows."""
 
     id: str
-    service: str
+    service: str  # service that its endpoint belongs to
     zone: str
     region: str
-    follows: str
-    rank: int  # among those that follow this list
-    balancers: int  # how many they are
+    follows: str  # service whose list it follows
+    rank: int  # among the sidecars that follow the same list
+    balancers: int  # number of sidecars that follow the same list
     real: bool = False
 
 
 class Plan(Struct, frozen=True, kw_only=True):
-    """All that a run needs to know."""
+    """Complete plan of a run."""
 
-    seats: list[Seat]
+    seats: list[Seat]  # all sidecars, hollow and real
     sizes: dict[str, int]  # endpoints by service, the largest first
-    regions: dict[str, list[str]]  # the zones of each
-    followers: list[str]  # the regions that have one of their own
-    processes: int  # of hollow sidecars
+    regions: dict[str, list[str]]  # zones by region
+    followers: list[str]  # regions that have a follower of their own
+    processes: int  # number of processes that run the hollow sidecars
     lease_ms: int
     wait_s: float
     calls_per_s: float
@@ -79,34 +80,37 @@
 
     @property
     def hollow(self) -> list[Seat]:
-        return [seat for seat in self.seats if not seat.real]
+        """The hollow sidecars."""
+        return [spec for spec in self.seats if not spec.real]
 
     @property
     def real(self) -> list[Seat]:
-        return [seat for seat in self.seats if seat.real]
+        """The real sidecars."""
+        return [spec for spec in self.seats if spec.real]
 
     def followers_of(self, region: str) -> list[str]:
-        """Whom sidecars of a region ask: their own follower, then the next one."""
+        """Return the followers that sidecars of a region use: their own, then the next one."""
         near = list(self.regions).index(region) % len(self.followers)
         second = (near + 1) % len(self.followers)
         return [self.followers[i] for i in dict.fromkeys((near, second))]
 
     @property
     def entries(self) -> int:
-        """Endpoints in the lists of all hollow sidecars together."""
-        return sum(self.sizes[seat.follows] for seat in self.hollow)
+        """Total number of endpoints in the lists of all hollow sidecars."""
+        return sum(self.sizes[spec.follows] for spec in self.hollow)
 
     def most_watched(self) -> int:
+        """Return the largest number of sidecars that follow one list."""
         counts: dict[str, int] = {}
-        for seat in self.seats:
-            counts[seat.follows] = counts.get(seat.follows, 0) + 1
+        for spec in self.seats:
+            counts[spec.follows] = counts.get(spec.follows, 0) + 1
         return max(counts.values())
 
 
-def smaller(fleet: Fleet, sidecars: int, followers: int) -> Fleet:
-    """A fleet of so many endpoints that each follow one list, with fewer services of about the same sizes.
+def scale_down(fleet: Fleet, sidecars: int, followers: int) -> Fleet:
+    """Return a smaller fleet with `sidecars` endpoints that each follow one list.
 
-    Services are as many fewer as endpoints; rows keep their shares.
+    The number of services shrinks in proportion, so that their sizes change little; rows keep their shares.
     """
     regions = dict(list(fleet.regions.items())[:followers])
     zones = sum(map(len, regions.values()))
@@ -122,138 +126,152 @@
     )
 
 
-def plan(fleet: Fleet, asked: Asked) -> Plan:
-    """Who stands where, drawn from the seed. Raises TooLarge where there is no run of such a size."""
-    sidecars = asked.hollow + asked.real
-    least = len(fleet.sizes)
-    if asked.hollow < least:
-        raise TooLarge(f"--hollow {asked.hollow}: at least {least}, one for each of the fleet's sizes")
-    if asked.real < 0:
-        raise TooLarge(f"--real {asked.real}: at least 0")
-    if asked.followers is not None and asked.followers > len(fleet.regions):
-        raise TooLarge(f"--followers {asked.followers}: at most {len(fleet.regions)}, one for each region")
+def make_plan(fleet: Fleet, request: Asked) -> Plan:
+    """Assign all sidecars to services, zones and lists, at random from the seed.
+
+    Raises:
+        TooLarge: no run of the requested size is possible.
+    """
+    sidecars = request.hollow + request.real
+    min_hollow = len(fleet.sizes)
+    if request.hollow < min_hollow:
+        raise TooLarge(f"--hollow {request.hollow}: at least {min_hollow}, one for each of the fleet's sizes")
+    if request.real < 0:
+        raise TooLarge(f"--real {request.real}: at least 0")
+    if request.followers is not None and request.followers > len(fleet.regions):
+        raise TooLarge(f"--followers {request.followers}: at most {len(fleet.regions)}, one for each region")
     regions = max(1, min(len(fleet.regions), sidecars // SIDECARS_PER_FOLLOWER))
-    return seated(smaller(fleet, sidecars, max(regions, asked.followers or 0)), asked)
+    return assign_sidecars(scale_down(fleet, sidecars, max(regions, request.followers or 0)), request)
 
 
-def seated(fleet: Fleet, asked: Asked) -> Plan:
-    """As `plan`, for a fleet that has just so many endpoints, each of which follows one list."""
-    hollow, real, seed = asked.hollow, asked.real, asked.seed
+def assign_sidecars(fleet: Fleet, request: Asked) -> Plan:
+    """Like `make_plan`, for a fleet with as many endpoints as sidecars, each of which follows one list."""
+    hollow, real, seed = request.hollow, request.real, request.seed
     rng = random.Random(seed)
-    sizes, callers = fleet.service_sizes(), fleet.caller_counts()
+    sizes, caller_counts = fleet.service_sizes(), fleet.caller_counts()
     names = [f"s{number}" for number in range(len(sizes))]
-    # By turns over the regions: the first zones of all regions, then the second ones.
-    zones = [zone for turn in _columns(list(fleet.regions.values())) for zone in turn]
-    owned = [name for name, size in zip(names, sizes, strict=True) for _ in range(size)]
-    followed = [name for name, count in zip(names, callers, strict=True) for _ in range(count)]
-    rng.shuffle(followed)
-    # Real ones follow large lists: there is most to do, and what they add is to be seen.
-    order = sorted(range(len(owned)), key=lambda i: -sizes[int(followed[i][1:])])
-    chosen = set(order[:real])
-    counts = dict(zip(names, callers, strict=True))
+    # Round robin over the regions: the first zone of each region, then the second ones.
+    zones = [zone for column in _transpose(list(fleet.regions.values())) for zone in column]
+    own_services = [name for name, size in zip(names, sizes, strict=True) for _ in range(size)]
+    followed_services = [name for name, count in zip(names, caller_counts, strict=True) for _ in range(count)]
+    rng.shuffle(followed_services)
+    # Real sidecars follow the largest lists: they have most work there, so the latency that they add shows.
+    by_list_size = sorted(
+        range(len(own_services)), key=lambda index: -sizes[int(followed_services[index][1:])]
+    )
+    real_indexes = set(by_list_size[:real])
+    callers_by_service = dict(zip(names, caller_counts, strict=True))
     ranks: dict[str, int] = {}
     seats = []
-    for i, (service, follows) in enumerate(zip(owned, followed, strict=True)):
+    for index, (service, follows) in enumerate(zip(own_services, followed_services, strict=True)):
         rank = ranks[follows] = ranks.get(follows, -1) + 1
-        zone = zones[i % len(zones)]
+        zone = zones[index % len(zones)]
         seats.append(
             Seat(
-                f"e{i}",
+                f"e{index}",
                 service,
                 zone,
                 fleet.region_by_zone[zone],
                 follows,
                 rank,
-                counts[follows],
-                i in chosen,
+                callers_by_service[follows],
+                index in real_indexes,
             )
         )
     if real:
-        assert sum(seat.real for seat in seats) == real
+        assert sum(spec.real for spec in seats) == real
     return Plan(
         seats=seats,
         sizes=dict(zip(names, sizes, strict=True)),
         regions=fleet.regions,
-        followers=list(fleet.regions)[: asked.followers],
-        processes=min(HOLLOW_PROCESSES, -(-hollow // SIDECARS_PER_PROCESS)),
-        lease_ms=round(1000 * (fleet.follow.lease_s if asked.lease_s is None else asked.lease_s)),
+        followers=list(fleet.regions)[: request.followers],
+        processes=min(MAX_HOLLOW_PROCESSES, -(-hollow // SIDECARS_PER_PROCESS)),
+        lease_ms=round(1000 * (fleet.follow.lease_s if request.lease_s is None else request.lease_s)),
         wait_s=fleet.follow.watch_wait_s,
         calls_per_s=fleet.follow.calls_per_s,
     )
 
 
-def _columns(rows: list[list[str]]) -> list[list[str]]:
-    most = max(map(len, rows))
-    return [[row[i] for row in rows if i < len(row)] for i in range(most)]
+def _transpose(rows: list[list[str]]) -> list[list[str]]:
+    longest = max(map(len, rows))
+    return [[row[i] for row in rows if i < len(row)] for i in range(longest)]
 
 
 def memory_mb(plan: Plan) -> float:
-    """About what all processes will have resident."""
+    """Estimate the resident memory of all processes of a run."""
     sidecars = len(plan.seats)
-    services = (1 + len(plan.followers)) * (BASE_KB + sidecars * RECORD_KB) + 2 * sidecars * CONNECTION_KB
-    hollow = plan.processes * BASE_KB + len(plan.hollow) * SIDECAR_KB + plan.entries * ENTRY_KB
-    return (BASE_KB + services + hollow + len(plan.real) * REAL_KB) / 1024
+    services_kb = (1 + len(plan.followers)) * (
+        KB_PER_PROCESS + sidecars * KB_PER_RECORD
+    ) + 2 * sidecars * KB_PER_CONNECTION
+    hollow_kb = (
+        plan.processes * KB_PER_PROCESS
+        + len(plan.hollow) * KB_PER_HOLLOW_SIDECAR
+        + plan.entries * KB_PER_LIST_ENTRY
+    )
+    return (KB_PER_PROCESS + services_kb + hollow_kb + len(plan.real) * KB_PER_REAL_SIDECAR) / 1024
+
 
+def find_excess(plan: Plan, capacity: MachineCapacity, cut: bool) -> str:
+    """Return why the run does not fit the machine, or an empty text.
 
-def too_much(plan: Plan, bears: Bears, cut: bool) -> str:
-    """Why the run does not fit, or nothing. `cut`: one region's connections go over wires of ours."""
+    `cut`: one region's connections go over wires of the run's own process.
+    """
     sidecars, hollow, real = len(plan.seats), len(plan.hollow), len(plan.real)
     processes = 3 + len(plan.followers) + plan.processes + real
-    if processes > MOST_PROCESSES:
-        return f"{processes} processes, where at most {MOST_PROCESSES} are started"
-    needs, half = memory_mb(plan), bears.memory_mb * MEMORY_PART
-    if needs > half:
-        return f"about {needs:.0f} MB of memory, where {half:.0f} are half of this machine's"
-    region = max(sum(seat.region == name for seat in plan.seats) for name in plan.regions)
-    each = 2 + (
-        len(plan.followers) > 1
-    )  # to the main service and to a follower, and to another one meanwhile
-    most = {
+    if processes > MAX_PROCESSES:
+        return f"{processes} processes; at most {MAX_PROCESSES} are started"
+    needed_mb, available_mb = memory_mb(plan), capacity.memory_mb * MAX_MEMORY_SHARE
+    if needed_mb > available_mb:
+        return f"about {needed_mb:.0f} MB of memory; {available_mb:.0f} MB are half of this machine's"
+    largest_region = max(sum(spec.region == name for spec in plan.seats) for name in plan.regions)
+    # To the main service and to a follower, and temporarily to a second follower.
+    connections_each = 2 + (len(plan.followers) > 1)
+    connections_by_process = {
         "the main list service": sidecars,
-        "a follower": 2 * region,  # its own, and those of another that is away
-        "a process of hollow sidecars": each * -(-hollow // plan.processes),
-        "the run itself": REAL_DESCRIPTORS * REAL_CONNECTIONS * real + (4 * region if cut else 0),
+        # Those of its own region, and those of another follower that is down.
+        "a follower": 2 * largest_region,
+        "a process of hollow sidecars": connections_each * -(-hollow // plan.processes),
+        "the run itself": DESCRIPTORS_PER_RELAYED_CONNECTION * CONNECTIONS_PER_REAL_SIDECAR * real
+        + (4 * largest_region if cut else 0),
     }
-    for who, count in most.items():
-        if count + OWN_DESCRIPTORS > bears.descriptors:
-            return _descriptors(count + OWN_DESCRIPTORS, who, bears)
-    if sidecars + SPARE_PORTS > bears.ports:
-        ports = bears.ports - SPARE_PORTS
-        return f"{sidecars} connections to one address, where the system has {ports} ports for them"
+    for process, count in connections_by_process.items():
+        if count + BASE_DESCRIPTORS > capacity.descriptors:
+            return _describe_descriptors(count + BASE_DESCRIPTORS, process, capacity)
+    if sidecars + RESERVED_PORTS > capacity.ports:
+        ports = capacity.ports - RESERVED_PORTS
+        return f"{sidecars} connections to one address; the system has {ports} ports for them"
     return ""
 
 
-def _descriptors(needed: int, who: str, bears: Bears) -> str:
-    return f"{needed} descriptors in {who}, where a process may have {bears.descriptors}"
+def _describe_descriptors(needed: int, process: str, capacity: MachineCapacity) -> str:
+    return f"{needed} descriptors in {process}; a process may have {capacity.descriptors}"
 
 
-def admitted(fleet: Fleet, asked: Asked, bears: Bears, cut: bool = False) -> Plan:
-    """The plan, where this machine can bear it.
+def admitted(fleet: Fleet, request: Asked, capacity: MachineCapacity, cut: bool = False) -> Plan:
+    """Make a plan that fits the machine.
 
     Raises:
-        TooLarge: it can't; in one line, with the most that would fit.
+        TooLarge: the run does not fit; the message names the largest size that would.
     """
-    least = len(fleet.sizes)
-    most = max(least, bears.descriptors)  # the main service alone has a connection with each
-    made = plan(fleet, asked._replace(hollow=min(asked.hollow, most)))
-    if cut and len(made.followers) < 2:
-        raise TooLarge("--fault region-cut: it takes two followers; --hollow 60 has them")
-    why = too_much(made, bears, cut)
-    if not why:
-        return made
-    if asked.hollow > most:
-        needed = asked.hollow + asked.real + OWN_DESCRIPTORS
-        why = _descriptors(needed, "the main list service", bears)
-    low, high = (
-        least - 1,
-        len(made.hollow),
-    )  # the largest that is known to fit, and the smallest that does not
+    min_hollow = len(fleet.sizes)
+    max_hollow = max(min_hollow, capacity.descriptors)  # the main service has a connection with each sidecar
+    candidate = make_plan(fleet, request._replace(hollow=min(request.hollow, max_hollow)))
+    if cut and len(candidate.followers) < 2:
+        raise TooLarge("--fault region-cut requires two followers; --hollow 60 has them")
+    excess = find_excess(candidate, capacity, cut)
+    if not excess:
+        return candidate
+    if request.hollow > max_hollow:
+        needed = request.hollow + request.real + BASE_DESCRIPTORS
+        excess = _describe_descriptors(needed, "the main list service", capacity)
+    # Bisection: the largest size that is known to fit, and the smallest that does not.
+    low, high = min_hollow - 1, len(candidate.hollow)
     while high - low > 1:
         middle = (low + high) // 2
-        if too_much(plan(fleet, asked._replace(hollow=middle)), bears, cut):
+        if find_excess(make_plan(fleet, request._replace(hollow=middle)), capacity, cut):
             high = middle
         else:
             low = middle
-    if low < least:
-        raise TooLarge(f"--real {asked.real}: it would take {why}; take fewer real ones")
-    raise TooLarge(f"--hollow {asked.hollow}: it would take {why}; --hollow {low} fits")
+    if low < min_hollow:
+        raise TooLarge(f"--real {request.real}: requires {excess}; use fewer real sidecars")
+    raise TooLarge(f"--hollow {request.hollow}: requires {excess}; --hollow {low} fits")
--- a/eiderhub/scale/services.py
+++ b/eiderhub/scale/services.py
@@ -1,4 +1,4 @@
-"""Processes of the list service: their configuration, start, calls and end."""
+"""Processes of the list service: configuration, start, status calls and termination."""
 
 from __future__ import annotations
 
@@ -19,50 +19,52 @@
 from eiderhub.registry.client import RegistryClient, RequestRefusedError, decode_reply
 
 HOST = "127.0.0.1"
-READY_S = 60.0
-LOOK_S = 0.02
+READY_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.02
 
 
-def descriptors() -> int:
-    """All that a process may have; the machine's limit stays as it is."""
+def max_descriptors() -> int:
+    """Return the hard limit of file descriptors per process. The machine's limit is not changed."""
     return resource.getrlimit(resource.RLIMIT_NOFILE)[1]
 
 
 class Ended(RuntimeError):
-    """A process that a run needs has ended, with what it said last."""
+    """A process that the run needs has ended. The message has the last line of its log."""
 
     def __init__(self, process: Process) -> None:
         tail = process.tail()
-        super().__init__(f"{process.name} has ended: {tail[-1] if tail else 'it said nothing'}")
+        super().__init__(f"{process.name} has ended: {tail[-1] if tail else 'its log is empty'}")
 
 
 def spawn(name: str, command: list[str], folder: Path, extra: dict[str, str] | None = None) -> Process:
-    """One of ours, with its log beside the others."""
+    """Start a process of the run, with its log in `folder`. `extra`: additional environment variables."""
     log = folder / f"{name}.log"
     environ = environment() | (extra or {})
-    return Process(name, command, environ, log, descriptors(), None, Usage(), lambda *_: None)
+    return Process(name, command, environ, log, max_descriptors(), None, Usage(), lambda *_: None)
 
 
 class ListService:
-    """One process of the list service at an address that stays ours, started again and again."""
+    """One process of the list service. Its address stays reserved, so that it can be restarted there."""
 
     def __init__(self, name: str, folder: Path, settings: dict[str, Any]) -> None:
-        """`settings`: its configuration, but for `listen`; without `follow` it is a main one with a store."""
+        """`settings`: its configuration without `listen`. Without `follow` it is a main service."""
         self.name = name
-        self._held = claim(HOST)
-        self.address = Address(*self._held.getsockname())
-        self.line = RegistryClient(self.address)
+        self._reserved_socket = claim(HOST)
+        self.address = Address(*self._reserved_socket.getsockname())
+        self.client = RegistryClient(self.address)
         self.process: Process | None = None
         self._folder = folder
         self._settings = {"listen": str(self.address), **settings}
         self._path = folder / f"{name}.toml"
 
     async def start(self, store: Path | None = None) -> float:
-        """Returns the seconds until its first answer. `store`: in place of a main one's own folder.
+        """Start the process. Returns the seconds until its first answer.
+
+        `store`: store folder of a main service, instead of its own.
 
         Raises:
-            Ended: it did not come up.
-            TimeoutError: it did not answer within `READY_S`.
+            Ended: the process has ended.
+            TimeoutError: the process did not answer within `READY_TIMEOUT_S`.
         """
         document = dict(self._settings)
         if not document.get("follow"):
@@ -70,43 +72,44 @@
         self._path.write_text(tomli_w.dumps(document), encoding="utf-8")
         command = [sys.executable, "-B", "-m", "eiderhub.cli", "registry", "serve"]
         command += ["--config", str(self._path)]
-        begun = time.monotonic()
+        started_s = time.monotonic()
         process = self.process = spawn(self.name, command, self._folder)
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 try:
                     if (await self.status()).branch:
-                        return time.monotonic() - begun
+                        return time.monotonic() - started_s
                 except (NoReplyError, RequestRefusedError):
                     pass
                 if process.ended.is_set():
                     raise Ended(process)
-                await asyncio.sleep(LOOK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def status(self, wait_s: float = 2.0) -> api.StatusResponse:
-        """Raises NoReplyError or RequestRefusedError."""
-        return decode_reply(await self.line.get(api.STATUS_PATH, {}, wait_s), api.StatusResponse)
+        """Fetch the service's status. Raises NoReplyError or RequestRefusedError."""
+        return decode_reply(await self.client.get(api.STATUS_PATH, {}, wait_s), api.StatusResponse)
 
     @property
-    def running(self) -> Process:
-        """Raises RuntimeError where it was never started."""
+    def running_process(self) -> Process:
+        """The process. Raises RuntimeError if it was never started."""
         if self.process is None:
             raise RuntimeError(f"{self.name} was not started")
         return self.process
 
     async def stop(self) -> None:
-        """Kill it; it may be started again."""
+        """Kill the process; it may be started again."""
         if self.process is not None:
             self.process.kill()
             await self.process.ended.wait()
 
     def close(self) -> None:
-        self.line.close()
-        self._held.close()
+        """Close the client and release the address."""
+        self.client.close()
+        self._reserved_socket.close()
 
 
-async def end(processes: list[Process], wait_s: float = 5.0) -> None:
-    """SIGTERM to all, SIGKILL to those that stay."""
+async def end_processes(processes: list[Process], wait_s: float = 5.0) -> None:
+    """Send SIGTERM to all processes, and SIGKILL after `wait_s` if any is still running."""
     for process in processes:
         process.send(signal.SIGCONT)
         process.terminate()
--- a/eiderhub/scale/tier_run.py
+++ b/eiderhub/scale/tier_run.py
@@ -1,9 +1,9 @@
-"""A scale run of the tier's control plane: real control processes, hollow sidecars, on loopback.
+"""Scale run of the tier's control plane: real control processes and hollow sidecars on loopback.
 
     python -m eiderhub.scale.tier_run --sidecars 300 --out FILE
 
-Measured: the time from a configuration's acknowledgement until it is in force at each sidecar, the time until
-all sessions stand again after the primary was killed, and what each process uses. It ends all its processes.
+Measures the time from a configuration's acknowledgement until it is in force at each sidecar, the time from
+a kill of the primary until a change is in force at all sidecars again, and the usage of each process.
 """
 
 from __future__ import annotations
@@ -29,22 +29,22 @@
 import msgspec
 from msgspec import Struct
 
-from eiderhub.scale.tier_sessions import Crowd, InForce, Line, Standing, Used
+from eiderhub.scale.tier_sessions import InForce, Report, SidecarGroup, Standing, Used
 
 CONTROL_NODES = 3
-PER_PROCESS = 100  # hollow sidecars
-CONTROL_PORT, FIRST_PORT = 18266, 17820
+SIDECARS_PER_PROCESS = 100  # hollow sidecars in one process
+CONTROL_PORT, FIRST_SESSION_PORT = 18266, 17820
 SERVICES = 40
-CHANGES = 10
-CHANGE_EVERY_S = 0.5
-CALM_S = 8.0
-BOUND_S = 60.0
-MB_PER_PROCESS = 60.0  # a hollow process, and a control process, at most
-TICKS = os.sysconf("SC_CLK_TCK")
+CHANGE_COUNT = 10
+CHANGE_INTERVAL_S = 0.5
+IDLE_DURATION_S = 8.0
+TIMEOUT_S = 60.0
+MB_PER_PROCESS = 60.0  # upper limit for a control process and for a process of hollow sidecars
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 class Usage(Struct):
-    """Of one process, over a stretch of time."""
+    """Resource usage of one process during a measurement."""
 
     processor_share: float  # of a core
     bytes_per_s: float  # received and sent
@@ -52,27 +52,29 @@
 
 
 class Outcome(Struct):
-    """What one run measured; seconds."""
+    """Measurements of one run."""
 
     sidecars: int
     endpoints: int
     routes: int
     control_calm: list[Usage]
     control_changing: list[Usage]
-    hollow_share: float  # of a core, a sidecar, calm
+    hollow_share: float  # of a core, per hollow sidecar, while nothing changes
     in_force_median_s: float
     in_force_p99_s: float
     in_force_last_s: float
-    sessions_again_s: float  # after the primary was killed
-    configuration_again_s: float  # from the kill until the next change was acknowledged
+    sessions_again_s: float  # from the kill of the primary until the next change is in force everywhere
+    configuration_again_s: float  # from the kill of the primary until the next change is acknowledged
 
 
-class _List(BaseHTTPRequestHandler):
+class _PlatformHandler(BaseHTTPRequestHandler):
+    """Answers every GET request with the list of instances, in place of the cloud platform's API."""
+
     protocol_version = "HTTP/1.1"
     body = b""
 
     def log_message(self, format: str, *args: Any) -> None:
-        """Nothing."""
+        """Discard the log line."""
 
     def do_GET(self) -> None:
         self.send_response(200)
@@ -81,76 +83,79 @@
         self.wfile.write(self.body)
 
 
-def _listing(endpoints: int) -> bytes:
+def _instances_body(endpoints: int) -> bytes:
     instances = [
         {
-            "id": f"i-{n:08x}",
-            "backend": f"s{n % SERVICES}",
-            "address": f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}:8000",
-            "zone": f"z{n % 3}",
+            "id": f"i-{number:08x}",
+            "backend": f"s{number % SERVICES}",
+            "address": f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}:8000",
+            "zone": f"z{number % 3}",
             "state": "ready",
             "capacity": 8,
         }
-        for n in range(endpoints)
+        for number in range(endpoints)
     ]
     return json.dumps({"instances": instances, "next_token": None}).encode()
 
 
-def _document(generation: int, routes: int) -> bytes:
-    """Each generation changes one route."""
-    made = [
+def _configuration_body(generation: int, routes: int) -> bytes:
+    """Return a configuration; each generation changes one route."""
+    route_list = [
         {
-            "name": f"r{n}",
-            "host": f"h{n}.example",
+            "name": f"r{number}",
+            "host": f"h{number}.example",
             "path_prefix": "/x/",
             "route_kind": "streaming",
-            "timeout_ms": 2000 + (generation if n == generation % routes else 0),
+            "timeout_ms": 2000 + (generation if number == generation % routes else 0),
             "slo_ms": 250,
-            "backend": f"s{n % SERVICES}",
+            "backend": f"s{number % SERVICES}",
             "max_attempts": 2,
         }
-        for n in range(routes)
+        for number in range(routes)
     ]
-    backends = [{"name": f"s{n}", "engine": {"capacity": 8}} for n in range(SERVICES)]
-    return json.dumps({"generation": generation, "routes": made, "backends": backends}).encode()
+    backends = [{"name": f"s{number}", "engine": {"capacity": 8}} for number in range(SERVICES)]
+    return json.dumps({"generation": generation, "routes": route_list, "backends": backends}).encode()
 
 
 class Run:
+    """One run. Its processes live within the context of `running`."""
+
     def __init__(self, sidecars: int, endpoints: int, routes: int) -> None:
         self.sidecars, self.endpoints, self.routes = sidecars, endpoints, routes
-        self.lines: queue.Queue[tuple[int, Line]] = queue.Queue()
+        self.reports: queue.Queue[tuple[int, Report]] = queue.Queue()
         self.processes: list[subprocess.Popen[bytes]] = []
         self.control: dict[str, subprocess.Popen[bytes]] = {}
-        self.used: dict[int, Used] = {}
-        self.crowds = 0
+        self.group_usage: dict[int, Used] = {}
+        self.group_count = 0
 
     # --- processes ---
 
     @contextlib.contextmanager
     def running(self) -> Iterator[None]:
-        needed = (CONTROL_NODES + self.sidecars / PER_PROCESS) * MB_PER_PROCESS
-        have = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / 2**20
-        if needed > have / 2:
+        """Start all processes, and kill them on exit. Exits the program if memory would not suffice."""
+        needed_mb = (CONTROL_NODES + self.sidecars / SIDECARS_PER_PROCESS) * MB_PER_PROCESS
+        machine_mb = os.sysconf("SC_PHYS_PAGES") * os.sysconf("SC_PAGE_SIZE") / 2**20
+        if needed_mb > machine_mb / 2:
             raise SystemExit(
-                f"{needed:.0f} MB would be needed; half of this machine's {have:.0f} MB may be used"
+                f"the run needs {needed_mb:.0f} MB; it may use half of this machine's {machine_mb:.0f} MB"
             )
-        handler = type("List", (_List,), {"body": _listing(self.endpoints)})
-        listing = ThreadingHTTPServer(("127.0.0.1", 0), handler)
-        threading.Thread(target=listing.serve_forever, daemon=True).start()
+        handler = type("List", (_PlatformHandler,), {"body": _instances_body(self.endpoints)})
+        platform_server = ThreadingHTTPServer(("127.0.0.1", 0), handler)
+        threading.Thread(target=platform_server.serve_forever, daemon=True).start()
         with tempfile.TemporaryDirectory() as folder:
             try:
-                self._start_control(Path(folder), f"127.0.0.1:{listing.server_address[1]}")
-                self._start_crowds(Path(folder))
+                self._start_control(Path(folder), f"127.0.0.1:{platform_server.server_address[1]}")
+                self._start_groups(Path(folder))
                 yield
             finally:
                 for process in self.processes:
                     process.kill()
                 for process in self.processes:
                     process.wait()
-                listing.shutdown()
+                platform_server.shutdown()
 
     def _start_control(self, folder: Path, platform: str) -> None:
-        ips = [f"127.77.0.{n + 1}" for n in range(CONTROL_NODES)]
+        ips = [f"127.77.0.{node + 1}" for node in range(CONTROL_NODES)]
         seeds = ",".join(f"{ip}:{CONTROL_PORT}" for ip in ips)
         for number, ip in enumerate(ips):
             file = folder / f"control-{number}.conf"
@@ -159,7 +164,7 @@
                 "ip": ip,
                 "zone": f"z{number}",
                 "seeds": seeds,
-                "port_range": f"{FIRST_PORT},{FIRST_PORT + 15}",
+                "port_range": f"{FIRST_SESSION_PORT},{FIRST_SESSION_PORT + 15}",
                 "listen.control": f"{ip}:{CONTROL_PORT}",
                 "bootstrap": "true",
                 "data_dir": str(folder / f"data-{number}"),
@@ -172,45 +177,49 @@
             self.processes.append(process)
             self.control[ip] = process
 
-    def _start_crowds(self, folder: Path) -> None:
-        seeds = [f"{ip}:{FIRST_PORT}" for ip in self.control]
-        for first in range(0, self.sidecars, PER_PROCESS):
-            crowd = Crowd(first, min(PER_PROCESS, self.sidecars - first), ["z0", "z1", "z2"], seeds)
+    def _start_groups(self, folder: Path) -> None:
+        seeds = [f"{ip}:{FIRST_SESSION_PORT}" for ip in self.control]
+        for first in range(0, self.sidecars, SIDECARS_PER_PROCESS):
+            group = SidecarGroup(
+                first, min(SIDECARS_PER_PROCESS, self.sidecars - first), ["z0", "z1", "z2"], seeds
+            )
             file = folder / f"crowd-{first}.json"
-            file.write_bytes(msgspec.json.encode(crowd))
+            file.write_bytes(msgspec.json.encode(group))
             command = [sys.executable, "-m", "eiderhub.scale.tier_sessions", str(file)]
             process = subprocess.Popen(command, stdout=subprocess.PIPE)
             self.processes.append(process)
-            threading.Thread(target=self._follow, args=(self.crowds, process), daemon=True).start()
-            self.crowds += 1
+            threading.Thread(target=self._read_reports, args=(self.group_count, process), daemon=True).start()
+            self.group_count += 1
 
-    def _follow(self, number: int, process: subprocess.Popen[bytes]) -> None:
+    def _read_reports(self, number: int, process: subprocess.Popen[bytes]) -> None:
         assert process.stdout is not None
         for line in process.stdout:
-            self.lines.put((number, msgspec.json.decode(line, type=Line)))
+            self.reports.put((number, msgspec.json.decode(line, type=Report)))
 
-    # --- what is told ---
+    # --- reports and requests ---
 
-    def _until(self, wanted: type[Line], accept: Any) -> dict[int, Any]:
-        """One accepted line of each hollow process."""
+    def _wait_for_reports(self, report_type: type[Report], accept: Any) -> dict[int, Any]:
+        """Wait until every hollow process has sent an accepted report. Returns them by process number."""
         found: dict[int, Any] = {}
-        end = time.monotonic() + BOUND_S
-        while len(found) < self.crowds:
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while len(found) < self.group_count:
             try:
-                number, line = self.lines.get(timeout=max(0.01, end - time.monotonic()))
+                number, report = self.reports.get(timeout=max(0.01, deadline_s - time.monotonic()))
             except queue.Empty:
-                raise SystemExit(f"not within {BOUND_S:g} s: {wanted.__name__} of all sidecars") from None
-            if isinstance(line, Used):
-                self.used[number] = line
-            elif isinstance(line, wanted) and accept(line):
-                found[number] = line
+                raise SystemExit(
+                    f"timeout of {TIMEOUT_S:g} s: no {report_type.__name__} from all sidecars"
+                ) from None
+            if isinstance(report, Used):
+                self.group_usage[number] = report
+            elif isinstance(report, report_type) and accept(report):
+                found[number] = report
         return found
 
-    def put(self, generation: int) -> float:
-        """Put a configuration; when it was acknowledged."""
-        body = _document(generation, self.routes)
-        end = time.monotonic() + BOUND_S
-        while time.monotonic() < end:
+    def put_configuration(self, generation: int) -> float:
+        """Put a configuration. Returns the time of its acknowledgement."""
+        body = _configuration_body(generation, self.routes)
+        deadline_s = time.monotonic() + TIMEOUT_S
+        while time.monotonic() < deadline_s:
             for ip, process in self.control.items():
                 if process.poll() is not None:
                     continue
@@ -223,65 +232,79 @@
                     pass
                 finally:
                     connection.close()
-        raise SystemExit(f"configuration {generation} was not acknowledged within {BOUND_S:g} s")
+        raise SystemExit(f"configuration {generation} was not acknowledged within {TIMEOUT_S:g} s")
 
-    def usage(self, seconds: float, act: Any) -> list[Usage]:
-        """What each control process uses while `act` runs, over that many seconds at least."""
-        before = {ip: (_processor(p.pid), _wire(p.pid)) for ip, p in self.control.items()}
-        began = time.monotonic()
+    def measure_usage(self, seconds: float, act: Any) -> list[Usage]:
+        """Measure the usage of each control process while `act` runs, for `seconds` at least."""
+        usage_before = {
+            ip: (_processor_s(process.pid), _transferred_bytes(process.pid))
+            for ip, process in self.control.items()
+        }
+        started_s = time.monotonic()
         act()
-        time.sleep(max(0.0, seconds - (time.monotonic() - began)))
-        took = time.monotonic() - began
+        time.sleep(max(0.0, seconds - (time.monotonic() - started_s)))
+        elapsed_s = time.monotonic() - started_s
         return [
             Usage(
-                (_processor(p.pid) - before[ip][0]) / took,
-                (_wire(p.pid) - before[ip][1]) / took,
-                _peak(p.pid),
+                (_processor_s(process.pid) - usage_before[ip][0]) / elapsed_s,
+                (_transferred_bytes(process.pid) - usage_before[ip][1]) / elapsed_s,
+                _peak_mb(process.pid),
             )
-            for ip, p in self.control.items()
+            for ip, process in self.control.items()
         ]
 
     def measure(self) -> Outcome:
-        self.put(1)
-        self._until(InForce, lambda line: line.generation >= 1)
-        self._until(Standing, lambda line: line.lost == 0)
-        time.sleep(2.0)  # sessions' records have gone round
-        hollow_before = {n: u.processor_s for n, u in self.used.items()}
-        began = time.monotonic()
-        calm = self.usage(CALM_S, lambda: None)
-        while not self.lines.empty():
-            number, line = self.lines.get()
-            if isinstance(line, Used):
-                self.used[number] = line
-        spent = sum(u.processor_s - hollow_before.get(n, 0.0) for n, u in self.used.items())
-        hollow = spent / (time.monotonic() - began) / self.sidecars
-        delays: list[float] = []
+        """Run all measurements: idle, under changes, and after the primary is killed."""
+        self.put_configuration(1)
+        self._wait_for_reports(InForce, lambda report: report.generation >= 1)
+        self._wait_for_reports(Standing, lambda report: report.lost == 0)
+        time.sleep(2.0)  # until the records of all sessions have been replicated
+        hollow_before_s = {
+            process_number: used.processor_s for process_number, used in self.group_usage.items()
+        }
+        started_s = time.monotonic()
+        idle_usage = self.measure_usage(IDLE_DURATION_S, lambda: None)
+        while not self.reports.empty():
+            process_number, report = self.reports.get()
+            if isinstance(report, Used):
+                self.group_usage[process_number] = report
+        hollow_processor_s = sum(
+            used.processor_s - hollow_before_s.get(process_number, 0.0)
+            for process_number, used in self.group_usage.items()
+        )
+        hollow_share = hollow_processor_s / (time.monotonic() - started_s) / self.sidecars
+        delays_s: list[float] = []
 
         def change() -> None:
-            for generation in range(2, CHANGES + 2):
-                acknowledged = self.put(generation)
-                found = self._until(InForce, lambda line, g=generation: line.generation >= g)
-                delays.extend(max(0.0, t - acknowledged) for line in found.values() for t in line.times)
-                time.sleep(CHANGE_EVERY_S)
-
-        changing = self.usage(0.0, change)
-        killed, again = self._kill_primary()
-        delays.sort()
+            for generation in range(2, CHANGE_COUNT + 2):
+                acknowledged = self.put_configuration(generation)
+                found = self._wait_for_reports(
+                    InForce, lambda report, wanted=generation: report.generation >= wanted
+                )
+                delays_s.extend(
+                    max(0.0, time_s - acknowledged) for report in found.values() for time_s in report.times
+                )
+                time.sleep(CHANGE_INTERVAL_S)
+
+        changing_usage = self.measure_usage(0.0, change)
+        in_force_again_s, acknowledged_again_s = self._kill_primary()
+        delays_s.sort()
         return Outcome(
-            self.sidecars, self.endpoints, self.routes, calm, changing, hollow,
-            statistics.median(delays), delays[int(0.99 * (len(delays) - 1))], delays[-1], killed, again,
+            self.sidecars, self.endpoints, self.routes, idle_usage, changing_usage, hollow_share,
+            statistics.median(delays_s), delays_s[int(0.99 * (len(delays_s) - 1))], delays_s[-1],
+            in_force_again_s, acknowledged_again_s,
         )  # fmt: skip
 
     def _kill_primary(self) -> tuple[float, float]:
-        """Seconds until all sessions stand again, and until a change is acknowledged."""
-        leader = next(ip for ip in self.control if self._leads(ip))
-        began = time.time()
-        self.control[leader].send_signal(signal.SIGKILL)
-        self.control[leader].wait()
-        acknowledged = self.put(CHANGES + 2)
-        found = self._until(InForce, lambda line: line.generation >= CHANGES + 2)
-        last = max(t for line in found.values() for t in line.times)
-        return last - began, acknowledged - began
+        """Kill the primary. Returns the seconds until a change is in force everywhere, and acknowledged."""
+        primary = next(ip for ip in self.control if self._leads(ip))
+        killed_s = time.time()
+        self.control[primary].send_signal(signal.SIGKILL)
+        self.control[primary].wait()
+        acknowledged_s = self.put_configuration(CHANGE_COUNT + 2)
+        reports = self._wait_for_reports(InForce, lambda report: report.generation >= CHANGE_COUNT + 2)
+        last_in_force_s = max(time_s for report in reports.values() for time_s in report.times)
+        return last_in_force_s - killed_s, acknowledged_s - killed_s
 
     def _leads(self, ip: str) -> bool:
         connection = HTTPConnection(ip, CONTROL_PORT, timeout=5)
@@ -292,18 +315,18 @@
             connection.close()
 
 
-def _processor(pid: int) -> float:
+def _processor_s(pid: int) -> float:
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS
+    return (int(fields[11]) + int(fields[12])) / TICKS_PER_S
 
 
-def _wire(pid: int) -> float:
-    """Bytes that the process has read and written, files included."""
-    told = dict(line.split(": ") for line in Path(f"/proc/{pid}/io").read_text().splitlines())
-    return float(told["rchar"]) + float(told["wchar"])
+def _transferred_bytes(pid: int) -> float:
+    """Return the bytes that the process has read and written, including files."""
+    counters = dict(line.split(": ") for line in Path(f"/proc/{pid}/io").read_text().splitlines())
+    return float(counters["rchar"]) + float(counters["wchar"])
 
 
-def _peak(pid: int) -> float:
+def _peak_mb(pid: int) -> float:
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmHWM"):
             return int(line.split()[1]) / 1024
@@ -311,6 +334,7 @@
 
 
 def main() -> None:
+    """Run the command."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
@@ -318,13 +342,13 @@
     parser.add_argument("--endpoints", type=int, default=1000)
     parser.add_argument("--routes", type=int, default=200)
     parser.add_argument("--out", type=Path)
-    words = parser.parse_args()
-    run = Run(words.sidecars, words.endpoints, words.routes)
+    arguments = parser.parse_args()
+    run = Run(arguments.sidecars, arguments.endpoints, arguments.routes)
     with run.running():
         outcome = msgspec.json.format(msgspec.json.encode(run.measure()))
     print(outcome.decode())
-    if words.out:
-        words.out.write_bytes(outcome + b"\n")
+    if arguments.out:
+        arguments.out.write_bytes(outcome + b"\n")
 
 
 if __name__ == "__main__":
--- a/eiderhub/scale/topology.py
+++ b/eiderhub/scale/topology.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run and the wires between them: started, called, measured, and ended."""
+"""Starts, calls, measures and ends the processes of a scale run and the wires between them."""
 
 from __future__ import annotations
 
@@ -24,134 +24,160 @@
 from eiderhub.registry.settings import FollowSettings, RegisterSettings
 from eiderhub.scale.backends import Places
 from eiderhub.scale.counts import Tally, Told, cost, counting, together
-from eiderhub.scale.hollow import Nothing, Part, Snapshot
+from eiderhub.scale.hollow import Nothing, ProcessConfig, Snapshot
 from eiderhub.scale.path import sidecar_settings
 from eiderhub.scale.plan import Plan, Seat
-from eiderhub.scale.services import HOST, READY_S, Ended, ListService, end, spawn
+from eiderhub.scale.services import HOST, READY_TIMEOUT_S, Ended, ListService, end_processes, spawn
 from eiderhub.sidecar.config import Bounds, Document
 
-LONG_S = 600.0  # for what grows with the number of sidecars
-AFTER = re.compile(rb"^GET /discovery/hosts\?(?:[^ ]*&)?after=(\d+)[& ]")
-REAL_SOCKETS = 4096
+CALL_TIMEOUT_S = 600.0  # for calls whose duration grows with the number of sidecars
+AFTER_PATTERN = re.compile(rb"^GET /discovery/hosts\?(?:[^ ]*&)?after=(\d+)[& ]")
+MAX_REAL_SOCKETS = 4096
 T = TypeVar("T", bound=msgspec.Struct)
 
 
-class Placed:
+class RoleProcesses:
     """The processes of one role."""
 
     def __init__(self, processes: list[Process]) -> None:
         self.processes = processes
 
     def cost(self) -> tuple[float, float]:
-        found = [cost(process.pid) for process in self.processes if not process.ended.is_set()]
-        return sum(cpu for cpu, _ in found), sum(memory for _, memory in found)
+        """Return the processor seconds and the resident MB of those that are running."""
+        costs = [cost(process.pid) for process in self.processes if not process.ended.is_set()]
+        return sum(cpu_s for cpu_s, _ in costs), sum(memory_mb for _, memory_mb in costs)
 
 
-class Group:
+class HollowProcess:
     """One process of hollow sidecars."""
 
-    def __init__(self, number: int, part: Part, held: socket.socket, folder: Path) -> None:
-        self._held = held
-        self.part = part
-        self.line = RegistryClient(Address(*held.getsockname()))
+    def __init__(
+        self, number: int, config: ProcessConfig, reserved_socket: socket.socket, folder: Path
+    ) -> None:
+        self._reserved_socket = reserved_socket
+        self.config = config
+        self.client = RegistryClient(Address(*reserved_socket.getsockname()))
         path = folder / f"hollow-{number}.json"
-        path.write_bytes(msgspec.json.encode(part))
+        path.write_bytes(msgspec.json.encode(config))
         self.process = spawn(
             f"hollow-{number}", [sys.executable, "-B", "-m", "eiderhub.scale.hollow", str(path)], folder
         )
 
-    async def call(self, path: str, call: msgspec.Struct, kind: type[T], wait_s: float = LONG_S) -> T:
-        """Raises Unanswered or Refused; Ended where its process has."""
-        asking = asyncio.ensure_future(self.line.post(path, call, kind, wait_s))
-        ending = asyncio.ensure_future(self.process.ended.wait())
+    async def call(
+        self, path: str, request: msgspec.Struct, response_type: type[T], wait_s: float = CALL_TIMEOUT_S
+    ) -> T:
+        """Send a request to the process and return its response.
+
+        Raises:
+            NoReplyError: the process does not answer.
+            RequestRefusedError: the process refuses the request.
+            Ended: the process has ended.
+        """
+        response = asyncio.ensure_future(self.client.post(path, request, response_type, wait_s))
+        process_end = asyncio.ensure_future(self.process.ended.wait())
         try:
-            await asyncio.wait([asking, ending], return_when=asyncio.FIRST_COMPLETED)
-            if not asking.done():
+            await asyncio.wait([response, process_end], return_when=asyncio.FIRST_COMPLETED)
+            if not response.done():
                 raise Ended(self.process)
-            return asking.result()
+            return response.result()
         finally:
-            asking.cancel()
-            ending.cancel()
+            response.cancel()
+            process_end.cancel()
 
     def close(self) -> None:
-        self.line.close()
-        self._held.close()
+        """Close the client and release the control address."""
+        self.client.close()
+        self._reserved_socket.close()
 
 
-class Real:
-    """One real sidecar; all that it says to the list service goes over wires, where it is counted."""
+class RealSidecar:
+    """One real sidecar. Its traffic with the list service goes over wires, where it is counted."""
 
-    def __init__(self, seat: Seat, endpoint: Address) -> None:
-        self.seat = seat
+    def __init__(self, spec: Seat, endpoint: Address) -> None:
+        self.seat = spec
         self.endpoint = endpoint
         self.tallies: dict[str, Tally] = {}  # by the target's name
-        self.in_force: list[tuple[float, int]] = []  # when it has said which version it has
+        self.in_force: list[tuple[float, int]] = []  # time, version that the next watch names
         self.wires: dict[str, Wire] = {}  # by the target's name
-        self.held = [claim(HOST), claim(HOST)]
-        self.listen, self.management = (Address(*each.getsockname()) for each in self.held)
+        self.reserved_sockets = [claim(HOST), claim(HOST)]
+        self.listen, self.management = (
+            Address(*reserved_socket.getsockname()) for reserved_socket in self.reserved_sockets
+        )
         self.process: Process | None = None
-        self._tails: dict[tuple[object, str], bytes] = {}
+        self._answer_tails: dict[tuple[object, str], bytes] = {}
 
-    async def wire(self, name: str, target: Address) -> None:
+    async def open_wire(self, name: str, target: Address) -> None:
+        """Open the wire to a service; `name` is `main` or the follower's region."""
         tally = self.tallies[name] = Tally()
 
-        def watch(link: object, up: bool, data: bytes) -> None:
-            if up:
+        def watch(link: object, outgoing: bool, data: bytes) -> None:
+            if outgoing:
                 tally.went(data)
-                if found := AFTER.match(data):
-                    self.in_force.append((time.monotonic(), int(found[1])))
+                if match := AFTER_PATTERN.match(data):
+                    self.in_force.append((time.monotonic(), int(match[1])))
             else:
-                place = (link, name)
-                self._tails[place] = tally.came(data, self._tails.get(place, b""))
+                key = (link, name)
+                self._answer_tails[key] = tally.came(data, self._answer_tails.get(key, b""))
 
         self.wires[name] = Wire(HOST, lambda: target, watch)
         await self.wires[name].open()
 
-    def told(self) -> dict[str, Told]:
-        """What it has said, by the role of whom to; buckets begin anew."""
-        found = {
+    def read_traffic(self) -> dict[str, Told]:
+        """Return the sidecar's traffic by the role of the service, and reset the buckets."""
+        traffic_by_target = {
             name: msgspec.structs.replace(tally.told(), open=len(self.wires[name].links))
             for name, tally in self.tallies.items()
         }
-        return {name if name == "main" else f"follower-{name}": told for name, told in found.items()}
+        return {
+            name if name == "main" else f"follower-{name}": traffic
+            for name, traffic in traffic_by_target.items()
+        }
 
     def close(self) -> None:
+        """Close the wires and release the sidecar's addresses."""
         for wire in self.wires.values():
             wire.close()
-        for held in self.held:
-            held.close()
+        for reserved_socket in self.reserved_sockets:
+            reserved_socket.close()
 
 
 class Topology:
-    """All processes of one run. Leaving it ends them, and removes their files."""
+    """All processes of one run. Leaving the context ends them and removes their files."""
 
     def __init__(self, plan: Plan, seed: int) -> None:
         self.plan = plan
         self._seed = seed
         self.folder = new_folder()
         self.followers: dict[str, ListService] = {}
-        self.groups: list[Group] = []
-        self.reals: list[Real] = []
-        self.wires: dict[str, Wire] = {}  # `feed REGION`, and of a region that may be cut
+        self.hollow_processes: list[HollowProcess] = []
+        self.reals: list[RealSidecar] = []
+        # `feed REGION`; also `in` and `out NAME` for a region that may be cut off.
+        self.wires: dict[str, Wire] = {}
         self._processes: list[Process] = []
-        self._fed_out = self._fed_in = 0
+        self._feed_bytes_out = self._feed_bytes_in = 0
 
     async def __aenter__(self) -> Topology:
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        # First those who would call others that have ended.
-        reals = [real.process for real in self.reals if real.process is not None]
-        for process in [*reals, *(group.process for group in self.groups)]:
+        # Clients first: they would otherwise call services that have ended.
+        real_processes = [real.process for real in self.reals if real.process is not None]
+        for process in [
+            *real_processes,
+            *(hollow.process for hollow in self.hollow_processes),
+        ]:
             process.kill()
-        for process in [*reals, *(group.process for group in self.groups)]:
+        for process in [
+            *real_processes,
+            *(hollow.process for hollow in self.hollow_processes),
+        ]:
             await process.ended.wait()
-        services = [service.process for service in self.services if service.process is not None]
-        await end([*services, *self._processes])
+        service_processes = [service.process for service in self.services if service.process is not None]
+        await end_processes([*service_processes, *self._processes])
         for wire in self.wires.values():
             wire.close()
-        for group in self.groups:
-            group.close()
+        for hollow in self.hollow_processes:
+            hollow.close()
         for real in self.reals:
             real.close()
         for service in self.services:
@@ -160,20 +186,24 @@
 
     @property
     def services(self) -> list[ListService]:
+        """The main service, once it exists, and all followers."""
         main = [self.main] if hasattr(self, "main") else []
         return [*main, *self.followers.values()]
 
-    # --- the start ---
+    # --- start ---
 
     async def start(self, cut: str = "") -> None:
-        """All processes run; nobody is registered yet. `cut`: a region whose wires may be cut."""
+        """Start all processes but the real sidecars; none of the sidecars registers yet.
+
+        `cut`: region that is connected through wires, so that it can be cut off.
+        """
         await self._start_services()
         await self._start_endpoints()
         if cut:
-            await self._wires_of(cut)
+            await self._open_region_wires(cut)
         await self._start_hollow(cut)
-        for number, seat in enumerate(self.plan.real):
-            self.reals.append(Real(seat, self.endpoints[1 + number]))
+        for number, spec in enumerate(self.plan.real):
+            self.reals.append(RealSidecar(spec, self.endpoints[1 + number]))
 
     async def _start_services(self) -> None:
         sidecars = len(self.plan.seats)
@@ -186,204 +216,220 @@
         self.main = ListService("main", self.folder, {"limits": limits})
         await self.main.start()
         for region in self.plan.followers:
-            wire = self.wires[f"feed {region}"] = Wire(HOST, lambda: self.main.address, self._feed_watch)
+            wire = self.wires[f"feed {region}"] = Wire(
+                HOST, lambda: self.main.address, self._count_feed_bytes
+            )
             await wire.open()
             settings = {"follow": [str(wire.address)], "limits": limits}
             self.followers[region] = ListService(f"follower-{region}", self.folder, settings)
         await asyncio.gather(*(follower.start() for follower in self.followers.values()))
 
-    def _feed_watch(self, _: object, up: bool, data: bytes) -> None:
-        if up:
-            self._fed_out += len(data)
+    def _count_feed_bytes(self, _: object, outgoing: bool, data: bytes) -> None:
+        if outgoing:
+            self._feed_bytes_out += len(data)
         else:
-            self._fed_in += len(data)
+            self._feed_bytes_in += len(data)
 
-    def fed(self) -> tuple[int, int]:
-        """Bytes that followers have said to the main service, and its answers'."""
-        return self._fed_out, self._fed_in
+    def feed_bytes(self) -> tuple[int, int]:
+        """Return the bytes sent by followers to the main service, and the bytes of its answers."""
+        return self._feed_bytes_out, self._feed_bytes_in
 
     async def _start_endpoints(self) -> None:
-        """One for all hollow sidecars, and one for each real one."""
+        """Start one endpoint for all hollow sidecars, and one for each real sidecar."""
         path = self.folder / "endpoints.json"
         command = [sys.executable, "-B", "-m", "eiderhub.scale.backends", "endpoints", str(path)]
         command += ["1", str(1 + len(self.plan.real)), "0"]
         process = spawn("endpoints", command, self.folder)
         self._processes.append(process)
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not path.exists():
                 if process.ended.is_set():
                     raise Ended(process)
                 await asyncio.sleep(0.02)
         self.endpoints = msgspec.json.decode(path.read_bytes(), type=Places).sets[0]
 
-    async def _wires_of(self, region: str) -> None:
-        """Between the region's sidecars and what they call outside it, and from outside to its follower."""
+    async def _open_region_wires(self, region: str) -> None:
+        """Open wires from the region's sidecars to services outside, and from outside to its follower."""
         targets = {"main": self.main, **self.followers}
         for name, service in targets.items():
-            if name == "main" or name != self._home(region):
-                await self._wire(f"out {name}", service)
-        await self._wire("in", self.followers[self._home(region)])
+            if name == "main" or name != self._home_follower(region):
+                await self._open_wire(f"out {name}", service)
+        await self._open_wire("in", self.followers[self._home_follower(region)])
 
-    async def _wire(self, name: str, service: ListService) -> None:
+    async def _open_wire(self, name: str, service: ListService) -> None:
         wire = self.wires[name] = Wire(HOST, lambda: service.address)
         await wire.open()
 
-    def _home(self, region: str) -> str:
+    def _home_follower(self, region: str) -> str:
         return self.plan.followers_of(region)[0]
 
-    def _reach(self, region: str, cut: str) -> tuple[list[str], list[str]]:
-        """Where sidecars of a region find the main service, and the followers."""
+    def _addresses_from(self, region: str, cut: str) -> tuple[list[str], list[str]]:
+        """Return the addresses of the main service and of the followers, as seen by a region's sidecars."""
 
-        def at(name: str) -> str:
+        def address_of(name: str) -> str:
             service = self.main if name == "main" else self.followers[name]
-            if cut and region == cut and name != self._home(cut):
+            if cut and region == cut and name != self._home_follower(cut):
                 return str(self.wires[f"out {name}"].address)
-            if cut and region != cut and name == self._home(cut):
+            if cut and region != cut and name == self._home_follower(cut):
                 return str(self.wires["in"].address)
             return str(service.address)
 
-        return [at("main")], [at(name) for name in self.plan.followers_of(region)]
+        return [address_of("main")], [address_of(name) for name in self.plan.followers_of(region)]
 
     async def _start_hollow(self, cut: str) -> None:
-        reach = {region: self._reach(region, cut) for region in self.plan.regions}
+        addresses = {region: self._addresses_from(region, cut) for region in self.plan.regions}
         hollow = self.plan.hollow
-        for number in range(self.plan.processes):
-            held = claim(HOST)
-            part = Part(
-                control=str(Address(*held.getsockname())),
-                seats=hollow[number :: self.plan.processes],
-                main={region: main for region, (main, _) in reach.items()},
-                followers={region: followers for region, (_, followers) in reach.items()},
+        for index in range(self.plan.processes):
+            reserved_socket = claim(HOST)
+            config = ProcessConfig(
+                control=str(Address(*reserved_socket.getsockname())),
+                seats=hollow[index :: self.plan.processes],
+                main={region: main for region, (main, _) in addresses.items()},
+                followers={region: followers for region, (_, followers) in addresses.items()},
                 endpoint=str(self.endpoints[0]),
                 regions=self.plan.regions,
                 settings=dict(sidecar_settings()),
                 lease_ms=self.plan.lease_ms,
                 wait_s=self.plan.wait_s,
                 calls_per_s=self.plan.calls_per_s,
-                seed=self._seed + number,
+                seed=self._seed + index,
             )
-            self.groups.append(Group(number, part, held, self.folder))
-        async with asyncio.timeout(READY_S):
-            for group in self.groups:
-                while not await self._listens(group):
+            self.hollow_processes.append(HollowProcess(index, config, reserved_socket, self.folder))
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            for hollow_process in self.hollow_processes:
+                while not await self._is_listening(hollow_process):
                     await asyncio.sleep(0.02)
 
     @staticmethod
-    async def _listens(group: Group) -> bool:
-        if group.process.ended.is_set():
-            raise Ended(group.process)
+    async def _is_listening(hollow_process: HollowProcess) -> bool:
+        if hollow_process.process.ended.is_set():
+            raise Ended(hollow_process.process)
         try:
-            await group.call("/snapshot", Nothing(), Snapshot, 10.0)
+            await hollow_process.call("/snapshot", Nothing(), Snapshot, 10.0)
         except NoReplyError:
             return False
         return True
 
-    async def start_real(self, real: Real) -> None:
-        """One real sidecar, as its platform would start it."""
-        seat = real.seat
-        await real.wire("main", self.main.address)
-        near = self.plan.followers_of(seat.region)
-        for name in near:
-            await real.wire(name, self.followers[name].address)
+    async def start_real(self, real: RealSidecar) -> None:
+        """Write the configuration of a real sidecar and start it."""
+        spec = real.seat
+        await real.open_wire("main", self.main.address)
+        followers = self.plan.followers_of(spec.region)
+        for name in followers:
+            await real.open_wire(name, self.followers[name].address)
         document = {
-            "name": seat.id,
+            "name": spec.id,
             "listen": str(real.listen),
             "management": str(real.management),
             "seed": f"{self._seed:x}",
             "settings": {
                 **sidecar_settings(),
-                "MyZone": seat.zone,
-                "Rank": seat.rank,
-                "Balancers": seat.balancers,
+                "MyZone": spec.zone,
+                "Rank": spec.rank,
+                "Balancers": spec.balancers,
             },
         }
         follow = FollowSettings(
-            addresses=[str(real.wires[name].address) for name in near],
-            service=seat.follows,
+            addresses=[str(real.wires[name].address) for name in followers],
+            service=spec.follows,
             wait_s=self.plan.wait_s,
             calls_per_s=self.plan.calls_per_s,
         )
         register = RegisterSettings(
-            id=seat.id,
+            id=spec.id,
             address=str(real.endpoint),
             addresses=[str(real.wires["main"].address)],
-            service=seat.service,
-            zone=seat.zone,
-            region=seat.region,
+            service=spec.service,
+            zone=spec.zone,
+            region=spec.region,
             lease_ms=self.plan.lease_ms,
         )
-        found = msgspec.structs.replace(
+        configuration = msgspec.structs.replace(
             convert(document, Document),
             registry=follow,
             register=register,
             regions=self.plan.regions,
-            limits=Bounds(sockets=REAL_SOCKETS),
+            limits=Bounds(sockets=MAX_REAL_SOCKETS),
         )
-        folder = self.folder / seat.id
+        folder = self.folder / spec.id
         (folder / "tmp").mkdir(parents=True)
         path = folder / "config.toml"
-        path.write_text(tomli_w.dumps(to_human_format(found)), encoding="utf-8")
-        environ = {"GW_CONFIG": str(path), "TMPDIR": str(folder / "tmp")}
+        path.write_text(tomli_w.dumps(to_human_format(configuration)), encoding="utf-8")
+        environment = {"GW_CONFIG": str(path), "TMPDIR": str(folder / "tmp")}
         command = [sys.executable, "-B", "-m", "eiderhub.sidecar"]
-        real.process = spawn(f"real-{seat.id}", command, self.folder, environ)
+        real.process = spawn(f"real-{spec.id}", command, self.folder, environment)
 
-    # --- what they have said and cost ---
+    # --- calls and measurements ---
 
-    async def each(self, path: str, call: msgspec.Struct, kind: type[T]) -> list[T]:
-        """The same call to all hollow processes. Raises as `Group.call`."""
-        return list(await asyncio.gather(*(group.call(path, call, kind) for group in self.groups)))
+    async def each(self, path: str, request: msgspec.Struct, response_type: type[T]) -> list[T]:
+        """Send the same request to all hollow processes. Raises like `HollowProcess.call`."""
+        return list(
+            await asyncio.gather(
+                *(hollow.call(path, request, response_type) for hollow in self.hollow_processes)
+            )
+        )
 
-    def placed(self) -> dict[str, Placed]:
-        """Processes by role."""
-        found = {"main": Placed([self.main.running])}
-        found |= {service.name: Placed([service.running]) for service in self.followers.values()}
-        found["hollow"] = Placed([group.process for group in self.groups])
-        reals = [real.process for real in self.reals if real.process is not None]
-        if reals:
-            found["real"] = Placed(reals)
-        return found
+    def processes_by_role(self) -> dict[str, RoleProcesses]:
+        """Return the processes by role."""
+        by_role = {"main": RoleProcesses([self.main.running_process])}
+        by_role |= {
+            service.name: RoleProcesses([service.running_process]) for service in self.followers.values()
+        }
+        by_role["hollow"] = RoleProcesses([hollow.process for hollow in self.hollow_processes])
+        real_processes = [real.process for real in self.reals if real.process is not None]
+        if real_processes:
+            by_role["real"] = RoleProcesses(real_processes)
+        return by_role
 
     async def statuses(self) -> dict[str, api.StatusResponse]:
-        """By role. Raises NoReplyError or RequestRefusedError."""
+        """Return the services' statuses by role. Raises NoReplyError or RequestRefusedError."""
         services = self.services
-        asked = await asyncio.gather(*(service.status(30.0) for service in services))
-        return {service.name: status for service, status in zip(services, asked, strict=True)}
+        statuses = await asyncio.gather(*(service.status(30.0) for service in services))
+        return {service.name: status for service, status in zip(services, statuses, strict=True)}
 
-    def roles(self) -> tuple[dict[str, str], dict[str, str]]:
-        """The role of whoever is reached at an address: directly, and directly or over a wire."""
+    def roles_by_address(self) -> tuple[dict[str, str], dict[str, str]]:
+        """Return the roles of the services by address: without wires, and including wires."""
         direct = {str(service.address): service.name for service in self.services}
         wired = {str(wire.address): direct[str(wire.target())] for wire in self.wires.values()}
         return direct, direct | wired
 
     def check(self) -> None:
-        """Raises Ended where a process has that should not have."""
-        placed = [process for each in self.placed().values() for process in each.processes]
-        for process in [*placed, *self._processes]:
+        """Raise Ended if a process has ended that should be running."""
+        processes = [
+            process
+            for role_processes in self.processes_by_role().values()
+            for process in role_processes.processes
+        ]
+        for process in [*processes, *self._processes]:
             if process.ended.is_set() and not process.wanted:
                 raise Ended(process)
 
-    async def turn(self, region: str, how: How) -> None:
-        """What the region's wires do from now on."""
-        feeds = [f"feed {name}" for name in [self._home(region)]]
+    async def turn(self, region: str, state: How) -> None:
+        """Set the state of all wires between the region and the others."""
+        feed_wires = [f"feed {name}" for name in [self._home_follower(region)]]
         for name, wire in self.wires.items():
-            if name in feeds or not name.startswith("feed "):
-                await wire.turn(how)
+            if name in feed_wires or not name.startswith("feed "):
+                await wire.turn(state)
         for real in self.reals:
             for name, wire in real.wires.items():
-                inside, target = real.seat.region == region, name == self._home(region)
-                if inside != target:
-                    await wire.turn(how)
+                from_region, to_home_follower = (
+                    real.seat.region == region,
+                    name == self._home_follower(region),
+                )
+                if from_region != to_home_follower:
+                    await wire.turn(state)
 
 
-def ours() -> dict[str, Told]:
-    """What this process itself has said, by address: its own calls, and what came to wires for others."""
+def read_own_traffic() -> dict[str, Told]:
+    """Return the traffic of this process by address: its own calls, and those relayed by its wires."""
     return counting().told()
 
 
-def sum_by_role(told: list[dict[str, Told]], roles: dict[str, str]) -> dict[str, Told]:
+def sum_by_role(traffic: list[dict[str, Told]], roles: dict[str, str]) -> dict[str, Told]:
+    """Sum traffic by the role of its address. Addresses without a role are left out."""
     by_role: dict[str, list[Told]] = {}
-    for one in told:
-        for address, found in one.items():
+    for by_address in traffic:
+        for address, address_traffic in by_address.items():
             if address in roles:
-                by_role.setdefault(roles[address], []).append(found)
-    return {role: together(found) for role, found in by_role.items()}
+                by_role.setdefault(roles[address], []).append(address_traffic)
+    return {role: together(role_traffic) for role, role_traffic in by_role.items()}
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""Scale runs: what a plan holds and refuses, what is counted, and small runs with real processes."""
+"""Scale runs: plans and their refusal, counters, and small runs with real processes."""
 
 from __future__ import annotations
 
@@ -19,352 +19,358 @@
 from eiderhub.scale import result as results
 from eiderhub.scale.changes import spread
 from eiderhub.scale.counts import CountingLoop, Tally, Told, peak, since, together
-from eiderhub.scale.hollow import EMPTIED, WENT_BACK, Change, delay_ms, digest
+from eiderhub.scale.hollow import EMPTIED, WENT_BACK, Change, delay_ms, list_digest
 from eiderhub.scale.plan import (
     Asked,
-    Bears,
+    MachineCapacity,
     Plan,
     TooLarge,
     admitted,
+    assign_sidecars,
+    find_excess,
+    make_plan,
     memory_mb,
-    plan,
-    seated,
-    smaller,
-    too_much,
+    scale_down,
 )
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, Phase, Result
 from eiderhub.scale.run import Run
 
 FLEET = read_fleet(Path(__file__).resolve().parents[1] / "deploy" / "fleet.toml")
-ROOMY = Bears(memory_mb=1e6, descriptors=1_000_000, ports=1_000_000)
-PATIENCE_S = 120.0  # a test that waits longer for an event has failed
+LARGE_MACHINE = MachineCapacity(memory_mb=1e6, descriptors=1_000_000, ports=1_000_000)
+TEST_TIMEOUT_S = 120.0
 
 
 # --- the plan ---
 
 
 @pytest.mark.parametrize("hollow", [3, 60, 250, 2000])
-def test_all_records_and_all_watchers_have_a_place(hollow: int) -> None:
-    made = plan(FLEET, Asked(hollow, real=2))
-    assert len(made.hollow) == hollow and len(made.real) == 2
-    assert len({seat.id for seat in made.seats}) == hollow + 2
-    for service, size in made.sizes.items():
-        assert sum(seat.service == service for seat in made.seats) == size
-        callers = [seat for seat in made.seats if seat.follows == service]
-        assert sorted(seat.rank for seat in callers) == list(range(len(callers)))
-        assert all(seat.balancers == len(callers) for seat in callers)
-    for seat in made.seats:
-        assert seat.zone in made.regions[seat.region]
-        assert made.followers_of(seat.region)[0] in made.followers
+def test_plan_assigns_every_record_and_every_watcher(hollow: int) -> None:
+    run_plan = make_plan(FLEET, Asked(hollow, real=2))
+    assert len(run_plan.hollow) == hollow and len(run_plan.real) == 2
+    assert len({spec.id for spec in run_plan.seats}) == hollow + 2
+    for service, size in run_plan.sizes.items():
+        assert sum(spec.service == service for spec in run_plan.seats) == size
+        callers = [spec for spec in run_plan.seats if spec.follows == service]
+        assert sorted(spec.rank for spec in callers) == list(range(len(callers)))
+        assert all(spec.balancers == len(callers) for spec in callers)
+    for spec in run_plan.seats:
+        assert spec.zone in run_plan.regions[spec.region]
+        assert run_plan.followers_of(spec.region)[0] in run_plan.followers
 
 
-def test_the_whole_fleet_keeps_its_sizes_and_regions() -> None:
-    made = plan(FLEET, Asked(FLEET.endpoints))
-    assert list(made.sizes.values()) == FLEET.service_sizes()
-    assert made.followers == list(FLEET.regions)
-    zones = [sum(seat.zone == zone for seat in made.seats) for zone in FLEET.zone_names()]
-    assert max(zones) - min(zones) <= 1
+def test_plan_of_the_whole_fleet_has_its_sizes_and_regions() -> None:
+    run_plan = make_plan(FLEET, Asked(FLEET.endpoints))
+    assert list(run_plan.sizes.values()) == FLEET.service_sizes()
+    assert run_plan.followers == list(FLEET.regions)
+    sidecars_per_zone = [sum(spec.zone == zone for spec in run_plan.seats) for zone in FLEET.zone_names()]
+    assert max(sidecars_per_zone) - min(sidecars_per_zone) <= 1
 
 
-def test_a_seed_gives_the_same_plan_and_another_one_another() -> None:
-    assert plan(FLEET, Asked(200, seed=3)) == plan(FLEET, Asked(200, seed=3))
-    assert plan(FLEET, Asked(200, seed=3)).seats != plan(FLEET, Asked(200, seed=4)).seats
+def test_equal_seeds_give_equal_plans_and_different_seeds_different_plans() -> None:
+    assert make_plan(FLEET, Asked(200, seed=3)) == make_plan(FLEET, Asked(200, seed=3))
+    assert make_plan(FLEET, Asked(200, seed=3)).seats != make_plan(FLEET, Asked(200, seed=4)).seats
 
 
-def test_sidecars_ask_their_own_follower_and_then_another() -> None:
-    made = plan(FLEET, Asked(400))
-    firsts = [made.followers_of(region)[0] for region in made.regions]
-    assert sorted(firsts) == sorted(made.followers)
-    assert all(len(set(made.followers_of(region))) == 2 for region in made.regions)
+def test_sidecars_use_their_own_follower_first_and_then_another() -> None:
+    run_plan = make_plan(FLEET, Asked(400))
+    first_followers = [run_plan.followers_of(region)[0] for region in run_plan.regions]
+    assert sorted(first_followers) == sorted(run_plan.followers)
+    assert all(len(set(run_plan.followers_of(region))) == 2 for region in run_plan.regions)
 
 
 @pytest.mark.parametrize(
-    ("asked", "bears", "words"),
+    ("run_request", "capacity", "message"),
     [
-        (Asked(0), ROOMY, "--hollow 0: at least 3"),
-        (Asked(-5), ROOMY, "--hollow -5: at least 3"),
-        (Asked(10, real=-1), ROOMY, "--real -1: at least 0"),
-        (Asked(10, followers=8), ROOMY, "--followers 8: at most 7"),
-        (Asked(500), ROOMY._replace(memory_mb=1000), "MB of memory"),
-        (Asked(2000), ROOMY._replace(descriptors=1000), "descriptors in the main list service"),
-        (Asked(4000), ROOMY._replace(ports=5000), "ports"),
-        (Asked(50, real=400), ROOMY, "--real 400: it would take"),
+        (Asked(0), LARGE_MACHINE, "--hollow 0: at least 3"),
+        (Asked(-5), LARGE_MACHINE, "--hollow -5: at least 3"),
+        (Asked(10, real=-1), LARGE_MACHINE, "--real -1: at least 0"),
+        (Asked(10, followers=8), LARGE_MACHINE, "--followers 8: at most 7"),
+        (Asked(500), LARGE_MACHINE._replace(memory_mb=1000), "MB of memory"),
+        (Asked(2000), LARGE_MACHINE._replace(descriptors=1000), "descriptors in the main list service"),
+        (Asked(4000), LARGE_MACHINE._replace(ports=5000), "ports"),
+        (Asked(50, real=400), LARGE_MACHINE, "--real 400: requires"),
     ],
 )
-def test_what_does_not_fit_is_refused_in_one_line(asked: Asked, bears: Bears, words: str) -> None:
-    with pytest.raises(TooLarge) as refused:
-        admitted(FLEET, asked, bears)
-    assert words in str(refused.value)
-    assert "\n" not in str(refused.value)
+def test_run_that_does_not_fit_is_refused_with_a_one_line_error(
+    run_request: Asked, capacity: MachineCapacity, message: str
+) -> None:
+    with pytest.raises(TooLarge) as error:
+        admitted(FLEET, run_request, capacity)
+    assert message in str(error.value)
+    assert "\n" not in str(error.value)
 
 
-def test_the_size_that_a_refusal_names_fits_and_one_more_does_not() -> None:
-    bears = Bears(memory_mb=2000, descriptors=20_000, ports=28_000)
-    with pytest.raises(TooLarge, match="MB of memory") as refused:
-        admitted(FLEET, Asked(19_000), bears)
-    fits = int(str(refused.value).split("--hollow ")[2].split(" ")[0])
-    assert len(admitted(FLEET, Asked(fits), bears).hollow) == fits
-    assert too_much(plan(FLEET, Asked(fits + 1)), bears, cut=False)
+def test_refusal_names_the_largest_size_that_fits() -> None:
+    capacity = MachineCapacity(memory_mb=2000, descriptors=20_000, ports=28_000)
+    with pytest.raises(TooLarge, match="MB of memory") as error:
+        admitted(FLEET, Asked(19_000), capacity)
+    largest = int(str(error.value).split("--hollow ")[2].split(" ")[0])
+    assert len(admitted(FLEET, Asked(largest), capacity).hollow) == largest
+    assert find_excess(make_plan(FLEET, Asked(largest + 1)), capacity, cut=False)
 
 
-def test_more_of_anything_takes_more_memory() -> None:
-    least = memory_mb(plan(FLEET, Asked(250)))
-    assert memory_mb(plan(FLEET, Asked(300))) > least
-    assert memory_mb(plan(FLEET, Asked(250, real=1))) > least
+def test_memory_estimate_grows_with_the_number_of_sidecars() -> None:
+    base_mb = memory_mb(make_plan(FLEET, Asked(250)))
+    assert memory_mb(make_plan(FLEET, Asked(300))) > base_mb
+    assert memory_mb(make_plan(FLEET, Asked(250, real=1))) > base_mb
 
 
-# --- what is counted ---
+# --- counters ---
 
 
-def test_calls_bytes_and_entries_are_counted_across_pieces() -> None:
+def test_calls_bytes_and_entries_are_counted_across_chunks() -> None:
     tally = Tally()
     tally.went(b"GET /discovery/hosts?after=7&wait_ms=9 HTTP/1.1\r\nHost: a:1\r\n\r\n")
     tally.went(b"POST /registry/renew HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}")
     tally.went(b"more of a body")
     body = b'[{"instanceId":"a"},{"instanceId":"b"}]'
-    for cut in range(len(body)):
-        tail = tally.came(body[:cut], b"")
-        tally.came(body[cut:], tail)
-    told = tally.told()
-    assert told.calls == {"list": 1, "renew": 1}
-    assert told.bytes_in == len(body) ** 2
-    assert told.entries == 2 * len(body)
-    assert sum(told.buckets.values()) == 2
-    assert tally.told().buckets == {}, "they are taken once"
-
-
-def test_counts_add_up_and_are_told_apart() -> None:
-    one = Told({"list": 3}, 10, 20, 1, 2, 1, {5: 2, 6: 1})
-    other = Told({"list": 1, "renew": 4}, 1, 2, 0, 1, 1, {6: 4})
-    both = together([one, other])
-    assert both == Told({"list": 4, "renew": 4}, 11, 22, 1, 3, 2, {5: 2, 6: 5})
-    assert since(both, one).calls == {"list": 1, "renew": 4}
-    assert peak(both.buckets) == 5
-    assert peak(both.buckets, since_s=0.7) == 0
-
-
-def test_a_change_is_in_force_once_its_version_or_a_later_one_is() -> None:
-    moments = np.array([[1.0, 3], [2.0, 7], [3.0, 9]])
-    assert delay_ms(moments, Change("s", 5, 1.5)) == 500.0
-    assert delay_ms(moments, Change("s", 9, 1.0)) == 2000.0
-    assert delay_ms(moments, Change("s", 3, 4.0)) == 0.0, "in force before the answer came"
-    assert delay_ms(moments, Change("s", 10, 1.0)) is None
-    assert delay_ms(moments[:0], Change("s", 1, 1.0)) is None
-
-
-def test_percentiles_of_no_change_are_none() -> None:
+    for split in range(len(body)):
+        tail = tally.came(body[:split], b"")
+        tally.came(body[split:], tail)
+    traffic = tally.told()
+    assert traffic.calls == {"list": 1, "renew": 1}
+    assert traffic.bytes_in == len(body) ** 2
+    assert traffic.entries == 2 * len(body)
+    assert sum(traffic.buckets.values()) == 2
+    assert tally.told().buckets == {}, "buckets are reset when they are read"
+
+
+def test_counts_can_be_added_and_subtracted() -> None:
+    first = Told({"list": 3}, 10, 20, 1, 2, 1, {5: 2, 6: 1})
+    second = Told({"list": 1, "renew": 4}, 1, 2, 0, 1, 1, {6: 4})
+    total = together([first, second])
+    assert total == Told({"list": 4, "renew": 4}, 11, 22, 1, 3, 2, {5: 2, 6: 5})
+    assert since(total, first).calls == {"list": 1, "renew": 4}
+    assert peak(total.buckets) == 5
+    assert peak(total.buckets, since_s=0.7) == 0
+
+
+def test_change_is_in_force_once_its_version_or_a_later_one_is_adopted() -> None:
+    adoptions = np.array([[1.0, 3], [2.0, 7], [3.0, 9]])
+    assert delay_ms(adoptions, Change("s", 5, 1.5)) == 500.0
+    assert delay_ms(adoptions, Change("s", 9, 1.0)) == 2000.0
+    assert delay_ms(adoptions, Change("s", 3, 4.0)) == 0.0, "in force before the acknowledgement"
+    assert delay_ms(adoptions, Change("s", 10, 1.0)) is None
+    assert delay_ms(adoptions[:0], Change("s", 1, 1.0)) is None
+
+
+def test_percentiles_without_changes_are_empty() -> None:
     assert spread([]) == {}
     assert spread([3.0, 1.0, 2.0]) == {"p50": 2.0, "p99": 2.98, "last": 3.0}
 
 
-def test_lists_are_the_same_whatever_their_order() -> None:
-    one = Entry(instance_id="a", host_port="127.0.0.1:1")
-    other = Entry(instance_id="b", host_port="127.0.0.1:1")
-    assert digest({"a": one, "b": other}) == digest({"b": other, "a": one})
-    later = msgspec.structs.replace(other, started_at_ms=5)
-    assert digest({"a": one, "b": other}) != digest({"a": one, "b": later})
+def test_list_digest_does_not_depend_on_the_order() -> None:
+    first = Entry(instance_id="a", host_port="127.0.0.1:1")
+    second = Entry(instance_id="b", host_port="127.0.0.1:1")
+    assert list_digest({"a": first, "b": second}) == list_digest({"b": second, "a": first})
+    restarted = msgspec.structs.replace(second, started_at_ms=5)
+    assert list_digest({"a": first, "b": second}) != list_digest({"a": first, "b": restarted})
 
 
 # --- runs ---
 
 
-def one_list(asked: Asked) -> Plan:
-    """All follow the largest list, in the same two regions: sizes differ, and nothing else does."""
-    made = seated(smaller(FLEET, asked.hollow + asked.real, 2), asked)
-    service = max(made.sizes, key=lambda name: made.sizes[name])
+def make_one_list_plan(run_request: Asked) -> Plan:
+    """Plan in which all sidecars follow the largest list, in the same two regions: only the sizes differ."""
+    run_plan = assign_sidecars(scale_down(FLEET, run_request.hollow + run_request.real, 2), run_request)
+    service = max(run_plan.sizes, key=lambda name: run_plan.sizes[name])
     seats = [
-        msgspec.structs.replace(seat, follows=service, rank=rank, balancers=len(made.seats))
-        for rank, seat in enumerate(made.seats)
+        msgspec.structs.replace(spec, follows=service, rank=rank, balancers=len(run_plan.seats))
+        for rank, spec in enumerate(run_plan.seats)
     ]
-    return msgspec.structs.replace(made, seats=seats, wait_s=1.0)
+    return msgspec.structs.replace(run_plan, seats=seats, wait_s=1.0)
 
 
-def played(made: Plan, seconds: float, fault: str = "none", fault_s: float = 1.0) -> Result:
-    run = Run(made, seconds, 1, 20.0, fault, fault_s)
+def execute(run_plan: Plan, seconds: float, fault: str = "none", fault_s: float = 1.0) -> Result:
+    run = Run(run_plan, seconds, 1, 20.0, fault, fault_s)
 
     async def bounded() -> Result:
-        async with asyncio.timeout(PATIENCE_S):
-            return await run.run(lambda part, text: None, "fleet.toml")
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            return await run.run(lambda share, text: None, "fleet.toml")
 
     with asyncio.Runner(loop_factory=CountingLoop) as runner:
         return runner.run(bounded())
 
 
 @pytest.fixture(scope="module")
-def small() -> Result:
-    return played(one_list(Asked(100, real=2, lease_s=3.0)), 4.0)
+def small_run() -> Result:
+    return execute(make_one_list_plan(Asked(100, real=2, lease_s=3.0)), 4.0)
 
 
 @pytest.fixture(scope="module")
-def larger() -> Result:
-    return played(one_list(Asked(300, lease_s=3.0)), 4.0)
+def large_run() -> Result:
+    return execute(make_one_list_plan(Asked(300, lease_s=3.0)), 4.0)
 
 
-def test_all_end_with_the_main_services_lists(small: Result, larger: Result) -> None:
-    for run in (small, larger):
+def test_all_sidecars_end_with_the_main_services_lists(small_run: Result, large_run: Result) -> None:
+    for run in (small_run, large_run):
         assert run.agreed
         assert run.records == run.watchers
         changes = run.phase("changes")
         assert changes.changes == changes.writes == 40
-        pairs = {name: changes.in_force_ms[name] for name in ("p50", "p99", "last")}
-        assert 0 <= pairs["p50"] <= pairs["p99"] <= pairs["last"]
+        delays_ms = {name: changes.in_force_ms[name] for name in ("p50", "p99", "last")}
+        assert 0 <= delays_ms["p50"] <= delays_ms["p99"] <= delays_ms["last"]
 
 
-def per(amount: float, count: int) -> float:
+def ratio(amount: float, count: int) -> float:
     assert count > 0
     return amount / count
 
 
-def test_renewals_cost_calls_and_bytes_that_do_not_go_by_size(small: Result, larger: Result) -> None:
-    one, other = (run.phase("calm").roles[HOLLOW] for run in (small, larger))
-    bytes_each = [per(role.main_bytes, role.renewals) for role in (one, other)]
-    assert abs(bytes_each[0] - bytes_each[1]) < 12, "names of sidecars differ by a few digits"
-    for run in (small, larger):
+def test_cost_of_a_renewal_does_not_depend_on_the_fleet_size(small_run: Result, large_run: Result) -> None:
+    small, large = (run.phase("calm").roles[HOLLOW] for run in (small_run, large_run))
+    bytes_each = [ratio(role.main_bytes, role.renewals) for role in (small, large)]
+    assert abs(bytes_each[0] - bytes_each[1]) < 12, "ids of sidecars differ in length by a few digits"
+    for run in (small_run, large_run):
         calm = run.phase("calm")
         assert calm.changes == calm.writes == 0
         assert calm.renewals == calm.roles[MAIN].renewals
         assert calm.roles[MAIN].calls == calm.renewals + calm.feed_answers
 
 
-def test_an_answer_to_a_watch_tells_a_change_once_whatever_the_lists_length(
-    small: Result, larger: Result
-) -> None:
-    for run in (small, larger):
+def test_watch_answers_send_a_change_once_for_any_list_length(small_run: Result, large_run: Result) -> None:
+    for run in (small_run, large_run):
         calm, changes = run.phase("calm"), run.phase("changes")
         assert calm.entries_told == 0
-        # Each change is told to each sidecar that follows it: at most once, or along with the next one.
+        # A sidecar that follows the list receives a change at most once, alone or along with the next one.
         assert 0 < changes.entries_told <= changes.in_force_pairs
-    one, other = (run.phase("calm") for run in (small, larger))
-    bytes_each = [per(phase.roles[HOLLOW].follower_bytes, phase.watch_answers) for phase in (one, other)]
+    small, large = (run.phase("calm") for run in (small_run, large_run))
+    bytes_each = [ratio(phase.roles[HOLLOW].follower_bytes, phase.watch_answers) for phase in (small, large)]
     assert abs(bytes_each[0] - bytes_each[1]) < 0.1 * bytes_each[0]
-    one, other = (run.phase("changes") for run in (small, larger))
-    assert per(one.feed_answers, one.changes) < 3 * 2  # followers, with their calls that wait in vain
-    assert per(other.feed_answers, other.changes) < 3 * 2
+    small, large = (run.phase("changes") for run in (small_run, large_run))
+    # Two followers; their long polls that end without a change count as well.
+    assert ratio(small.feed_answers, small.changes) < 3 * 2
+    assert ratio(large.feed_answers, large.changes) < 3 * 2
 
 
-def alike(one: float, other: float) -> bool:
-    return abs(one - other) <= 0.1 * max(one, other)
+def nearly_equal(first: float, second: float) -> bool:
+    return abs(first - second) <= 0.1 * max(first, second)
 
 
-def test_a_hollow_sidecar_asks_as_a_real_one_does(small: Result) -> None:
-    calm = small.phase("calm")
+def test_hollow_sidecar_has_the_same_traffic_as_a_real_one(small_run: Result) -> None:
+    calm = small_run.phase("calm")
     hollow, real = calm.roles[HOLLOW], calm.roles[REAL]
-    assert alike(per(hollow.main_bytes, hollow.renewals), per(real.main_bytes, real.renewals))
-    assert alike(per(hollow.follower_bytes, hollow.answers), per(real.follower_bytes, real.answers))
+    assert nearly_equal(ratio(hollow.main_bytes, hollow.renewals), ratio(real.main_bytes, real.renewals))
+    assert nearly_equal(
+        ratio(hollow.follower_bytes, hollow.answers), ratio(real.follower_bytes, real.answers)
+    )
     assert hollow.calls == hollow.renewals + hollow.answers
     assert real.calls == real.renewals + real.answers
-    changes = small.phase("changes")
+    changes = small_run.phase("changes")
     hollow, real = changes.roles[HOLLOW], changes.roles[REAL]
-    assert alike(per(hollow.entries, hollow.records), per(real.entries, real.records))
+    assert nearly_equal(ratio(hollow.entries, hollow.records), ratio(real.entries, real.records))
     for role in (hollow, real):
         assert role.connections >= 2 * role.records, "one to the main service, one to a follower"
 
 
-def test_real_sidecars_serve_calls_beside_the_run(small: Result, larger: Result) -> None:
-    assert larger.added is None
-    assert small.added is not None
-    assert small.added.calls > 0
+def test_real_sidecars_serve_calls_during_the_run(small_run: Result, large_run: Result) -> None:
+    assert large_run.added is None
+    assert small_run.added is not None
+    assert small_run.added.calls > 0
 
 
-def test_a_result_is_read_back_as_it_was_written(small: Result, tmp_path: Path) -> None:
+def test_result_is_read_back_as_written(small_run: Result, tmp_path: Path) -> None:
     path = tmp_path / "run.json"
-    path.write_bytes(msgspec.json.encode(small))
-    assert results.read(path) == small
-    assert small.phase("changes").name == "changes"
+    path.write_bytes(msgspec.json.encode(small_run))
+    assert results.read(path) == small_run
+    assert small_run.phase("changes").name == "changes"
     with pytest.raises(KeyError):
-        small.phase("none")
+        small_run.phase("none")
 
 
-def counts_are_whole(phase: Phase) -> bool:
+def counts_are_not_negative(phase: Phase) -> bool:
     counts = [(role.calls, role.bytes_in, role.bytes_out) for role in phase.roles.values()]
     return all(count >= 0 for each in counts for count in each)
 
 
 @pytest.mark.parametrize("fault", ["release", "zone-lost", "region-cut", "follower-killed", "main-killed"])
 def test_after_a_fault_all_are_there_and_agree(fault: str) -> None:
-    made = plan(FLEET, Asked(90, lease_s=4.0))
-    found = played(msgspec.structs.replace(made, wait_s=1.0), 1.0, fault, 4.0)
-    assert found.agreed
-    assert found.fault is not None and found.fault.name == fault
-    assert found.records == 90
-    assert found.fault.touched > 0
-    assert found.fault.writes_tried > 0
-    assert counts_are_whole(found.phase(fault))
-    assert not [note for note in found.fault.notes if EMPTIED in note or WENT_BACK in note]
+    run_plan = make_plan(FLEET, Asked(90, lease_s=4.0))
+    result = execute(msgspec.structs.replace(run_plan, wait_s=1.0), 1.0, fault, 4.0)
+    assert result.agreed
+    assert result.fault is not None and result.fault.name == fault
+    assert result.records == 90
+    assert result.fault.touched > 0
+    assert result.fault.writes_tried > 0
+    assert counts_are_not_negative(result.phase(fault))
+    assert not [note for note in result.fault.notes if EMPTIED in note or WENT_BACK in note]
     if fault == "zone-lost":
-        assert found.fault.least_records == 90 - found.fault.touched
-        assert found.fault.lost_wrongly == 0
+        assert result.fault.least_records == 90 - result.fault.touched
+        assert result.fault.lost_wrongly == 0
     if fault in ("region-cut", "main-killed"):
-        assert found.fault.writes_failed > 0, "nobody takes them"
+        assert result.fault.writes_failed > 0, "the main service can't be reached"
     if fault in ("follower-killed", "main-killed"):
-        assert found.fault.lost_wrongly == 0
+        assert result.fault.lost_wrongly == 0
 
 
 # --- the command ---
 
 
-def command(*words: str) -> list[str]:
-    return [sys.executable, "-m", "eiderhub.cli", "bench", "scale", *words]
+def bench_command(*arguments: str) -> list[str]:
+    return [sys.executable, "-m", "eiderhub.cli", "bench", "scale", *arguments]
 
 
 @pytest.mark.parametrize(
-    ("words", "told"),
+    ("arguments", "message"),
     [
         (["--hollow", "0"], "--hollow 0: at least 3"),
         (["--hollow", "100000000"], "fits"),
-        (["--hollow", "50", "--real", "5000"], "take fewer real ones"),
+        (["--hollow", "50", "--real", "5000"], "use fewer real sidecars"),
         (["--hollow", "10", "--fault", "region-cut"], "two followers"),
         (["--fleet", "nowhere.toml"], "nowhere.toml"),
     ],
 )
-def test_bad_input_is_one_line_and_status_2(words: list[str], told: str) -> None:
-    ended = subprocess.run(command(*words), capture_output=True, text=True, timeout=PATIENCE_S, check=False)
-    assert ended.returncode == 2
-    assert told in ended.stderr
-    assert len(ended.stderr.strip().splitlines()) == 1
-    assert ended.stdout == ""
-
-
-def children(pid: int) -> list[int]:
-    found = []
-    for each in Path("/proc").iterdir():
-        if each.name.isdigit():
+def test_invalid_input_prints_one_line_and_exits_with_status_2(arguments: list[str], message: str) -> None:
+    completed = subprocess.run(
+        bench_command(*arguments), capture_output=True, text=True, timeout=TEST_TIMEOUT_S, check=False
+    )
+    assert completed.returncode == 2
+    assert message in completed.stderr
+    assert len(completed.stderr.strip().splitlines()) == 1
+    assert completed.stdout == ""
+
+
+def child_processes(pid: int) -> list[int]:
+    pids = []
+    for entry in Path("/proc").iterdir():
+        if entry.name.isdigit():
             try:
-                fields = (each / "stat").read_text().rpartition(")")[2].split()
+                fields = (entry / "stat").read_text().rpartition(")")[2].split()
             except OSError:
                 continue
             if int(fields[1]) == pid and fields[0] != "Z":
-                found.append(int(each.name))
-    return found
+                pids.append(int(entry.name))
+    return pids
 
 
-def starts(pid: int) -> str:
-    """Which start of a process this is; nothing where there is none."""
+def start_time(pid: int) -> str:
+    """Start time of a process, which identifies it among those with the same pid; empty if it has ended."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[19]
     except OSError:
         return ""
 
 
-def test_ctrl_c_leaves_no_process() -> None:
-    run = subprocess.Popen(
-        command("--hollow", "60", "--real", "1", "--seconds", "600"),
+def test_interrupt_leaves_no_process() -> None:
+    process = subprocess.Popen(
+        bench_command("--hollow", "60", "--real", "1", "--seconds", "600"),
         stdout=subprocess.DEVNULL,
         stderr=subprocess.PIPE,
         text=True,
         start_new_session=True,
     )
     try:
-        until = time.monotonic() + PATIENCE_S
-        while len(started := children(run.pid)) < 6:  # main, two followers, endpoints, hollow, real
-            assert run.poll() is None and time.monotonic() < until
+        deadline_s = time.monotonic() + TEST_TIMEOUT_S
+        # Main service, two followers, endpoints, hollow sidecars, real sidecar.
+        while len(child_pids := child_processes(process.pid)) < 6:
+            assert process.poll() is None and time.monotonic() < deadline_s
             time.sleep(0.05)
-        had = {pid: starts(pid) for pid in started}
-        os.kill(run.pid, signal.SIGINT)
-        _, said = run.communicate(timeout=PATIENCE_S)
+        start_times = {pid: start_time(pid) for pid in child_pids}
+        os.kill(process.pid, signal.SIGINT)
+        _, errors = process.communicate(timeout=TEST_TIMEOUT_S)
     finally:
-        run.kill()
-        run.wait()
-    assert run.returncode == 1
-    assert said.strip().splitlines()[-1] == "ottercleat: interrupted"
-    assert [pid for pid, start in had.items() if start and starts(pid) == start] == []
+        process.kill()
+        process.wait()
+    assert process.returncode == 1
+    assert errors.strip().splitlines()[-1] == "ottercleat: interrupted"
+    assert [pid for pid, start in start_times.items() if start and start_time(pid) == start] == []
