--- a/eiderhub/world/__init__.py
+++ b/eiderhub/world/__init__.py
@@ -1,1 +1,1 @@
-"""What the sidecar serves, as state machines that are told the time: no sockets, no clock, no event loop."""
+"""Simulated surroundings of sidecars: state machines that take the time as an argument and do no I/O."""
--- a/eiderhub/world/clients.py
+++ b/eiderhub/world/clients.py
@@ -1,4 +1,4 @@
-"""Clients: when their requests come, and what they do when a try ends."""
+"""Clients: the arrival times of their requests, and their retries."""
 
 from __future__ import annotations
 
@@ -12,141 +12,158 @@
 from eiderhub.world.network import spread
 from eiderhub.world.scenario import TroubleKind
 
-WAVES = 1.5  # of the slow swing over a day
-ATTEMPT_SPREAD = 0.2  # by which two attempts of one request differ in work
+LOAD_WAVES_PER_DAY = 1.5  # periods of the sine wave of the load
+ATTEMPT_WORK_VARIATION = 0.2  # coefficient of variation of the work between attempts of one request
 
 
 class End(Enum):
-    """How a try ended."""
+    """The outcome of one try of a client."""
 
     SERVED = "served"
     REFUSED = "refused"
     FAILED = "failed"
-    GIVEN_UP = "given up"  # by the client, whose time for it was over
-    BROKEN = "broken"  # its connection ended without a whole answer
-    UNREACHABLE = "unreachable"  # no connection came up
+    GIVEN_UP = "given up"  # the client's time-out for it expired
+    BROKEN = "broken"  # the connection ended before the answer was complete
+    UNREACHABLE = "unreachable"  # no connection could be established
 
 
 @dataclass(slots=True, eq=False)
 class Errand:
-    """What a client wants done: one request and its tries."""
+    """One request of a client, and the tries that it makes for it."""
 
     number: int
     at_us: int
     grade: Grade
     tenant: str | None
     zone: str
-    work_us: float  # of which each tier takes its share for each call
-    key: str | None
-    honours: bool  # whether it follows Retry-After
-    within_share: bool = True
+    work_us: float  # each call to a tier takes the tier's share of it
+    key: str | None  # idempotency key, for deduplicated classes
+    honours_retry_after: bool
+    within_quota: bool = True
     tries: int = 0
     ended_us: int | None = None
     end: End | None = None
     ends: list[End] = field(default_factory=list)
 
     @property
-    def due_us(self) -> int:
+    def deadline_us(self) -> int:
+        """The time at which the client gives up for good."""
         return self.at_us + self.grade.deadline_us
 
     @property
     def served(self) -> bool:
+        """Whether the request was served."""
         return self.end is End.SERVED
 
 
 def arrivals(day: Day) -> list[Errand]:
-    """All first tries of the day, open loop: they come whether or not others were answered."""
+    """Draw all requests of the day, in the order of their arrival.
+
+    The load is open loop: arrivals do not depend on earlier answers.
+    """
     rng = day.rng("arrivals")
-    peak = day.rate_per_s * (1 + day.swing)
+    peak_per_s = day.rate_per_s * (1 + day.swing)
     for event in day.events:
         if event.kind is TroubleKind.BURST:
-            peak *= max(1.0, event.size)
-    count = int(rng.poisson(peak * day.length_us / 1e6))
-    at = np.sort(rng.uniform(0, day.length_us, count))
-    at = at[rng.uniform(0, peak, count) < _rate(day, at)]
-    grades = rng.choice(len(day.grades), size=len(at), p=[g.share for g in day.grades])
-    zones = rng.choice(len(day.zone_weights), size=len(at), p=day.zone_weights)
-    asks = np.array([party.asks_per_s for party in day.parties])
-    owners = rng.choice(len(asks), size=len(at), p=asks / asks.sum()) if len(asks) else None
-    works = [spread(rng, grade.work_us, grade.spread, len(at)) for grade in day.grades]
-    honours = rng.random(len(at)) < day.honour
-    shares = {party.name: Quota(party.quota_per_s) for party in day.parties}
-    errands = []
-    for i, when in enumerate(at):
-        grade = day.grades[int(grades[i])]
-        tenant = day.parties[int(owners[i])].name if owners is not None else None
-        errands.append(
+            peak_per_s *= max(1.0, event.size)
+    count = int(rng.poisson(peak_per_s * day.length_us / 1e6))
+    arrivals_us = np.sort(rng.uniform(0, day.length_us, count))
+    arrivals_us = arrivals_us[rng.uniform(0, peak_per_s, count) < _rate_per_s(day, arrivals_us)]
+    class_indices = rng.choice(
+        len(day.grades), size=len(arrivals_us), p=[request_class.share for request_class in day.grades]
+    )
+    zone_indices = rng.choice(len(day.zone_weights), size=len(arrivals_us), p=day.zone_weights)
+    demands_per_s = np.array([tenant_plan.demand_per_s for tenant_plan in day.parties])
+    tenant_indices = (
+        rng.choice(len(demands_per_s), size=len(arrivals_us), p=demands_per_s / demands_per_s.sum())
+        if len(demands_per_s)
+        else None
+    )
+    class_work_us = [
+        spread(rng, request_class.work_us, request_class.spread, len(arrivals_us))
+        for request_class in day.grades
+    ]
+    honours_retry_after = rng.random(len(arrivals_us)) < day.retry_after_share
+    quotas = {tenant_plan.name: TokenBucket(tenant_plan.quota_per_s) for tenant_plan in day.parties}
+    requests = []
+    for i, arrival_us in enumerate(arrivals_us):
+        request_class = day.grades[int(class_indices[i])]
+        tenant = day.parties[int(tenant_indices[i])].name if tenant_indices is not None else None
+        requests.append(
             Errand(
                 number=i,
-                at_us=int(when),
-                grade=grade,
+                at_us=int(arrival_us),
+                grade=request_class,
                 tenant=tenant,
-                zone=day.scenario.zones[int(zones[i])],
-                work_us=float(works[int(grades[i])][i]),
-                key=f"{day.seed:08x}{i:08x}" if grade.spec.effect is Effect.DEDUPLICATED else None,
-                honours=bool(honours[i]),
-                within_share=tenant is None or shares[tenant].take(int(when)),
+                zone=day.scenario.zones[int(zone_indices[i])],
+                work_us=float(class_work_us[int(class_indices[i])][i]),
+                key=f"{day.seed:08x}{i:08x}" if request_class.spec.effect is Effect.DEDUPLICATED else None,
+                honours_retry_after=bool(honours_retry_after[i]),
+                within_quota=tenant is None or quotas[tenant].try_take(int(arrival_us)),
             )
         )
-    return errands
+    return requests
 
 
-def _rate(day: Day, at_us: np.ndarray) -> np.ndarray:
-    """First tries a second at these times."""
-    wave = np.sin(2 * np.pi * WAVES * at_us / day.length_us)
+def _rate_per_s(day: Day, times_us: np.ndarray) -> np.ndarray:
+    """The mean arrival rate of requests (first tries) at these times."""
+    wave = np.sin(2 * np.pi * LOAD_WAVES_PER_DAY * times_us / day.length_us)
     rate: np.ndarray = day.rate_per_s * (1 + day.swing * wave)
     for event in day.events:
         if event.kind is TroubleKind.BURST:
-            rate = np.where((at_us >= event.at_us) & (at_us < event.until_us), rate * event.size, rate)
+            rate = np.where((times_us >= event.at_us) & (times_us < event.until_us), rate * event.size, rate)
     return rate
 
 
-class Quota:
-    """What a tenant may ask for: a second's worth at once, refilled all the time."""
+class TokenBucket:
+    """A tenant's quota: refilled continuously, with a burst of one second's tokens."""
 
-    def __init__(self, per_s: float) -> None:
-        self._per_s = per_s
-        self._left = per_s
-        self._at_us = 0
+    def __init__(self, rate_per_s: float) -> None:
+        self._rate_per_s = rate_per_s
+        self._tokens = rate_per_s
+        self._refilled_us = 0
 
-    def take(self, now_us: int) -> bool:
-        self._left = min(self._per_s, self._left + (now_us - self._at_us) * self._per_s / 1e6)
-        self._at_us = now_us
-        if self._left < 1:
+    def try_take(self, now_us: int) -> bool:
+        """Take a token; returns whether there was one."""
+        self._tokens = min(
+            self._rate_per_s, self._tokens + (now_us - self._refilled_us) * self._rate_per_s / 1e6
+        )
+        self._refilled_us = now_us
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
-def patience_us(day: Day, errand: Errand, now_us: int) -> int:
-    """How long a try that begins now is waited for."""
-    return min(int(day.try_share * errand.grade.deadline_us), errand.due_us - now_us)
+def patience_us(day: Day, request: Errand, now_us: int) -> int:
+    """The time-out of a try that starts now."""
+    return min(int(day.try_share * request.grade.deadline_us), request.deadline_us - now_us)
 
 
-def retry_us(day: Day, errand: Errand, now_us: int, end: End, retry_after_us: int) -> int | None:
-    """When the client tries again after this end, if it does."""
-    if end is End.SERVED or errand.tries > day.retries:
+def retry_us(day: Day, request: Errand, now_us: int, end: End, retry_after_us: int) -> int | None:
+    """The time of the client's next try after this outcome; None where it does not retry."""
+    if end is End.SERVED or request.tries > day.retries:
         return None
-    spec = errand.grade.spec
-    anyhow = spec.effect is Effect.IDEMPOTENT
+    spec = request.grade.spec
+    repeatable = spec.effect is Effect.IDEMPOTENT
     if spec.effect is Effect.DEDUPLICATED and spec.group is Group.ALL:
-        anyhow = now_us - errand.at_us < spec.window_ms * 1000
-    if not anyhow and end not in (End.REFUSED, End.UNREACHABLE):
+        repeatable = now_us - request.at_us < spec.window_ms * 1000
+    if not repeatable and end not in (End.REFUSED, End.UNREACHABLE):
         return None
     wait_us = day.backoff_us
-    if errand.honours and retry_after_us > 0:
+    if request.honours_retry_after and retry_after_us > 0:
         wait_us = min(retry_after_us, int(day.scenario.allowed.max_retry_after_ms * 1000))
-    at = now_us + wait_us
-    return at if at < errand.due_us else None
+    retry_at_us = now_us + wait_us
+    return retry_at_us if retry_at_us < request.deadline_us else None
 
 
-def work_at(day: Day, plan: Plan, errand_work_us: float, rng: np.random.Generator) -> float:
-    """An endpoint's own work for one request, in microseconds of a yardstick core."""
+def work_at(day: Day, plan: Plan, request_work_us: float, rng: np.random.Generator) -> float:
+    """Draw an endpoint's own work for one request, in microseconds of a core of speed 1."""
     share = day.scenario.tier[plan.tier].work
-    return float(errand_work_us * share * spread(rng, 1.0, ATTEMPT_SPREAD, 1)[0])
+    return float(request_work_us * share * spread(rng, 1.0, ATTEMPT_WORK_VARIATION, 1)[0])
 
 
 def calls_at(day: Day, tier: int, rng: np.random.Generator) -> int:
-    """How many calls to the next tier a request makes at this one."""
-    mean = day.calls[tier]
-    return int(mean) + int(rng.random() < mean - int(mean))
+    """Draw the number of calls that a request at this tier makes to the next one."""
+    mean_calls = day.calls_to_next_tier[tier]
+    return int(mean_calls) + int(rng.random() < mean_calls - int(mean_calls))
--- a/eiderhub/world/day.py
+++ b/eiderhub/world/day.py
@@ -1,4 +1,4 @@
-"""One day: everything that a scenario leaves open, drawn from a seed."""
+"""One day: a simulated run, with every value that the scenario leaves open drawn from a seed."""
 
 from __future__ import annotations
 
@@ -8,44 +8,46 @@
 import numpy as np
 
 from eiderhub.world.scenario import (
-    GREY_PART,
-    LOSSES,
-    OF_ENDPOINTS,
-    OF_REGIONS,
-    OF_SIDECARS,
-    OF_ZONES,
-    SIZED,
-    Class,
+    DEFAULT_SIZES,
+    DEGRADED_ERROR_SHARE,
+    ENDPOINT_TROUBLES,
+    LOSS_TROUBLES,
+    REGION_TROUBLES,
+    SIDECAR_TROUBLES,
+    ZONE_TROUBLES,
+    RequestClassSpec,
     Scenario,
     Tier,
     TroubleKind,
 )
 
-S = 1_000_000  # microseconds
+US_PER_S = 1_000_000
 
-Drawn = float | tuple[float, ...]
+ValueOrRange = float | tuple[float, ...]
 
 
-def pick(rng: np.random.Generator, amount: Drawn) -> float:
-    """A figure as it is, or drawn evenly from its range."""
-    if isinstance(amount, tuple):
-        return float(rng.uniform(amount[0], amount[1]))
-    return float(amount)
+def draw_value(rng: np.random.Generator, setting: ValueOrRange) -> float:
+    """Return a fixed value as it is, or draw one uniformly from its range."""
+    if isinstance(setting, tuple):
+        return float(rng.uniform(setting[0], setting[1]))
+    return float(setting)
 
 
 @dataclass(frozen=True, slots=True)
 class ChokePlan:
-    at: float
-    over_us: int
-    slower: float
-    below: float
-    rest_us: int
-    most_us: int
+    """How an endpoint becomes slow after a long backlog, and recovers."""
+
+    at: float  # requests waiting for a core, above which the backlog counts
+    over_us: int  # duration of the backlog that starts the choke
+    slower: float  # factor
+    below: float  # the endpoint is idle with fewer running jobs
+    rest_us: int  # idle time that ends the choke
+    most_us: int  # longest duration of the choke
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """One endpoint as it was made: times in microseconds, work in microseconds of a yardstick core."""
+    """The drawn properties of one endpoint. Work is in microseconds of a core of speed 1."""
 
     id: str
     tier: int
@@ -54,72 +56,74 @@
     cell: int
     cores: int
     speed: float
-    slots: int
-    queue: int
-    crowded_from: float
+    slots: int  # requests that it processes at a time
+    queue: int  # requests that wait for a slot
+    crowded_from: float  # number of requests above which all of them slow down
     crowding: float
-    cold_from: float
-    cold_us: int
+    cold_from: float  # share of the capacity right after a start
+    cold_us: int  # duration of the warm-up
     warm_by_work: bool
     error_rate: float
-    cancels_all: bool
-    connections: int
+    cancels_all: bool  # a cancelled request stops also while it runs
+    connections: int  # most open connections
     handshake_rtts: float
     handshake_us: float
     choke: ChokePlan | None
-    fall_factor: float
-    fall_us: int
+    overload_factor: float  # work sent to it, in multiples of its capacity, that crashes it while it is cold
+    overload_window_us: int
 
     @property
     def capacity(self) -> float:
-        """Yardstick cores, when warm."""
+        """Capacity when warm, in cores of speed 1."""
         return self.cores * self.speed
 
 
 @dataclass(frozen=True, slots=True)
 class Post:
-    """One sidecar's place."""
+    """The place of one sidecar in the deployment."""
 
     name: str
-    tier: int  # whose endpoints it sends to
-    rank: int  # among the sidecars of that tier
+    tier: int  # the tier whose endpoints it sends to
+    rank: int  # its index among the sidecars of that tier
     zone: str
-    owner: str | None  # the endpoint that it belongs to; None: at the front
-    peers: int  # the sidecars of that tier
+    owner: str | None  # the endpoint that it runs beside; None: a front sidecar
+    peers: int  # number of sidecars of that tier
 
 
 @dataclass(frozen=True, slots=True)
 class Grade:
-    """A class of requests, as this day has it."""
+    """A request class with its drawn values."""
 
     name: str
-    share: float
-    work_us: float
-    spread: float
-    spec: Class
+    share: float  # of all requests
+    work_us: float  # mean
+    spread: float  # coefficient of variation of the work
+    spec: RequestClassSpec
 
     @property
     def aim_us(self) -> int:
+        """Target latency: a later answer has only the class's `late_worth`."""
         return int(self.spec.aim_ms * 1000)
 
     @property
     def deadline_us(self) -> int:
+        """Time from the arrival of a request to its deadline."""
         return int(self.spec.deadline_ms * 1000)
 
 
 @dataclass(frozen=True, slots=True)
-class Party:
-    """A tenant: what it may ask for, and what it does."""
+class TenantPlan:
+    """A tenant with its quota and its demand."""
 
     name: str
     share: float
     quota_per_s: float
-    asks_per_s: float
+    demand_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """A trouble with everything about it settled."""
+    """A trouble of the scenario with its drawn values: a fault, or a change of the load or the deployment."""
 
     kind: TroubleKind
     at_us: int
@@ -130,22 +134,25 @@
     sidecars: tuple[str, ...]
     zone: str
     how: str = ""
-    zones: tuple[str, ...] = ()  # all that it is about
-    part: float = 0.0
-    to: str = ""  # the zone whose front callers move to
+    zones: tuple[str, ...] = ()  # all zones affected
+    part: float = 0.0  # share of the calls that fail
+    to: str = ""  # the zone whose front sidecars the clients move to
 
     @property
     def what(self) -> str:
-        whom = ", ".join(self.endpoints or self.sidecars) or self.zone
+        """A description for reports."""
+        targets = ", ".join(self.endpoints or self.sidecars) or self.zone
         if self.to:
             return f"{self.kind.value} of {self.zone} to {self.to}"
-        if self.how and not whom:
+        if self.how and not targets:
             return f"{self.kind.value} ({self.how})"
-        return f"{self.kind.value}{f' of {whom}' if whom else ''}"
+        return f"{self.kind.value}{f' of {targets}' if targets else ''}"
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
+    """A scenario with all values drawn: the deployment, the load and the faults of one simulated run."""
+
     scenario: Scenario
     name: str
     seed: int
@@ -153,104 +160,117 @@
     plans: tuple[Plan, ...]
     posts: tuple[Post, ...]
     grades: tuple[Grade, ...]
-    parties: tuple[Party, ...]
+    parties: tuple[TenantPlan, ...]
     events: tuple[Event, ...]
-    calls: tuple[float, ...]  # for each tier, the calls that a request there makes to the next one
-    rate_per_s: float  # first tries, on average and without bursts
-    swing: float
-    same_us: int
-    cross_us: int
-    region_us: int  # between regions
+    calls_to_next_tier: tuple[float, ...]  # by tier: mean calls of a request
+    rate_per_s: float  # mean arrival rate of requests, without bursts and retries
+    swing: float  # amplitude of the load's wave, relative to `rate_per_s`
+    same_zone_us: int  # one-way network delays
+    cross_zone_us: int
+    cross_region_us: int
     jitter: float
     zone_weights: tuple[float, ...]
     retries: int
-    try_share: float
+    try_share: float  # of the deadline: a client's time-out for one try
     backoff_us: int
-    honour: float
+    retry_after_share: float  # of the clients, that honour Retry-After
 
     def rng(self, stream: str) -> np.random.Generator:
-        """A generator of this day's own for one purpose: no part of the world disturbs another's draws."""
+        """Return a random generator for one purpose, so that draws for different purposes are independent."""
         return np.random.default_rng([self.seed, *stream.encode()])
 
     @property
     def work_factor(self) -> float:
-        """A request's work over all tiers, in multiples of its class's: deeper calls are made more often."""
-        fan, factor = 1.0, 0.0
-        for tier, calls in zip(self.scenario.tier, self.calls, strict=True):
-            factor += fan * tier.work
-            fan *= calls
+        """A request's work over all tiers, relative to its class's work; deeper tiers get more calls."""
+        calls_per_request, factor = 1.0, 0.0
+        for tier, calls in zip(self.scenario.tier, self.calls_to_next_tier, strict=True):
+            factor += calls_per_request * tier.work
+            calls_per_request *= calls
         return factor
 
     @property
     def regions(self) -> dict[str, str]:
-        """By zone; empty where there are none."""
+        """Region by zone; empty where the scenario has no regions."""
         return {zone: region for region, zones in self.scenario.regions.items() for zone in zones}
 
     def tier_posts(self, tier: int) -> list[Post]:
-        return [post for post in self.posts if post.tier == tier]
+        """Return the sidecars that send to a tier."""
+        return [plan for plan in self.posts if plan.tier == tier]
 
 
 def draw(scenario: Scenario, seed: int, name: str = "") -> Day:
-    """The day that this seed makes of the scenario."""
+    """Draw a day from a scenario; the same seed gives the same day."""
     rng = np.random.default_rng([seed, 1])
-    length_us = int(pick(rng, scenario.seconds) * S)
-    plans = _plans(rng, scenario)
-    posts = _posts(scenario, plans)
-    shares = [pick(rng, c.share) for c in scenario.class_]
-    grades = tuple(
-        Grade(c.name, share / sum(shares), pick(rng, c.work_ms) * 1000, pick(rng, c.spread), c)
-        for c, share in zip(scenario.class_, shares, strict=True)
+    length_us = int(draw_value(rng, scenario.seconds) * US_PER_S)
+    endpoint_plans = _endpoint_plans(rng, scenario)
+    sidecar_plans = _sidecar_plans(scenario, endpoint_plans)
+    shares = [draw_value(rng, class_spec.share) for class_spec in scenario.class_]
+    request_classes = tuple(
+        Grade(
+            class_spec.name,
+            share / sum(shares),
+            draw_value(rng, class_spec.work_ms) * 1000,
+            draw_value(rng, class_spec.spread),
+            class_spec,
+        )
+        for class_spec, share in zip(scenario.class_, shares, strict=True)
     )
-    calls = [pick(rng, tier.calls) for tier in scenario.tier]
-    capacity = _capacity(scenario, plans, grades, calls)
-    rate = capacity * pick(rng, scenario.load.of_capacity)
-    # What a tenant may ask for is a part of what the deployment bears, not of what comes on this day.
-    quota = capacity * pick(rng, scenario.load.quota_of_capacity)
-    parties = []
-    wants = [t.share * pick(rng, t.usage) for t in scenario.tenant]
-    for tenant, want in zip(scenario.tenant, wants, strict=True):
-        parties.append(Party(tenant.name, tenant.share, quota * tenant.share, rate * want / sum(wants)))
-    skew = pick(rng, scenario.load.zone_skew)
+    calls = [draw_value(rng, tier.calls) for tier in scenario.tier]
+    capacity_per_s = _capacity_per_s(scenario, endpoint_plans, request_classes, calls)
+    rate_per_s = capacity_per_s * draw_value(rng, scenario.load.of_capacity)
+    # Quotas are shares of the deployment's capacity, not of the drawn load.
+    quota_per_s = capacity_per_s * draw_value(rng, scenario.load.quota_of_capacity)
+    tenants = []
+    demands = [tenant.share * draw_value(rng, tenant.usage) for tenant in scenario.tenant]
+    for tenant, demand in zip(scenario.tenant, demands, strict=True):
+        tenants.append(
+            TenantPlan(
+                tenant.name, tenant.share, quota_per_s * tenant.share, rate_per_s * demand / sum(demands)
+            )
+        )
+    skew = draw_value(rng, scenario.load.zone_skew)
     weights = 1 + skew * rng.uniform(-1, 1, len(scenario.zones))
     day = Day(
         scenario=scenario,
         name=name,
         seed=seed,
         length_us=length_us,
-        plans=plans,
-        posts=posts,
-        grades=grades,
-        parties=tuple(parties),
-        events=tuple(_events(rng, scenario, plans, posts)),
-        calls=(*calls[1:], 0.0),
-        rate_per_s=rate,
-        swing=pick(rng, scenario.load.swing),
-        same_us=int(pick(rng, scenario.network.same_ms) * 1000),
-        cross_us=int(pick(rng, scenario.network.cross_ms) * 1000),
-        region_us=0,
-        jitter=pick(rng, scenario.network.jitter),
+        plans=endpoint_plans,
+        posts=sidecar_plans,
+        grades=request_classes,
+        parties=tuple(tenants),
+        events=tuple(_events(rng, scenario, endpoint_plans, sidecar_plans)),
+        calls_to_next_tier=(*calls[1:], 0.0),
+        rate_per_s=rate_per_s,
+        swing=draw_value(rng, scenario.load.swing),
+        same_zone_us=int(draw_value(rng, scenario.network.same_ms) * 1000),
+        cross_zone_us=int(draw_value(rng, scenario.network.cross_ms) * 1000),
+        cross_region_us=0,
+        jitter=draw_value(rng, scenario.network.jitter),
         zone_weights=tuple(float(w) for w in weights / weights.sum()),
-        retries=int(pick(rng, scenario.clients.retries)),
-        try_share=pick(rng, scenario.clients.try_share),
-        backoff_us=int(pick(rng, scenario.clients.backoff_ms) * 1000),
-        honour=pick(rng, scenario.clients.honour),
+        retries=int(draw_value(rng, scenario.clients.retries)),
+        try_share=draw_value(rng, scenario.clients.try_share),
+        backoff_us=int(draw_value(rng, scenario.clients.backoff_ms) * 1000),
+        retry_after_share=draw_value(rng, scenario.clients.honour),
     )
-    # Drawn last: days without regions stay as they are.
-    return replace(day, region_us=int(pick(rng, scenario.network.region_ms) * 1000))
+    # Drawn last, so that the other draws of a seed do not depend on it.
+    return replace(day, cross_region_us=int(draw_value(rng, scenario.network.region_ms) * 1000))
 
 
-def _plans(rng: np.random.Generator, scenario: Scenario) -> tuple[Plan, ...]:
+def _endpoint_plans(rng: np.random.Generator, scenario: Scenario) -> tuple[Plan, ...]:
     return tuple(
-        _plan(rng, scenario, tier, depth, number)
+        _endpoint_plan(rng, scenario, tier, depth, number)
         for depth, tier in enumerate(scenario.tier)
         for number in range(tier.endpoints)
     )
 
 
-def _plan(rng: np.random.Generator, scenario: Scenario, tier: Tier, depth: int, number: int) -> Plan:
-    # Kinds are dealt out in their shares, so that two days differ in speeds and not in what there is.
-    shares = np.cumsum([kind.share for kind in tier.kind])
-    kind = tier.kind[int(np.searchsorted(shares / shares[-1], (number + 0.5) / tier.endpoints))]
+def _endpoint_plan(rng: np.random.Generator, scenario: Scenario, tier: Tier, depth: int, number: int) -> Plan:
+    # Kinds are assigned by their shares, not at random: two days differ in speeds, not in the mix of kinds.
+    cumulative_shares = np.cumsum([kind.share for kind in tier.kind])
+    kind = tier.kind[
+        int(np.searchsorted(cumulative_shares / cumulative_shares[-1], (number + 0.5) / tier.endpoints))
+    ]
     choke = tier.choke
     return Plan(
         id=f"{tier.name}-{number}",
@@ -259,111 +279,123 @@
         kind=kind.name,
         cell=number // tier.cell_size,
         cores=kind.cores,
-        speed=pick(rng, kind.speed),
-        slots=max(1, round(pick(rng, kind.slots_per_core) * kind.cores)),
-        queue=round(pick(rng, kind.queue_per_core) * kind.cores),
-        crowded_from=pick(rng, kind.crowded_from) * kind.cores,
-        crowding=pick(rng, kind.crowding),
-        cold_from=pick(rng, kind.cold_from),
-        cold_us=int(pick(rng, kind.cold_s) * S),
+        speed=draw_value(rng, kind.speed),
+        slots=max(1, round(draw_value(rng, kind.slots_per_core) * kind.cores)),
+        queue=round(draw_value(rng, kind.queue_per_core) * kind.cores),
+        crowded_from=draw_value(rng, kind.crowded_from) * kind.cores,
+        crowding=draw_value(rng, kind.crowding),
+        cold_from=draw_value(rng, kind.cold_from),
+        cold_us=int(draw_value(rng, kind.cold_s) * US_PER_S),
         warm_by_work=kind.warm_by == "work",
-        error_rate=pick(rng, kind.error_rate),
+        error_rate=draw_value(rng, kind.error_rate),
         cancels_all=kind.cancels == "all",
-        connections=round(pick(rng, tier.connections.per_core) * kind.cores),
-        handshake_rtts=pick(rng, tier.connections.handshake_rtts),
-        handshake_us=pick(rng, tier.connections.handshake_us),
+        connections=round(draw_value(rng, tier.connections.per_core) * kind.cores),
+        handshake_rtts=draw_value(rng, tier.connections.handshake_rtts),
+        handshake_us=draw_value(rng, tier.connections.handshake_us),
         choke=None
         if choke is None
         else ChokePlan(
-            at=pick(rng, choke.at) * kind.cores,
-            over_us=int(pick(rng, choke.over_s) * S),
-            slower=pick(rng, choke.slower),
-            below=pick(rng, choke.below) * kind.cores,
-            rest_us=int(pick(rng, choke.rest_s) * S),
-            most_us=int(pick(rng, choke.most_s) * S),
+            at=draw_value(rng, choke.at) * kind.cores,
+            over_us=int(draw_value(rng, choke.over_s) * US_PER_S),
+            slower=draw_value(rng, choke.slower),
+            below=draw_value(rng, choke.below) * kind.cores,
+            rest_us=int(draw_value(rng, choke.rest_s) * US_PER_S),
+            most_us=int(draw_value(rng, choke.most_s) * US_PER_S),
         ),
-        fall_factor=scenario.rules.overload_factor,
-        fall_us=int(scenario.rules.fall_ms * 1000),
+        overload_factor=scenario.rules.overload_factor,
+        overload_window_us=int(scenario.rules.fall_ms * 1000),
     )
 
 
-def _posts(scenario: Scenario, plans: Sequence[Plan]) -> tuple[Post, ...]:
-    """Sidecars: some at the front, and one beside each endpoint that calls a further tier."""
-    front = scenario.front.sidecars
+def _sidecar_plans(scenario: Scenario, endpoint_plans: Sequence[Plan]) -> tuple[Post, ...]:
+    """Place the front sidecars, and one sidecar beside each endpoint that calls a further tier."""
+    front_count = scenario.front.sidecars
     zones = scenario.zones
-    posts = [Post(f"front-{i}", 0, i, zones[i % len(zones)], None, front) for i in range(front)]
+    sidecar_plans = [
+        Post(f"front-{i}", 0, i, zones[i % len(zones)], None, front_count) for i in range(front_count)
+    ]
     for depth in range(1, len(scenario.tier)):
-        owners = [plan for plan in plans if plan.tier == depth - 1]
-        posts += [
-            Post(f"beside-{plan.id}", depth, i, plan.zone, plan.id, len(owners))
-            for i, plan in enumerate(owners)
+        caller_plans = [plan for plan in endpoint_plans if plan.tier == depth - 1]
+        sidecar_plans += [
+            Post(f"beside-{plan.id}", depth, i, plan.zone, plan.id, len(caller_plans))
+            for i, plan in enumerate(caller_plans)
         ]
-    return tuple(posts)
+    return tuple(sidecar_plans)
 
 
-def _capacity(
-    scenario: Scenario, plans: Sequence[Plan], grades: Sequence[Grade], calls: Sequence[float]
+def _capacity_per_s(
+    scenario: Scenario,
+    endpoint_plans: Sequence[Plan],
+    request_classes: Sequence[Grade],
+    calls: Sequence[float],
 ) -> float:
-    """First tries a second that the tightest tier bears when all its endpoints are warm."""
-    mean_us = sum(grade.share * grade.work_us for grade in grades)
-    bears, fan = [], 1.0
+    """The request rate that saturates the tier with the least capacity, when all endpoints are warm."""
+    mean_work_us = sum(request_class.share * request_class.work_us for request_class in request_classes)
+    tier_capacities_per_s, calls_per_request = [], 1.0
     for depth, tier in enumerate(scenario.tier):
-        fan *= calls[depth] if depth else 1.0
-        cores = sum(plan.capacity for plan in plans if plan.tier == depth)
-        bears.append(cores * S / (mean_us * tier.work * fan))
-    return min(bears)
+        calls_per_request *= calls[depth] if depth else 1.0
+        cores = sum(plan.capacity for plan in endpoint_plans if plan.tier == depth)
+        tier_capacities_per_s.append(cores * US_PER_S / (mean_work_us * tier.work * calls_per_request))
+    return min(tier_capacities_per_s)
 
 
 def _events(
-    rng: np.random.Generator, scenario: Scenario, plans: Sequence[Plan], posts: Sequence[Post]
+    rng: np.random.Generator,
+    scenario: Scenario,
+    endpoint_plans: Sequence[Plan],
+    sidecar_plans: Sequence[Post],
 ) -> list[Event]:
     events = []
     for trouble in scenario.trouble:
-        at_us = int(pick(rng, trouble.at_s) * S)
+        at_us = int(draw_value(rng, trouble.at_s) * US_PER_S)
         endpoints: list[str] = []
         sidecars: list[str] = []
         zone = trouble.zone or ""
-        if trouble.kind in OF_ZONES and not zone:
+        if trouble.kind in ZONE_TROUBLES and not zone:
             zone = str(rng.choice(scenario.zones))
         zones: tuple[str, ...] = (zone,) if zone else ()
-        if trouble.kind in OF_REGIONS:
+        if trouble.kind in REGION_TROUBLES:
             region = trouble.region or str(rng.choice(list(scenario.regions)))
             zone, zones = region, tuple(scenario.regions[region])
-        part, to = 0.0, ""
+        part, target_zone = 0.0, ""
         if trouble.kind is TroubleKind.ZONE_GREY:
-            grey = GREY_PART if trouble.size is None else 0.0
-            part = grey if trouble.part is None else pick(rng, trouble.part)
+            default_part = DEGRADED_ERROR_SHARE if trouble.size is None else 0.0
+            part = default_part if trouble.part is None else draw_value(rng, trouble.part)
         elif trouble.kind is TroubleKind.CALLERS_MOVE:
-            to = str(rng.choice([other for other in scenario.zones if other != zone] or [zone]))
-        if trouble.kind in LOSSES:
-            endpoints = [plan.id for plan in plans if plan.zone in zones]
-        elif trouble.kind in OF_ENDPOINTS:
+            target_zone = str(rng.choice([other for other in scenario.zones if other != zone] or [zone]))
+        if trouble.kind in LOSS_TROUBLES:
+            endpoints = [plan.id for plan in endpoint_plans if plan.zone in zones]
+        elif trouble.kind in ENDPOINT_TROUBLES:
             tier = next((i for i, t in enumerate(scenario.tier) if t.name == trouble.tier), 0)
-            endpoints = _some(rng, [plan.id for plan in plans if plan.tier == tier], trouble.part)
-        elif trouble.kind in OF_SIDECARS:
-            sidecars = _some(rng, [post.name for post in posts if post.owner is None], trouble.part)
-        size = trouble.size if trouble.size is not None else SIZED.get(trouble.kind, 0.0)
+            endpoints = _draw_subset(
+                rng, [plan.id for plan in endpoint_plans if plan.tier == tier], trouble.part
+            )
+        elif trouble.kind in SIDECAR_TROUBLES:
+            sidecars = _draw_subset(
+                rng, [plan.name for plan in sidecar_plans if plan.owner is None], trouble.part
+            )
+        size = trouble.size if trouble.size is not None else DEFAULT_SIZES.get(trouble.kind, 0.0)
         events.append(
             Event(
                 kind=trouble.kind,
                 at_us=at_us,
-                until_us=at_us + int(pick(rng, trouble.for_s) * S),
-                size=pick(rng, size),
-                every_us=int(pick(rng, trouble.every_s) * S),
+                until_us=at_us + int(draw_value(rng, trouble.for_s) * US_PER_S),
+                size=draw_value(rng, size),
+                every_us=int(draw_value(rng, trouble.every_s) * US_PER_S),
                 endpoints=tuple(endpoints),
                 sidecars=tuple(sidecars),
                 zone=zone,
                 how=trouble.how or "",
                 zones=zones,
                 part=part,
-                to=to,
+                to=target_zone,
             )
         )
     return sorted(events, key=lambda event: event.at_us)
 
 
-def _some(rng: np.random.Generator, names: list[str], part: Drawn | None) -> list[str]:
-    """A part of them, at least one, in the order of their numbers."""
-    count = 1 if part is None else max(1, round(pick(rng, part) * len(names)))
+def _draw_subset(rng: np.random.Generator, names: list[str], part: ValueOrRange | None) -> list[str]:
+    """Draw a part of the names, at least one; keeps their order."""
+    count = 1 if part is None else max(1, round(draw_value(rng, part) * len(names)))
     chosen = rng.choice(len(names), size=min(count, len(names)), replace=False)
     return [names[i] for i in sorted(int(i) for i in chosen)]
--- a/eiderhub/world/endpoint.py
+++ b/eiderhub/world/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint: its slots and waiting room, how fast it works, and what can befall it."""
+"""One endpoint: its slots and queue, its speed, and the faults that it can have."""
 
 from __future__ import annotations
 
@@ -14,392 +14,427 @@
 from eiderhub.world.day import Day, Plan
 from eiderhub.world.processor import Processor
 
-FALL_SLACK_US = 500_000  # of work, by which a cold endpoint's budget may be overdrawn by chance
-WARM_STEP_US = 100_000  # how often the speed of an endpoint that warms up is set anew
-WARM_WORK = 0.5  # an endpoint that warms by work needs this part of what a warm one could do in that time
+OVERLOAD_SLACK_US = 500_000  # of work: the random excess over its budget that a cold endpoint bears
+WARM_UP_STEP_US = 100_000  # interval at which the speed of an endpoint is updated while it warms up
+# An endpoint that warms up by work is warm after this share of the work that a warm one can do in `cold_us`.
+WARM_UP_WORK_SHARE = 0.5
 
 
 class Offer(Enum):
-    """What becomes of a request that arrives."""
+    """The immediate outcome of a request that arrives at an endpoint."""
 
     TAKEN = "taken"
-    DECLINED = "declined"  # turned away: it has not run and never will
-    REFUSED = "refused"  # nobody listens
+    DECLINED = "declined"  # rejected by the endpoint: it has not run and will not run
+    REFUSED = "refused"  # no process listens
 
 
 class Answer(NamedTuple):
-    """A request has ended here."""
+    """Output: a request has ended at this endpoint."""
 
     token: Hashable
     served: bool
 
 
 class Call(NamedTuple):
-    """A request needs the next tier; its slot is kept until `called` tells how that went."""
+    """Output: a request calls the next tier; it keeps its slot until the host reports the outcome."""
 
     token: Hashable
 
 
 class Fell(NamedTuple):
-    """A cold endpoint was pushed over: work of the last while in all, and from senders told of its start."""
+    """Output: a cold endpoint crashed because it was sent too much work within the overload window."""
 
     work_us: float
-    told_us: float
+    informed_work_us: float  # the part of it from senders that had the endpoint's start time from discovery
 
 
-Said = Answer | Call | Fell
+Output = Answer | Call | Fell
 
 
 class State(Enum):
+    """The state of an endpoint's process."""
+
     UP = "up"
-    DRAINING = "draining"  # it completes what it holds and takes nothing new
+    DRAINING = "draining"  # it completes the requests that it has and declines new ones
     DOWN = "down"
 
 
 class DedupGroup:
-    """What the endpoints of one group remember of the keys that they have served."""
+    """The idempotency keys that the endpoints of one group have served, with the times."""
 
     def __init__(self, window_us: int) -> None:
         self.window_us = window_us
         self._served: dict[str, int] = {}
 
-    def done(self, now_us: int, key: str) -> bool:
-        at = self._served.get(key)
-        return at is not None and now_us - at <= self.window_us
+    def served_recently(self, now_us: int, key: str) -> bool:
+        """Return whether the key was served within the window."""
+        served_us = self._served.get(key)
+        return served_us is not None and now_us - served_us <= self.window_us
 
-    def remember(self, now_us: int, key: str) -> None:
-        # In order of time, so the first ones are the oldest.
-        for old in list(self._served):
-            if now_us - self._served[old] <= self.window_us:
+    def record(self, now_us: int, key: str) -> None:
+        """Record a served key, and evict the expired ones."""
+        # Ordered by time: the first ones are the oldest.
+        for old_key in list(self._served):
+            if now_us - self._served[old_key] <= self.window_us:
                 break
-            del self._served[old]
+            del self._served[old_key]
         self._served.pop(key, None)
         self._served[key] = now_us
 
 
 @dataclass(slots=True, eq=False)
 class Work:
-    """One request here."""
+    """One request at an endpoint."""
 
     token: Hashable
-    work_us: float  # its own work at this endpoint
-    calls: int  # to the next tier, still to be made
+    work_us: float  # work of this endpoint alone, in microseconds of a core of speed 1
+    calls_left: int  # calls to the next tier that it has still to make
     key: str | None = None
-    dedup: DedupGroup | None = None  # where a repeat of the key is dropped
-    calling: bool = False
+    dedup: DedupGroup | None = None  # suppresses repeats of the key
+    awaiting_call: bool = False
     running: bool = False
     parts: int = field(init=False)
 
     def __post_init__(self) -> None:
-        self.parts = self.calls + 1  # own work comes in equal parts before, between and after the calls
+        self.parts = self.calls_left + 1  # equal parts of the work before, between and after the calls
 
 
 def dedup_groups(day: Day) -> dict[tuple[str, str], DedupGroup]:
-    """For each endpoint and class with keys, whom it shares its memory of them with."""
+    """Return the group that records served keys, by endpoint id and name of a deduplicated request class."""
     groups: dict[tuple[str, int, str], DedupGroup] = {}
-    found = {}
-    for grade in day.grades:
-        spec = grade.spec
+    groups_by_endpoint = {}
+    for request_class in day.grades:
+        spec = request_class.spec
         if spec.effect is not Effect.DEDUPLICATED:
             continue
         for plan in day.plans:
-            place = {Group.ALL: "", Group.ZONE: plan.zone, Group.CELL: str(plan.cell)}[spec.group]
-            group = groups.setdefault((grade.name, plan.tier, place), DedupGroup(int(spec.window_ms * 1000)))
-            found[plan.id, grade.name] = group
-    return found
+            scope = {Group.ALL: "", Group.ZONE: plan.zone, Group.CELL: str(plan.cell)}[spec.group]
+            group = groups.setdefault(
+                (request_class.name, plan.tier, scope), DedupGroup(int(spec.window_ms * 1000))
+            )
+            groups_by_endpoint[plan.id, request_class.name] = group
+    return groups_by_endpoint
 
 
 class Endpoint:
-    """Told the time with every call; `advance` says what has happened by then."""
+    """A simulated endpoint. Each call takes the current time; `advance` returns the outputs up to then.
+
+    The host calls `advance` at the time that `next_us` returns, and may call it at any other time.
+    """
 
     def __init__(self, plan: Plan, rng: np.random.Generator) -> None:
         self.plan = plan
         self.state = State.UP
-        self.started_us: int | None = None  # None: long ago, and warm
+        self.started_us: int | None = None  # None: the endpoint is warm
         self.hung_until_us = 0
         self.paused_until_us = 0
-        self.slowed = 1.0  # by what all endpoints depend on
-        self.failing = 0.0  # share of calls
-        self.choked_us: int | None = None  # since when
+        self.slowdown = 1.0  # factor by which faults outside the endpoint slow it down
+        self.error_share = 0.0  # share of the requests that end as errors, because of a fault
+        self.choked_since_us: int | None = None
         self.choked_ever = False
-        self.wasted_us = 0.0  # work done for requests that nobody waits for
+        self.wasted_us = 0.0  # work of requests that were cancelled or lost
         self._rng = rng
         self._cpu = Processor(plan.cores, plan.speed)
         self._handshakes = 0
-        self._work: dict[Hashable, Work] = {}
+        self._requests: dict[Hashable, Work] = {}
         self._queue: deque[Work] = deque()
-        self._held = 0  # slots in use
-        self._crowded_since: int | None = None
-        self._idle_since: int | None = None
-        self._warm_work = 0.0  # done since the start
-        self._recent: deque[tuple[int, float, bool]] = deque()  # came while cold: when, work, from whom told
-        self._recent_us = 0.0
-        self._recent_told_us = 0.0
-        self._said: list[Said] = []
-
-    # --- what others ask ---
+        self._slots_used = 0
+        self._backlog_since_us: int | None = None
+        self._idle_since_us: int | None = None
+        self._work_since_start_us = 0.0
+        # Requests that arrived while it was cold: time, work, whether the sender had its start time.
+        self._cold_offers: deque[tuple[int, float, bool]] = deque()
+        self._cold_work_us = 0.0
+        self._cold_informed_work_us = 0.0
+        self._outputs: list[Output] = []
+
+    # --- queries ---
 
     @property
-    def in_work(self) -> int:
-        return len(self._work)
+    def in_flight(self) -> int:
+        """The number of requests here, queued ones included."""
+        return len(self._requests)
 
-    def warmth(self, now_us: int) -> float:
-        """The part of its capacity that it has now."""
+    def capacity_share(self, now_us: int) -> float:
+        """The share of its full capacity that the endpoint has now; below 1 while it warms up."""
         if self.started_us is None:
             return 1.0
         plan = self.plan
-        gained = (now_us - self.started_us) / plan.cold_us
+        progress = (now_us - self.started_us) / plan.cold_us
         if plan.warm_by_work:
-            gained = max(gained, self._warm_work / (WARM_WORK * plan.capacity * plan.cold_us))
-        if gained >= 1:
+            progress = max(
+                progress, self._work_since_start_us / (WARM_UP_WORK_SHARE * plan.capacity * plan.cold_us)
+            )
+        if progress >= 1:
             self.started_us = None
             return 1.0
-        return plan.cold_from + (1 - plan.cold_from) * max(0.0, gained)
+        return plan.cold_from + (1 - plan.cold_from) * max(0.0, progress)
 
     # --- requests ---
 
-    def offer(self, now_us: int, work: Work, told: bool, connections: int = 1) -> Offer:
-        """A request has arrived whole.
+    def offer(self, now_us: int, request: Work, sender_informed: bool, connections: int = 1) -> Offer:
+        """Accept, decline or refuse a request that has arrived completely.
 
-        `told` says whether its sender knows when this endpoint started, `connections` how many are open here.
+        Args:
+            now_us: the current time.
+            request: the request.
+            sender_informed: whether the sender has the endpoint's start time from discovery.
+            connections: open connections at this endpoint.
         """
         if self.state is State.DOWN:
             return Offer.REFUSED
-        self._settle(now_us)
-        if self._weigh(now_us, work.work_us, told):
+        self._process_finished(now_us)
+        if self._check_cold_overload(now_us, request.work_us, sender_informed):
             return Offer.REFUSED
         hung = now_us < self.hung_until_us
-        full = self._held >= self.plan.slots and len(self._queue) >= self.plan.queue
-        crowd = connections > self.plan.connections
-        if self.state is State.DRAINING or crowd or (full and not hung):
+        full = self._slots_used >= self.plan.slots and len(self._queue) >= self.plan.queue
+        too_many_connections = connections > self.plan.connections
+        if self.state is State.DRAINING or too_many_connections or (full and not hung):
             return Offer.DECLINED
-        self._work[work.token] = work
-        if work.key is not None and work.dedup is not None and work.dedup.done(now_us, work.key):
-            work.calls, work.work_us = 0, 0.0  # the repeat is dropped: what there was is told again
-        if self._held < self.plan.slots:
-            self._start(now_us, work)
+        self._requests[request.token] = request
+        if (
+            request.key is not None
+            and request.dedup is not None
+            and request.dedup.served_recently(now_us, request.key)
+        ):
+            # A repeat does not run: the recorded answer is sent again.
+            request.calls_left, request.work_us = 0, 0.0
+        if self._slots_used < self.plan.slots:
+            self._start_request(now_us, request)
         else:
-            self._queue.append(work)
-        self._retune(now_us)
+            self._queue.append(request)
+        self._update_speed(now_us)
         return Offer.TAKEN
 
     def handshake(self, now_us: int) -> None:
-        """A new connection has come up: its price is work, done before anything else."""
+        """Account the work of a new connection's handshake, which competes with the requests."""
         if self.state is not State.DOWN and self.plan.handshake_us:
-            self._settle(now_us)
-            self._handshakes += 1  # a key of its own: two may come up within a microsecond
+            self._process_finished(now_us)
+            self._handshakes += 1  # a key per handshake: two may occur in the same microsecond
             self._cpu.add(now_us, ("handshake", self._handshakes), self.plan.handshake_us)
 
     def called(self, now_us: int, token: Hashable, served: bool) -> None:
-        """How the call to the next tier ended."""
-        work = self._work.get(token)
-        if work is None or not work.calling:
+        """Record the outcome of a request's call to the next tier."""
+        request = self._requests.get(token)
+        if request is None or not request.awaiting_call:
             return
-        self._settle(now_us)
-        work.calling = False
+        self._process_finished(now_us)
+        request.awaiting_call = False
         if served:
-            work.calls -= 1
-            self._run(now_us, work)
+            request.calls_left -= 1
+            self._run_part(now_us, request)
         else:
-            self._end(now_us, work, served=False)
-        self._retune(now_us)
+            self._end_request(now_us, request, served=False)
+        self._update_speed(now_us)
 
     def cancel(self, now_us: int, token: Hashable) -> None:
-        """Nobody waits for this request any more."""
-        self._settle(now_us)  # which may be its end
-        work = self._work.get(token)
-        if work is None:
+        """Cancel a request whose sender no longer waits; depending on the kind, a running one runs on."""
+        self._process_finished(now_us)  # may end this request
+        request = self._requests.get(token)
+        if request is None:
             return
-        if work in self._queue:
-            self._queue.remove(work)
-            del self._work[token]
+        if request in self._queue:
+            self._queue.remove(request)
+            del self._requests[token]
         elif self.plan.cancels_all:
-            if work.running:
+            if request.running:
                 self._cpu.remove(now_us, token)
-            self.wasted_us += work.work_us
-            self._free(now_us, work)
+            self.wasted_us += request.work_us
+            self._release_slot(now_us, request)
         else:
-            self.wasted_us += work.work_us  # it goes on for nobody
-        self._retune(now_us)
+            self.wasted_us += request.work_us  # it runs on, and its answer is discarded
+        self._update_speed(now_us)
 
-    # --- what befalls it ---
+    # --- faults and lifecycle ---
 
     def hang(self, now_us: int, until_us: int) -> None:
-        self._settle(now_us)
+        """Accept requests beyond the queue's length, and process none until then."""
+        self._process_finished(now_us)
         self.hung_until_us = max(self.hung_until_us, until_us)
-        self._retune(now_us)
+        self._update_speed(now_us)
 
     def pause(self, now_us: int, until_us: int) -> None:
-        self._settle(now_us)
+        """Process nothing until then."""
+        self._process_finished(now_us)
         self.paused_until_us = max(self.paused_until_us, until_us)
-        self._retune(now_us)
+        self._update_speed(now_us)
 
     def slow(self, now_us: int, factor: float) -> None:
-        self._settle(now_us)
-        self.slowed = factor
-        self._retune(now_us)
+        """Slow down by this factor from now on; 1 is the normal speed."""
+        self._process_finished(now_us)
+        self.slowdown = factor
+        self._update_speed(now_us)
 
     def fail(self, share: float) -> None:
-        """From now on this share of what it serves ends as an error."""
-        self.failing = share
+        """Let this share of the requests end as errors from now on."""
+        self.error_share = share
 
     def drain(self, now_us: int) -> None:
-        self._settle(now_us)
+        """Decline new requests from now on, and complete the present ones."""
+        self._process_finished(now_us)
         if self.state is State.UP:
             self.state = State.DRAINING
 
     def die(self, now_us: int) -> None:
-        """All it held is gone, and nobody listens."""
-        self._settle(now_us)
+        """Stop the process at once: all requests are lost, and new ones are refused."""
+        self._process_finished(now_us)
         self.state = State.DOWN
-        self.wasted_us += sum(work.work_us for work in self._work.values())
-        self._work.clear()
+        self.wasted_us += sum(request.work_us for request in self._requests.values())
+        self._requests.clear()
         self._queue.clear()
-        self._held = 0
+        self._slots_used = 0
         self._cpu = Processor(self.plan.cores, self.plan.speed)
         self._cpu.advance(now_us)
-        self._said.clear()
-        self._recent.clear()
-        self._recent_us = self._recent_told_us = 0.0
+        self._outputs.clear()
+        self._cold_offers.clear()
+        self._cold_work_us = self._cold_informed_work_us = 0.0
 
     def start(self, now_us: int) -> None:
-        """A new process, cold, under the same id."""
+        """Start a new process under the same id; it is cold."""
         self.state = State.UP
         self.started_us = now_us
         self.hung_until_us = self.paused_until_us = 0
-        self.choked_us = self._crowded_since = self._idle_since = None
-        self._warm_work = 0.0
-        self._retune(now_us)
+        self.choked_since_us = self._backlog_since_us = self._idle_since_us = None
+        self._work_since_start_us = 0.0
+        self._update_speed(now_us)
 
     # --- time ---
 
-    def advance(self, now_us: int) -> list[Said]:
-        """What has happened by now, in its order."""
-        self._settle(now_us)
-        self._retune(now_us)
-        said, self._said = self._said, []
-        return said
+    def advance(self, now_us: int) -> list[Output]:
+        """Return the outputs since the last call, in the order of their times."""
+        self._process_finished(now_us)
+        self._update_speed(now_us)
+        outputs, self._outputs = self._outputs, []
+        return outputs
 
     def next_us(self, now_us: int) -> int | None:
-        """When it next has something to say, or to change, if nothing comes."""
-        if self._said:
+        """The time of the next output or change of speed, if nothing else happens before; None: never."""
+        if self._outputs:
             return now_us
-        moments = [self._cpu.next_us()]
-        moments += [until for until in (self.hung_until_us, self.paused_until_us) if until > now_us]
+        times_us = [self._cpu.next_us()]
+        times_us += [until_us for until_us in (self.hung_until_us, self.paused_until_us) if until_us > now_us]
         choke = self.plan.choke
         if choke is not None and self.state is not State.DOWN:
-            if self.choked_us is not None:
-                moments.append(self.choked_us + choke.most_us)
-                if self._idle_since is not None:
-                    moments.append(self._idle_since + choke.rest_us)
-            elif self._crowded_since is not None:
-                moments.append(self._crowded_since + choke.over_us)
+            if self.choked_since_us is not None:
+                times_us.append(self.choked_since_us + choke.most_us)
+                if self._idle_since_us is not None:
+                    times_us.append(self._idle_since_us + choke.rest_us)
+            elif self._backlog_since_us is not None:
+                times_us.append(self._backlog_since_us + choke.over_us)
         if self.started_us is not None and self.state is not State.DOWN and len(self._cpu):
-            moments.append(now_us + WARM_STEP_US)
-        known = [moment for moment in moments if moment is not None]
-        return max(now_us, min(known)) if known else None
+            times_us.append(now_us + WARM_UP_STEP_US)
+        known_times_us = [time_us for time_us in times_us if time_us is not None]
+        return max(now_us, min(known_times_us)) if known_times_us else None
 
-    # --- within ---
+    # --- internals ---
 
-    def _settle(self, now_us: int) -> None:
-        """Carry out what the processor has finished by now."""
+    def _process_finished(self, now_us: int) -> None:
+        """Process the jobs that the processor has finished by now."""
         while True:
-            ended = self._cpu.ended(now_us)
-            if not ended:
+            finished_tokens = self._cpu.finished(now_us)
+            if not finished_tokens:
                 return
-            for token in ended:
-                work = self._work.get(token)
-                if work is not None:  # else a handshake
-                    self._ran(now_us, work)
-
-    def _ran(self, now_us: int, work: Work) -> None:
-        """One part of its own work is done: a call follows, or its end."""
-        work.running = False
-        part = work.work_us / work.parts
-        self._warm_work += part
-        if work.calls > 0:
-            work.calling = True
-            self._said.append(Call(work.token))
+            for token in finished_tokens:
+                request = self._requests.get(token)
+                if request is not None:  # otherwise the job was a handshake
+                    self._part_finished(now_us, request)
+
+    def _part_finished(self, now_us: int, request: Work) -> None:
+        """Continue a request after a part of its work: with a call to the next tier, or with its end."""
+        request.running = False
+        part_us = request.work_us / request.parts
+        self._work_since_start_us += part_us
+        if request.calls_left > 0:
+            request.awaiting_call = True
+            self._outputs.append(Call(request.token))
             return
-        served = self._rng.random() >= max(self.plan.error_rate, self.failing)
-        if served and work.key is not None and work.dedup is not None:
-            work.dedup.remember(now_us, work.key)
-        self._end(now_us, work, served)
-
-    def _end(self, now_us: int, work: Work, served: bool) -> None:
-        self._said.append(Answer(work.token, served))
-        self._free(now_us, work)
-
-    def _free(self, now_us: int, work: Work) -> None:
-        """Give the slot to whoever waits longest."""
-        del self._work[work.token]
-        self._held -= 1
-        if self._queue and self._held < self.plan.slots:
-            self._start(now_us, self._queue.popleft())
-
-    def _start(self, now_us: int, work: Work) -> None:
-        self._held += 1
-        self._run(now_us, work)
-
-    def _run(self, now_us: int, work: Work) -> None:
-        work.running = True
-        self._cpu.add(now_us, work.token, work.work_us / work.parts)
-
-    def _retune(self, now_us: int) -> None:
-        """Set the speed by all that bears on it."""
-        self._choke(now_us)
+        served = self._rng.random() >= max(self.plan.error_rate, self.error_share)
+        if served and request.key is not None and request.dedup is not None:
+            request.dedup.record(now_us, request.key)
+        self._end_request(now_us, request, served)
+
+    def _end_request(self, now_us: int, request: Work, served: bool) -> None:
+        self._outputs.append(Answer(request.token, served))
+        self._release_slot(now_us, request)
+
+    def _release_slot(self, now_us: int, request: Work) -> None:
+        """Remove a request, and give its slot to the request that has waited longest."""
+        del self._requests[request.token]
+        self._slots_used -= 1
+        if self._queue and self._slots_used < self.plan.slots:
+            self._start_request(now_us, self._queue.popleft())
+
+    def _start_request(self, now_us: int, request: Work) -> None:
+        self._slots_used += 1
+        self._run_part(now_us, request)
+
+    def _run_part(self, now_us: int, request: Work) -> None:
+        request.running = True
+        self._cpu.add(now_us, request.token, request.work_us / request.parts)
+
+    def _update_speed(self, now_us: int) -> None:
+        """Set the processor's speed from warm-up, slowdown, choke, number of requests, hangs and pauses."""
+        self._update_choke(now_us)
         plan = self.plan
-        speed = plan.speed * self.warmth(now_us) / self.slowed
-        if self.choked_us is not None and plan.choke is not None:
+        speed = plan.speed * self.capacity_share(now_us) / self.slowdown
+        if self.choked_since_us is not None and plan.choke is not None:
             speed /= plan.choke.slower
-        over = self.in_work / plan.crowded_from - 1
-        if over > 0:
-            speed /= 1 + plan.crowding * over
+        overcrowding = self.in_flight / plan.crowded_from - 1
+        if overcrowding > 0:
+            speed /= 1 + plan.crowding * overcrowding
         if now_us < self.hung_until_us or now_us < self.paused_until_us:
             speed = 0.0
         if speed != self._cpu.speed:
             self._cpu.set_speed(now_us, speed)
 
-    def _choke(self, now_us: int) -> None:
-        """Overrun for a while it gets slow, and stays so until it has been idle, or for long."""
+    def _update_choke(self, now_us: int) -> None:
+        """Start and end the choke: after an overlong backlog the endpoint is slow for a while.
+
+        The choke starts when more than `at` requests have waited for `over_us`; it ends after `rest_us` with
+        fewer than `below` running jobs, and after `most_us` in any case.
+        """
         choke = self.plan.choke
         if choke is None:
             return
         waiting = len(self._queue) + max(0, len(self._cpu) - self.plan.cores)
-        if self.choked_us is not None:
+        if self.choked_since_us is not None:
             if len(self._cpu) >= choke.below:
-                self._idle_since = None
-            elif self._idle_since is None:
-                self._idle_since = now_us
-            rested = self._idle_since is not None and now_us - self._idle_since >= choke.rest_us
-            if rested or now_us - self.choked_us >= choke.most_us:
-                self.choked_us = self._idle_since = self._crowded_since = None
+                self._idle_since_us = None
+            elif self._idle_since_us is None:
+                self._idle_since_us = now_us
+            rested = self._idle_since_us is not None and now_us - self._idle_since_us >= choke.rest_us
+            if rested or now_us - self.choked_since_us >= choke.most_us:
+                self.choked_since_us = self._idle_since_us = self._backlog_since_us = None
         elif waiting > choke.at:
-            if self._crowded_since is None:
-                self._crowded_since = now_us
-            if now_us - self._crowded_since >= choke.over_us:
-                self.choked_us, self._crowded_since, self.choked_ever = now_us, None, True
+            if self._backlog_since_us is None:
+                self._backlog_since_us = now_us
+            if now_us - self._backlog_since_us >= choke.over_us:
+                self.choked_since_us, self._backlog_since_us, self.choked_ever = now_us, None, True
         else:
-            self._crowded_since = None
+            self._backlog_since_us = None
 
-    def _weigh(self, now_us: int, work_us: float, told: bool) -> bool:
-        """Whether what a cold endpoint is sent, taken or not, pushes it over now."""
-        warmth = self.warmth(now_us)
+    def _check_cold_overload(self, now_us: int, work_us: float, sender_informed: bool) -> bool:
+        """Account a request to a cold endpoint, accepted or not; return whether it crashes the endpoint."""
+        capacity_share = self.capacity_share(now_us)
         if self.started_us is None:
-            self._recent.clear()
-            self._recent_us = self._recent_told_us = 0.0
+            self._cold_offers.clear()
+            self._cold_work_us = self._cold_informed_work_us = 0.0
             return False
         plan = self.plan
-        self._recent.append((now_us, work_us, told))
-        self._recent_us += work_us
-        self._recent_told_us += work_us * told
-        while self._recent[0][0] < now_us - plan.fall_us:
-            _, old_us, was_told = self._recent.popleft()
-            self._recent_us -= old_us
-            self._recent_told_us -= old_us * was_told
-        if self._recent_us <= plan.fall_factor * plan.capacity * warmth * plan.fall_us + FALL_SLACK_US:
+        self._cold_offers.append((now_us, work_us, sender_informed))
+        self._cold_work_us += work_us
+        self._cold_informed_work_us += work_us * sender_informed
+        while self._cold_offers[0][0] < now_us - plan.overload_window_us:
+            _, old_us, was_informed = self._cold_offers.popleft()
+            self._cold_work_us -= old_us
+            self._cold_informed_work_us -= old_us * was_informed
+        if (
+            self._cold_work_us
+            <= plan.overload_factor * plan.capacity * capacity_share * plan.overload_window_us
+            + OVERLOAD_SLACK_US
+        ):
             return False
-        fell = Fell(self._recent_us, self._recent_told_us)
+        overload = Fell(self._cold_work_us, self._cold_informed_work_us)
         self.die(now_us)
-        self._said.append(fell)
+        self._outputs.append(overload)
         return True
--- a/eiderhub/world/front.py
+++ b/eiderhub/world/front.py
@@ -1,4 +1,4 @@
-"""The front: which sidecars it sends new connections to, by what they answer to `/up`."""
+"""The load balancer in front of the sidecars: chooses one for each new connection by readiness probes."""
 
 from __future__ import annotations
 
@@ -7,70 +7,87 @@
 
 import numpy as np
 
-from eiderhub.world.day import Day, Post, pick
+from eiderhub.world.day import Day, Post, draw_value
 
 
 @dataclass(slots=True)
-class _Known:
-    post: Post
-    up: bool = False
-    no_since_us: int | None = None  # the first no after a yes
-    silent_since_us: int | None = None  # nobody has answered since
+class _SidecarStatus:
+    """The probe results of one front sidecar."""
+
+    plan: Post
+    ready: bool = False
+    unready_since_us: int | None = None  # first negative answer after a positive one
+    unanswered_since_us: int | None = None  # first probe without an answer after an answered one
 
 
 class Front:
-    """Told of each answer to `/up`; asked where a new connection goes."""
+    """Records the answers to `/up` probes and chooses a sidecar for each new connection.
+
+    It reacts late, as real load balancers do: a sidecar that has become unready or has failed still gets new
+    connections for a while.
+    """
 
     def __init__(self, day: Day) -> None:
         spec = day.scenario.front
         rng = day.rng("front")
-        self._after_no_us = int(spec.after_no_ms * 1000)
-        self._notice_us = int(pick(rng, spec.notice_s) * 1e6)
+        self._unready_delay_us = int(spec.after_no_ms * 1000)
+        self._failure_delay_us = int(draw_value(rng, spec.notice_s) * 1e6)
         self._rng = rng
-        self._moved: dict[str, str] = {}  # zones whose clients come by another one's front
-        self._known = {post.name: _Known(post) for post in day.posts if post.owner is None}
-
-    def answered(self, now_us: int, name: str, yes: bool) -> None:
-        known = self._known[name]
-        known.silent_since_us = None
-        if yes:
-            known.up, known.no_since_us = True, None
-        elif known.up and known.no_since_us is None:
-            known.no_since_us = now_us
+        self._redirects: dict[str, str] = {}  # by zone of the clients, the zone whose sidecars they use
+        self._statuses = {post.name: _SidecarStatus(post) for post in day.posts if post.owner is None}
+
+    def answered(self, now_us: int, name: str, ready: bool) -> None:
+        """Record the answer of a sidecar to a probe."""
+        status = self._statuses[name]
+        status.unanswered_since_us = None
+        if ready:
+            status.ready, status.unready_since_us = True, None
+        elif status.ready and status.unready_since_us is None:
+            status.unready_since_us = now_us
 
     def silent(self, now_us: int, name: str) -> None:
-        """No connection, or no answer: a death, which is noticed late."""
-        known = self._known[name]
-        if known.silent_since_us is None:
-            known.silent_since_us = now_us
-
-    def takes_new(self, now_us: int, name: str) -> bool:
-        known = self._known[name]
-        if not known.up:
+        """Record a probe without connection or answer: a failed sidecar, which is detected with a delay."""
+        status = self._statuses[name]
+        if status.unanswered_since_us is None:
+            status.unanswered_since_us = now_us
+
+    def accepts_connections(self, now_us: int, name: str) -> bool:
+        """Return whether new connections are sent to this sidecar."""
+        status = self._statuses[name]
+        if not status.ready:
             return False
-        if known.no_since_us is not None and now_us - known.no_since_us >= self._after_no_us:
-            known.up, known.no_since_us = False, None
-        if known.silent_since_us is not None and now_us - known.silent_since_us >= self._notice_us:
-            known.up = False
-        return known.up
-
-    def move(self, zone: str, to: str | None) -> None:
-        """Clients of this zone come by the front of that one from now on; None: by their own again."""
-        if to is None:
-            self._moved.pop(zone, None)
+        if status.unready_since_us is not None and now_us - status.unready_since_us >= self._unready_delay_us:
+            status.ready, status.unready_since_us = False, None
+        if (
+            status.unanswered_since_us is not None
+            and now_us - status.unanswered_since_us >= self._failure_delay_us
+        ):
+            status.ready = False
+        return status.ready
+
+    def move(self, zone: str, target_zone: str | None) -> None:
+        """Send clients of a zone to the sidecars of another zone from now on; None ends the redirection."""
+        if target_zone is None:
+            self._redirects.pop(zone, None)
         else:
-            self._moved[zone] = to
-
-    def choose(self, now_us: int, zone: str, kept: Callable[[str], bool]) -> str | None:
-        """A sidecar of the zone, of any where it has none; `kept` says whose connections stand idle."""
-        open_ones = [
-            known.post for name, known in self._known.items() if self.takes_new(now_us, name) or kept(name)
+            self._redirects[zone] = target_zone
+
+    def choose(self, now_us: int, zone: str, has_idle_connection: Callable[[str], bool]) -> str | None:
+        """Choose a sidecar of the zone, or of any zone where that one has none; None: there is none at all.
+
+        `has_idle_connection` returns whether an idle connection to a sidecar is open, which may be used again
+        also where no new connections are accepted.
+        """
+        usable = [
+            status.plan
+            for name, status in self._statuses.items()
+            if self.accepts_connections(now_us, name) or has_idle_connection(name)
         ]
-        zone = self._moved.get(zone, zone)
-        here = [post for post in open_ones if post.zone == zone]
-        return _one_of(here or open_ones, self._rng)
+        zone = self._redirects.get(zone, zone)
+        in_zone = [plan for plan in usable if plan.zone == zone]
+        return _choose_at_random(in_zone or usable, self._rng)
 
 
-def _one_of(posts: Iterable[Post], rng: np.random.Generator) -> str | None:
-    found = list(posts)
-    return found[int(rng.integers(len(found)))].name if found else None
+def _choose_at_random(plans: Iterable[Post], rng: np.random.Generator) -> str | None:
+    candidates = list(plans)
+    return candidates[int(rng.integers(len(candidates)))].name if candidates else None
--- a/eiderhub/world/judge.py
+++ b/eiderhub/world/judge.py
@@ -1,4 +1,7 @@
-"""The judge of the four rules and of a day's worth. It sees the truth and shares no code with the module."""
+"""Evaluation of a day: checks the four rules, and computes the score.
+
+It is based on the true state of the deployment, and shares no code with the balancer under test.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +19,18 @@
 from eiderhub.world.endpoint import Fell
 from eiderhub.world.registry import Entry, Listing
 
-SOCKET_SLACK_US = 50_000  # by which every limit is wider on sockets
-TOLD_SHARE = 2 / 3  # of the work that pushed an endpoint over, from senders told of its start
+SOCKET_SLACK_US = 50_000  # added to each time limit, because sockets delay what is observed
+# The crash of a cold endpoint is a breach when at least this share of the work that caused it came from
+# senders that had the endpoint's start time from discovery.
+INFORMED_WORK_SHARE = 2 / 3
 WINDOW_STEP_US = 1_000_000
-MOST_BREACHES = 100  # kept with their words; all are counted
-ASK_AGAIN = 4  # after a failed call, so many times `ask_every` may pass
+MAX_BREACHES = 100  # stored with their texts; all are counted
+FAILED_CALL_FACTOR = 4  # extends `ask_every_s` after a failed call to discovery
 
 
 class Rule(Enum):
+    """The rules that a balancer must keep."""
+
     NO_DROPPED_REQUEST = "no dropped request"
     EFFECT_ONCE = "each effect once"
     SAFE_DRAIN = "safe drain"
@@ -32,21 +39,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Breach:
+    """One violation of a rule."""
+
     rule: Rule
     at_us: int
     what: str
 
 
 class Fate(Enum):
-    """What a request comes to whose connection ended without a whole answer."""
+    """The outcome of a request whose connection ended before its answer was complete."""
 
     LOST = "lost"
-    UNREAD = "unread"  # the close crossed it: the client sends it once more
+    UNREAD = "unread"  # the sidecar closed an idle connection meanwhile: the client sends the request again
     FAILED = "failed"
 
 
 @dataclass(slots=True)
 class _Attempt:
+    """One attempt of a sidecar at an endpoint."""
+
     plan: Plan
     at_us: int
     never_ran: bool = False
@@ -55,46 +66,50 @@
 
 @dataclass(slots=True)
 class _Request:
+    """One request that a sidecar has received, with its attempts."""
+
     sidecar: str
-    grade: Grade
-    over: bool = False
+    request_class: Grade
+    ended: bool = False
     attempts: list[_Attempt] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class _Knowledge:
-    """What one sidecar counts as having been told."""
+class _SidecarView:
+    """The state of discovery that one sidecar has received."""
 
-    left: dict[str, int] = field(default_factory=dict)  # endpoints that drain or are gone, since when
-    started: dict[str, int | None] = field(default_factory=dict)
-    asked_us: int = 0
-    failed: bool = False
-    watching: bool = False
+    # By endpoint: when the sidecar received that it drains or has ended.
+    leaving_since_us: dict[str, int] = field(default_factory=dict)
+    started_us: dict[str, int | None] = field(default_factory=dict)
+    last_call_us: int = 0
+    last_call_failed: bool = False
+    call_open: bool = False
 
 
 @dataclass(slots=True)
 class Row:
-    """Requests of one class or tenant, each by how it ended."""
+    """Requests of one request class or tenant, counted by outcome, and their worth."""
 
     asked: int = 0
     served: int = 0
-    late: int = 0  # served, but after the wanted time
+    late: int = 0  # served after the class's target latency
     refused: int = 0
     failed: int = 0
-    worth: float = 0.0
-    wanted: float = 0.0
+    worth: float = 0.0  # gained
+    wanted: float = 0.0  # worth of all requests, if each was served in time
 
     @property
     def share(self) -> float:
+        """The gained share of the worth; 1 without requests."""
         return self.worth / self.wanted if self.wanted else 1.0
 
 
 @dataclass(slots=True)
 class Verdict:
-    """The figures of a day. Shares are parts of the worth that was asked for; times in milliseconds."""
+    """The result of a day. Shares are gained shares of the requests' worth."""
 
     score: float  # 0 where a rule is broken
-    goodput: float  # the parts together, before anything is taken off
+    goodput: float  # weighted sum of `whole`, `worst_window`, `worst_class` and `worst_tenant`
     whole: float
     worst_window: float
     worst_window_at_s: float
@@ -103,306 +118,355 @@
     deductions: dict[str, float]
     classes: dict[str, Row]
     tenants: dict[str, Row]
-    latency_ms: dict[str, float]  # p50, p90, p99 of what was served, from the first try on
+    latency_ms: dict[str, float]  # p50, p90, p99 of the served requests, from the first try on
     tries_per_request: float
-    attempts_per_request: float  # by front sidecars, for each request that they took
+    attempts_per_request: float  # of front sidecars, per request that they received
     cross_zone_calls: int
-    cross_region_calls: int  # of those
+    cross_region_calls: int  # part of `cross_zone_calls`
     declined: int
     fallen: int
     breaches: dict[str, int]
     first_breaches: list[str]
-    timeline: list[tuple[float, float]]  # for each second: worth that arrived, and what of it was got
+    timeline: list[tuple[float, float]]  # by second of arrival: worth of the requests, gained worth
 
     @property
     def rules_kept(self) -> bool:
+        """Whether no rule was broken."""
         return not self.breaches
 
     def document(self) -> dict[str, Any]:
+        """Return the result as a JSON document."""
         return asdict(self)
 
 
 class Judge:
-    """Told everything that happens, as it happens."""
+    """Records the events of a day as they happen, checks the rules, and evaluates the day at its end."""
 
     def __init__(self, day: Day) -> None:
         self._day = day
         self._requests: dict[str, _Request] = {}
-        self._knows: dict[str, _Knowledge] = {}
+        self._views: dict[str, _SidecarView] = {}
         self._breaches: list[Breach] = []
-        self._counts: Counter[Rule] = Counter()
-        self.errands: list[Errand] = []  # all that clients have wanted
-        self._regions = day.regions
-        self._tiers = {post.name: post.tier for post in day.posts}
-        self._tally: Counter[str] = Counter()
-        self._listed_left: dict[str, int] = {}  # endpoints that drain or are gone, since when that is listed
-
-    # --- what clients want and get ---
-
-    def asked(self, errand: Errand) -> None:
-        self.errands.append(errand)
-
-    # --- rule 1, and refusals ---
-
-    def taken(self, request: str, sidecar: str, grade: Grade) -> None:
-        """The request's last byte has been written to the sidecar."""
-        known = self._requests.get(request)
-        if known is None:
-            known = self._requests[request] = _Request(sidecar, grade)
-            self._tally["taken by front"] += self._tiers.get(sidecar) == 0
-        known.sidecar, known.over = sidecar, False  # it may have been sent once more
-
-    def answered(self, now_us: int, request: str, status: int, produced: bool) -> None:
-        """A whole answer has come; `produced`: its body is one that an endpoint made for this request."""
-        known = self._requests[request]
-        known.over = True
+        self._breach_counts: Counter[Rule] = Counter()
+        self.errands: list[Errand] = []
+        self._region_of_zone = day.regions
+        self._tier_of_sidecar = {plan.name: plan.tier for plan in day.posts}
+        self._counters: Counter[str] = Counter()
+        # By endpoint: when discovery published that it drains or has ended.
+        self._published_leaving_us: dict[str, int] = {}
+
+    # --- clients ---
+
+    def asked(self, request: Errand) -> None:
+        """Record a request of a client, at its arrival."""
+        self.errands.append(request)
+
+    # --- rule 1 (no dropped request), and refusals ---
+
+    def taken(self, request_id: str, sidecar: str, request_class: Grade) -> None:
+        """Record that a request has been written completely to a sidecar."""
+        request = self._requests.get(request_id)
+        if request is None:
+            request = self._requests[request_id] = _Request(sidecar, request_class)
+            self._counters["taken by front"] += self._tier_of_sidecar.get(sidecar) == 0
+        request.sidecar, request.ended = sidecar, False  # may be a second sending
+
+    def answered(self, now_us: int, request_id: str, status: int, produced: bool) -> None:
+        """Record a complete answer; `produced`: an endpoint produced its body for this request."""
+        request = self._requests[request_id]
+        request.ended = True
         if status == 200 and not produced:
-            self._breach(Rule.NO_DROPPED_REQUEST, now_us, f"{request}: no endpoint produced its answer")
+            self._add_breach(
+                Rule.NO_DROPPED_REQUEST, now_us, f"{request_id}: no endpoint produced its answer"
+            )
         if status in (429, 503):
-            self._refused(now_us, request, known)
-
-    def _refused(self, now_us: int, request: str, known: _Request) -> None:
-        spec = known.grade.spec
-        harmless = spec.effect is Effect.IDEMPOTENT
-        harmless = harmless or (spec.effect is Effect.DEDUPLICATED and spec.group is Group.ALL)
-        if not harmless and any(not attempt.never_ran for attempt in known.attempts):
-            self._breach(Rule.EFFECT_ONCE, now_us, f"{known.sidecar} refused {request}, which may have run")
-
-    def cut_short(self, now_us: int, request: str, first: bool, killed: bool) -> Fate:
-        """The connection ended without a whole answer; `first`: nothing else had been asked on it."""
-        known = self._requests[request]
-        known.over = True
+            self._check_refusal(now_us, request_id, request)
+
+    def _check_refusal(self, now_us: int, request_id: str, request: _Request) -> None:
+        spec = request.request_class.spec
+        repeatable = spec.effect is Effect.IDEMPOTENT
+        repeatable = repeatable or (spec.effect is Effect.DEDUPLICATED and spec.group is Group.ALL)
+        if not repeatable and any(not attempt.never_ran for attempt in request.attempts):
+            self._add_breach(
+                Rule.EFFECT_ONCE, now_us, f"{request.sidecar} refused {request_id}, which may have run"
+            )
+
+    def cut_short(self, now_us: int, request_id: str, first: bool, killed: bool) -> Fate:
+        """Record that a connection ended before the answer was complete, and return the request's outcome.
+
+        `first`: the request was the first one on the connection; `killed`: the scenario killed the sidecar.
+        """
+        request = self._requests[request_id]
+        request.ended = True
         if killed:
             return Fate.FAILED
-        if not known.attempts:
+        if not request.attempts:
             return Fate.FAILED if first else Fate.UNREAD
-        self._breach(Rule.NO_DROPPED_REQUEST, now_us, f"{known.sidecar} lost {request}")
+        self._add_breach(Rule.NO_DROPPED_REQUEST, now_us, f"{request.sidecar} lost {request_id}")
         return Fate.LOST
 
-    def gave_up(self, request: str) -> None:
-        """The client has closed its connection."""
-        self._requests[request].over = True
+    def gave_up(self, request_id: str) -> None:
+        """Record that the client has closed the request's connection."""
+        self._requests[request_id].ended = True
 
-    def forget(self, requests: Iterable[str]) -> None:
-        """Nothing can come of these any more."""
-        for request in requests:
-            self._requests.pop(request, None)
+    def forget(self, request_ids: Iterable[str]) -> None:
+        """Drop the records of requests for which no further event is possible."""
+        for request_id in request_ids:
+            self._requests.pop(request_id, None)
 
-    # --- rules 2 and 3: attempts ---
+    # --- rules 2 (each effect once) and 3 (safe drain): attempts ---
 
-    def attempt(self, now_us: int, first_us: int, request: str, sidecar: str, plan: Plan) -> bool:
-        """An attempt's last byte has arrived; false where no client sent such a request."""
-        known = self._requests.get(request)
-        if known is None or known.sidecar != sidecar:
-            self._breach(Rule.EFFECT_ONCE, now_us, f"{sidecar} sent {request[:40]!r}, which no client sent")
+    def attempt(self, now_us: int, first_byte_us: int, request_id: str, sidecar: str, plan: Plan) -> bool:
+        """Record an attempt that has arrived completely; False where no client sent such a request."""
+        request = self._requests.get(request_id)
+        if request is None or request.sidecar != sidecar:
+            self._add_breach(
+                Rule.EFFECT_ONCE, now_us, f"{sidecar} sent {request_id[:40]!r}, which no client sent"
+            )
             return False
-        self._tally["attempts by front"] += self._tiers.get(sidecar) == 0
-        self._check_repeat(now_us, request, known, plan)
-        since = self._left_us(now_us, sidecar, plan.id)
-        grace = int(self._day.scenario.rules.drain_grace_ms * 1000) + SOCKET_SLACK_US
-        if since is not None and first_us - since > grace:
-            late_ms = (first_us - since) // 1000
-            self._breach(
+        self._counters["attempts by front"] += self._tier_of_sidecar.get(sidecar) == 0
+        self._check_repeat(now_us, request_id, request, plan)
+        leaving_since_us = self._leaving_since_us(now_us, sidecar, plan.id)
+        grace_us = int(self._day.scenario.rules.drain_grace_ms * 1000) + SOCKET_SLACK_US
+        if leaving_since_us is not None and first_byte_us - leaving_since_us > grace_us:
+            late_ms = (first_byte_us - leaving_since_us) // 1000
+            self._add_breach(
                 Rule.SAFE_DRAIN,
                 now_us,
-                f"{sidecar} sent to {plan.id} {late_ms} ms after being told of its end",
+                f"{sidecar} sent to {plan.id} {late_ms} ms after it was informed of its end",
             )
-        known.attempts.append(_Attempt(plan, now_us))
+        request.attempts.append(_Attempt(plan, now_us))
         return True
 
-    def _check_repeat(self, now_us: int, request: str, known: _Request, plan: Plan) -> None:
-        spec = known.grade.spec
-        earlier = [attempt for attempt in known.attempts if not attempt.never_ran]
+    def _check_repeat(self, now_us: int, request_id: str, request: _Request, plan: Plan) -> None:
+        spec = request.request_class.spec
+        earlier = [attempt for attempt in request.attempts if not attempt.never_ran]
         if not earlier:
             return
         if not self._day.scenario.allowed.second_copies and any(attempt.open for attempt in earlier):
-            self._breach(Rule.EFFECT_ONCE, now_us, f"{request} has two attempts out")
+            self._add_breach(Rule.EFFECT_ONCE, now_us, f"{request_id} has two attempts in flight")
         if spec.effect is Effect.AT_MOST_ONCE:
-            self._breach(
-                Rule.EFFECT_ONCE, now_us, f"{known.sidecar} sent {request} again, which may have run"
+            self._add_breach(
+                Rule.EFFECT_ONCE, now_us, f"{request.sidecar} sent {request_id} again, which may have run"
             )
         elif spec.effect is Effect.DEDUPLICATED:
             first = earlier[0]
-            same = spec.group is Group.ALL or (
+            same_group = spec.group is Group.ALL or (
                 (first.plan.zone == plan.zone) if spec.group is Group.ZONE else (first.plan.cell == plan.cell)
             )
-            if not same:
-                self._breach(Rule.EFFECT_ONCE, now_us, f"{known.sidecar} sent {request} to another group")
+            if not same_group:
+                self._add_breach(
+                    Rule.EFFECT_ONCE, now_us, f"{request.sidecar} sent {request_id} to another group"
+                )
             elif now_us - first.at_us > spec.window_ms * 1000 + SOCKET_SLACK_US:
-                self._breach(Rule.EFFECT_ONCE, now_us, f"{known.sidecar} sent {request} past its window")
-
-    def attempt_ended(self, request: str, plan: Plan, never_ran: bool) -> None:
-        """The last attempt at this endpoint has an outcome."""
-        known = self._requests.get(request)
-        for attempt in reversed(known.attempts if known else []):
+                self._add_breach(
+                    Rule.EFFECT_ONCE, now_us, f"{request.sidecar} sent {request_id} past its window"
+                )
+
+    def attempt_ended(self, request_id: str, plan: Plan, never_ran: bool) -> None:
+        """Record the outcome of the newest open attempt at this endpoint."""
+        request = self._requests.get(request_id)
+        for attempt in reversed(request.attempts if request else []):
             if attempt.plan is plan and attempt.open:
                 attempt.open = False
                 attempt.never_ran = never_ran
-                self._tally["declined"] += never_ran
+                self._counters["declined"] += never_ran
                 return
 
-    def crossed(self, one: str, other: str) -> None:
-        self._tally["cross-zone"] += one != other
-        self._tally["cross-region"] += self._regions.get(one) != self._regions.get(other)
+    def crossed(self, one_zone: str, other_zone: str) -> None:
+        """Count a call between two zones, where it crosses a zone or region border."""
+        self._counters["cross-zone"] += one_zone != other_zone
+        self._counters["cross-region"] += self._region_of_zone.get(one_zone) != self._region_of_zone.get(
+            other_zone
+        )
 
-    # --- what sidecars are told ---
+    # --- discovery as the sidecars receive it ---
 
     def knows(self, now_us: int, sidecar: str, listing: Listing) -> None:
-        """A sidecar starts with this list: it knows nothing else."""
-        self._knows[sidecar] = _Knowledge(asked_us=now_us)
+        """Record that a sidecar starts with this list and no other state."""
+        self._views[sidecar] = _SidecarView(last_call_us=now_us)
         self.told(now_us, sidecar, listing)
 
     def asked_list(self, now_us: int, sidecar: str) -> None:
-        known = self._knows.setdefault(sidecar, _Knowledge())
-        known.asked_us, known.watching = now_us, True
+        """Record a sidecar's call to discovery."""
+        view = self._views.setdefault(sidecar, _SidecarView())
+        view.last_call_us, view.call_open = now_us, True
 
     def told(self, now_us: int, sidecar: str, listing: Listing | None) -> None:
-        """Discovery has answered; no listing: the call has failed."""
-        known = self._knows.setdefault(sidecar, _Knowledge())
-        known.watching, known.asked_us, known.failed = False, now_us, listing is None
+        """Record the end of a sidecar's call to discovery; without a listing the call has failed."""
+        view = self._views.setdefault(sidecar, _SidecarView())
+        view.call_open, view.last_call_us, view.last_call_failed = False, now_us, listing is None
         if listing is None:
             return
-        named = set()
+        listed_ids = set()
         for entry in listing.entries:
-            named.add(entry.id)
+            listed_ids.add(entry.id)
             if entry.lifecycle is Readiness.READY:
-                known.left.pop(entry.id, None)
-                known.started[entry.id] = entry.started_us
+                view.leaving_since_us.pop(entry.id, None)
+                view.started_us[entry.id] = entry.started_us
             else:
-                known.left.setdefault(entry.id, now_us)
+                view.leaving_since_us.setdefault(entry.id, now_us)
         if listing.whole:
-            for missing in known.started.keys() - named:
-                known.left.setdefault(missing, now_us)
+            for missing_id in view.started_us.keys() - listed_ids:
+                view.leaving_since_us.setdefault(missing_id, now_us)
 
-    def told_of_start(self, sidecar: str, endpoint: str, started_us: int | None) -> bool:
-        """Whether this sidecar has been told that the endpoint began at that time."""
+    def told_of_start(self, sidecar: str, endpoint_id: str, started_us: int | None) -> bool:
+        """Return whether the sidecar has received this start time of the endpoint."""
         if started_us is None:
             return True
-        known = self._knows.get(sidecar)
-        return known is not None and known.started.get(endpoint) == started_us
+        view = self._views.get(sidecar)
+        return view is not None and view.started_us.get(endpoint_id) == started_us
 
     def listed(self, now_us: int, entry: Entry) -> None:
-        """Discovery can tell of this from now on."""
+        """Record that discovery has published a change."""
         if entry.lifecycle is Readiness.READY:
-            self._listed_left.pop(entry.id, None)
+            self._published_leaving_us.pop(entry.id, None)
         else:
-            self._listed_left.setdefault(entry.id, now_us)
+            self._published_leaving_us.setdefault(entry.id, now_us)
 
-    def _left_us(self, now_us: int, sidecar: str, endpoint: str) -> int | None:
-        """Since when the sidecar knows, or counts as knowing, that the endpoint takes nothing new."""
-        known = self._knows.get(sidecar)
-        if known is None:
+    def _leaving_since_us(self, now_us: int, sidecar: str, endpoint_id: str) -> int | None:
+        """Since when the sidecar knows, or is taken to know, that the endpoint accepts no new requests."""
+        view = self._views.get(sidecar)
+        if view is None:
             return None
-        told = known.left.get(endpoint)
-        listed = self._listed_left.get(endpoint)
-        if told is not None or listed is None or known.watching:
-            return told
-        # Who asks nothing for so long counts as told of what was listed that long before.
-        patience = int(self._day.scenario.rules.ask_every_s * 1e6) * (ASK_AGAIN if known.failed else 1)
-        deemed = max(listed, known.asked_us) + patience
-        return deemed if deemed <= now_us else None
-
-    # --- rule 4 ---
-
-    def fell(self, now_us: int, endpoint: str, fell: Fell) -> None:
-        self._tally["fallen"] += 1
-        if fell.told_us >= TOLD_SHARE * fell.work_us:
-            self._breach(Rule.CAREFUL_FAIL_BACK, now_us, f"{endpoint} was pushed over while it was cold")
-
-    def _breach(self, rule: Rule, now_us: int, what: str) -> None:
-        self._counts[rule] += 1
-        if len(self._breaches) < MOST_BREACHES:
-            self._breaches.append(Breach(rule, now_us, what))
+        known_since_us = view.leaving_since_us.get(endpoint_id)
+        published_us = self._published_leaving_us.get(endpoint_id)
+        if known_since_us is not None or published_us is None or view.call_open:
+            return known_since_us
+        # A sidecar that makes no call for this time is taken to know what was published before it.
+        max_silence_us = int(self._day.scenario.rules.ask_every_s * 1e6) * (
+            FAILED_CALL_FACTOR if view.last_call_failed else 1
+        )
+        assumed_since_us = max(published_us, view.last_call_us) + max_silence_us
+        return assumed_since_us if assumed_since_us <= now_us else None
+
+    # --- rule 4 (careful fail-back) ---
+
+    def fell(self, now_us: int, endpoint_id: str, overload: Fell) -> None:
+        """Record the crash of a cold endpoint; a breach where informed senders caused it."""
+        self._counters["fallen"] += 1
+        if overload.informed_work_us >= INFORMED_WORK_SHARE * overload.work_us:
+            self._add_breach(
+                Rule.CAREFUL_FAIL_BACK, now_us, f"{endpoint_id} was overloaded while it was cold"
+            )
+
+    def _add_breach(self, rule: Rule, now_us: int, description: str) -> None:
+        self._breach_counts[rule] += 1
+        if len(self._breaches) < MAX_BREACHES:
+            self._breaches.append(Breach(rule, now_us, description))
 
     # --- the result ---
 
-    def verdict(self, wasted_us: float, choked: float) -> Verdict:
-        """Sum up. `wasted_us`: work that nobody had anything of; `choked`: the share of endpoints overrun."""
-        day, goal = self._day, self._day.scenario.goal
-        done = [errand for errand in self.errands if errand.end is not None]
-        worst, worst_at = _worst_window(done, day.length_us, int(goal.window_s * 1e6), goal.over_share_worth)
-        classes = {g.name: _row((e for e in done if e.grade is g), goal.over_share_worth) for g in day.grades}
+    def verdict(self, wasted_work_us: float, choked_share: float) -> Verdict:
+        """Evaluate the day.
+
+        Args:
+            wasted_work_us: work that endpoints did for requests whose sender no longer waited.
+            choked_share: share of the endpoints that were choked at some time.
+        """
+        day, scoring = self._day, self._day.scenario.goal
+        ended = [request for request in self.errands if request.end is not None]
+        worst_share, worst_start_us = _worst_window(
+            ended, day.length_us, int(scoring.window_s * 1e6), scoring.over_share_worth
+        )
+        classes = {
+            request_class.name: _count_outcomes(
+                (request for request in ended if request.grade is request_class), scoring.over_share_worth
+            )
+            for request_class in day.grades
+        }
         tenants = {
-            p.name: _row((e for e in done if e.tenant == p.name), goal.over_share_worth) for p in day.parties
+            tenant.name: _count_outcomes(
+                (request for request in ended if request.tenant == tenant.name), scoring.over_share_worth
+            )
+            for tenant in day.parties
         }
-        whole = _row(done, goal.over_share_worth)
-        within = [
-            _row((e for e in done if e.tenant == p.name and e.within_share), goal.over_share_worth).share
-            for p in day.parties
+        total = _count_outcomes(ended, scoring.over_share_worth)
+        shares_within_quota = [
+            _count_outcomes(
+                (request for request in ended if request.tenant == tenant.name and request.within_quota),
+                scoring.over_share_worth,
+            ).share
+            for tenant in day.parties
         ]
         worst_class = min((row.share for row in classes.values()), default=1.0)
-        worst_tenant = min(within, default=1.0)
+        worst_tenant = min(shares_within_quota, default=1.0)
         goodput = (
-            goal.whole * whole.share
-            + goal.worst_window * worst
-            + goal.worst_class * worst_class
-            + goal.worst_tenant * worst_tenant
+            scoring.whole * total.share
+            + scoring.worst_window * worst_share
+            + scoring.worst_class * worst_class
+            + scoring.worst_tenant * worst_tenant
+        )
+        demanded_work_us = day.work_factor * sum(request.work_us for request in ended)
+        request_count = max(1, len(ended))
+        unserved = [request for request in ended if not request.served and request.ended_us is not None]
+        late_worth = sum(
+            _full_worth(request, 1.0) for request in unserved if _past_aim(request, request.ended_us or 0)
         )
-        asked_us = day.work_factor * sum(errand.work_us for errand in done)
-        firsts = max(1, len(done))
-        unserved = [e for e in done if not e.served and e.ended_us is not None]
-        late = sum(_worth(e, 1.0) for e in unserved if _past_aim(e, e.ended_us or 0))
         deductions = {
-            "late": goal.late_fail * min(1.0, late / whole.wanted if whole.wanted else 0.0),
-            "waste": goal.waste * min(1.0, wasted_us / asked_us if asked_us else 0.0),
-            "cross-zone": goal.cross_zone * min(1.0, self._tally["cross-zone"] / firsts),
-            "cross-region": goal.cross_region * min(1.0, self._tally["cross-region"] / firsts),
-            "choke": goal.choke * choked,
+            "late": scoring.late_fail * min(1.0, late_worth / total.wanted if total.wanted else 0.0),
+            "waste": scoring.waste * min(1.0, wasted_work_us / demanded_work_us if demanded_work_us else 0.0),
+            "cross-zone": scoring.cross_zone * min(1.0, self._counters["cross-zone"] / request_count),
+            "cross-region": scoring.cross_region * min(1.0, self._counters["cross-region"] / request_count),
+            "choke": scoring.choke * choked_share,
         }
-        score = 0.0 if self._counts else max(0.0, goodput - sum(deductions.values()))
-        taken = max(1, self._tally["taken by front"])
+        score = 0.0 if self._breach_counts else max(0.0, goodput - sum(deductions.values()))
+        taken = max(1, self._counters["taken by front"])
         return Verdict(
             score=score,
             goodput=goodput,
-            whole=whole.share,
-            worst_window=worst,
-            worst_window_at_s=worst_at / 1e6,
+            whole=total.share,
+            worst_window=worst_share,
+            worst_window_at_s=worst_start_us / 1e6,
             worst_class=worst_class,
             worst_tenant=worst_tenant,
             deductions=deductions,
             classes=classes,
             tenants=tenants,
-            latency_ms=_percentiles(done),
-            tries_per_request=sum(errand.tries for errand in done) / firsts,
-            attempts_per_request=self._tally["attempts by front"] / taken,
-            cross_zone_calls=self._tally["cross-zone"],
-            cross_region_calls=self._tally["cross-region"],
-            declined=self._tally["declined"],
-            fallen=self._tally["fallen"],
-            breaches={rule.value: count for rule, count in self._counts.items()},
-            timeline=_timeline(done, day.length_us, goal.over_share_worth),
-            first_breaches=[f"{b.at_us / 1e6:.2f} s: {b.rule.value}: {b.what}" for b in self._breaches[:20]],
+            latency_ms=_latency_percentiles(ended),
+            tries_per_request=sum(request.tries for request in ended) / request_count,
+            attempts_per_request=self._counters["attempts by front"] / taken,
+            cross_zone_calls=self._counters["cross-zone"],
+            cross_region_calls=self._counters["cross-region"],
+            declined=self._counters["declined"],
+            fallen=self._counters["fallen"],
+            breaches={rule.value: count for rule, count in self._breach_counts.items()},
+            timeline=_timeline(ended, day.length_us, scoring.over_share_worth),
+            first_breaches=[
+                f"{breach.at_us / 1e6:.2f} s: {breach.rule.value}: {breach.what}"
+                for breach in self._breaches[:20]
+            ],
         )
 
 
-def _past_aim(errand: Errand, now_us: int) -> bool:
-    return now_us - errand.at_us > errand.grade.aim_us
+def _past_aim(request: Errand, now_us: int) -> bool:
+    return now_us - request.at_us > request.grade.aim_us
 
 
-def _worth(errand: Errand, over_share: float) -> float:
-    """What the request was worth to begin with."""
-    return errand.grade.spec.worth * (1.0 if errand.within_share else over_share)
+def _full_worth(request: Errand, over_quota_worth: float) -> float:
+    """The worth of a request that is served in time; reduced for requests over the tenant's quota."""
+    return request.grade.spec.worth * (1.0 if request.within_quota else over_quota_worth)
 
 
-def _gained(errand: Errand, over_share: float) -> float:
-    if not errand.served or errand.ended_us is None:
+def _gained_worth(request: Errand, over_quota_worth: float) -> float:
+    if not request.served or request.ended_us is None:
         return 0.0
-    worth = _worth(errand, over_share)
-    return worth * errand.grade.spec.late_worth if _past_aim(errand, errand.ended_us) else worth
+    worth = _full_worth(request, over_quota_worth)
+    return worth * request.grade.spec.late_worth if _past_aim(request, request.ended_us) else worth
 
 
-def _row(errands: Iterable[Errand], over_share: float) -> Row:
+def _count_outcomes(requests: Iterable[Errand], over_quota_worth: float) -> Row:
     row = Row()
-    for errand in errands:
+    for request in requests:
         row.asked += 1
-        row.wanted += _worth(errand, over_share)
-        row.worth += _gained(errand, over_share)
-        if errand.served and errand.ended_us is not None:
-            if _past_aim(errand, errand.ended_us):
+        row.wanted += _full_worth(request, over_quota_worth)
+        row.worth += _gained_worth(request, over_quota_worth)
+        if request.served and request.ended_us is not None:
+            if _past_aim(request, request.ended_us):
                 row.late += 1
             else:
                 row.served += 1
-        elif errand.end is End.REFUSED:
+        elif request.end is End.REFUSED:
             row.refused += 1
         else:
             row.failed += 1
@@ -410,36 +474,49 @@
 
 
 def _worst_window(
-    errands: Sequence[Errand], length_us: int, window_us: int, over_share: float
+    requests: Sequence[Errand], length_us: int, window_us: int, over_quota_worth: float
 ) -> tuple[float, int]:
-    """The least share of worth within any such span, by arrival, and where it begins."""
-    if not errands:
+    """The smallest gained share of worth in any window of this length, by arrival, and the window's start."""
+    if not requests:
         return 1.0, 0
-    at = np.array([errand.at_us for errand in errands])
-    wanted = np.concatenate(([0.0], np.cumsum([_worth(e, over_share) for e in errands])))
-    gained = np.concatenate(([0.0], np.cumsum([_gained(e, over_share) for e in errands])))
-    worst, worst_at = 1.0, 0
-    for start in range(0, max(1, length_us - window_us + 1), WINDOW_STEP_US):
-        low, high = np.searchsorted(at, [start, start + window_us])
-        asked = wanted[high] - wanted[low]
-        share = float((gained[high] - gained[low]) / asked) if asked > 0 else 1.0
-        if share < worst:
-            worst, worst_at = share, start
-    return worst, worst_at
-
-
-def _timeline(errands: Iterable[Errand], length_us: int, over_share: float) -> list[tuple[float, float]]:
-    """Worth by the second in which its errand arrived."""
+    arrivals_us = np.array([request.at_us for request in requests])
+    wanted_sums = np.concatenate(
+        ([0.0], np.cumsum([_full_worth(request, over_quota_worth) for request in requests]))
+    )
+    gained_sums = np.concatenate(
+        ([0.0], np.cumsum([_gained_worth(request, over_quota_worth) for request in requests]))
+    )
+    worst_share, worst_start_us = 1.0, 0
+    for start_us in range(0, max(1, length_us - window_us + 1), WINDOW_STEP_US):
+        low, high = np.searchsorted(arrivals_us, [start_us, start_us + window_us])
+        window_worth = wanted_sums[high] - wanted_sums[low]
+        share = float((gained_sums[high] - gained_sums[low]) / window_worth) if window_worth > 0 else 1.0
+        if share < worst_share:
+            worst_share, worst_start_us = share, start_us
+    return worst_share, worst_start_us
+
+
+def _timeline(
+    requests: Iterable[Errand], length_us: int, over_quota_worth: float
+) -> list[tuple[float, float]]:
+    """Total and gained worth by the second of arrival."""
     seconds = [(0.0, 0.0)] * -(-length_us // 1_000_000)
-    for errand in errands:
-        second = min(len(seconds) - 1, errand.at_us // 1_000_000)
-        wanted, got = seconds[second]
-        seconds[second] = (wanted + _worth(errand, over_share), got + _gained(errand, over_share))
-    return [(round(wanted, 3), round(got, 3)) for wanted, got in seconds]
+    for request in requests:
+        second = min(len(seconds) - 1, request.at_us // 1_000_000)
+        wanted, gained = seconds[second]
+        seconds[second] = (
+            wanted + _full_worth(request, over_quota_worth),
+            gained + _gained_worth(request, over_quota_worth),
+        )
+    return [(round(wanted, 3), round(gained, 3)) for wanted, gained in seconds]
 
 
-def _percentiles(errands: Sequence[Errand]) -> dict[str, float]:
-    took = [(e.ended_us - e.at_us) / 1000 for e in errands if e.served and e.ended_us is not None]
-    if not took:
+def _latency_percentiles(requests: Sequence[Errand]) -> dict[str, float]:
+    latencies_ms = [
+        (request.ended_us - request.at_us) / 1000
+        for request in requests
+        if request.served and request.ended_us is not None
+    ]
+    if not latencies_ms:
         return {}
-    return {f"p{p}": round(float(np.percentile(took, p)), 1) for p in (50, 90, 99)}
+    return {f"p{p}": round(float(np.percentile(latencies_ms, p)), 1) for p in (50, 90, 99)}
--- a/eiderhub/world/network.py
+++ b/eiderhub/world/network.py
@@ -1,4 +1,4 @@
-"""The network between zones: how long a message takes, and whether it arrives."""
+"""The network between zones: the delay of a message, and whether it is delivered."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 
 
 class Way(enum.Enum):
-    """What a cut keeps from passing."""
+    """The direction of the messages that a cut drops, seen from the zones that are cut off."""
 
     BOTH = "both"
-    IN = "in"  # what is sent to those cut off
-    OUT = "out"  # what they send
+    IN = "in"  # messages to these zones
+    OUT = "out"  # messages from these zones
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Cut:
-    """Zones that are cut off from the others; they still talk within and among themselves."""
+    """A network partition: these zones are cut off from the others, not from each other."""
 
     zones: frozenset[str]
-    way: Way
+    direction: Way
 
 
 class Network:
-    """One-way delays, and cuts."""
+    """One-way delays between zones, and network partitions."""
 
     def __init__(self, day: Day) -> None:
         self._day = day
@@ -36,40 +36,42 @@
         self._regions = day.regions
         self._cuts: list[Cut] = []
 
-    def cut(self, zones: Collection[str], way: Way = Way.BOTH) -> Cut:
-        """Cut these zones off until `heal` is told of it."""
-        made = Cut(frozenset(zones), way)
-        self._cuts.append(made)
-        return made
+    def cut(self, zones: Collection[str], direction: Way = Way.BOTH) -> Cut:
+        """Cut these zones off from the others, until the returned cut is removed."""
+        new_cut = Cut(frozenset(zones), direction)
+        self._cuts.append(new_cut)
+        return new_cut
 
     def heal(self, cut: Cut) -> None:
+        """Remove a cut."""
         self._cuts.remove(cut)
 
     def arrives(self, sender: str, receiver: str) -> bool:
-        """Whether what is sent arrives; where not, it falls silent rather than being refused."""
+        """Return whether messages are delivered; otherwise they are lost without an error to the sender."""
         for cut in self._cuts:
             if (sender in cut.zones) != (receiver in cut.zones):
                 blocked = Way.OUT if sender in cut.zones else Way.IN
-                if cut.way in (Way.BOTH, blocked):
+                if cut.direction in (Way.BOTH, blocked):
                     return False
         return True
 
-    def joined(self, one: str, other: str) -> bool:
-        """Whether a connection between them can come up."""
-        return self.arrives(one, other) and self.arrives(other, one)
+    def joined(self, one_zone: str, other_zone: str) -> bool:
+        """Return whether a connection between two zones can be established: both directions must be open."""
+        return self.arrives(one_zone, other_zone) and self.arrives(other_zone, one_zone)
 
-    def one_way_us(self, one: str, other: str) -> int:
-        base = self._day.same_us
-        if one != other:
-            near = self._regions.get(one) == self._regions.get(other)
-            base = self._day.cross_us if near else self._day.region_us
-        return int(base * (1 + self._day.jitter * float(self._rng.random())))
+    def one_way_us(self, sender: str, receiver: str) -> int:
+        """Draw the one-way delay of a message, with jitter."""
+        base_us = self._day.same_zone_us
+        if sender != receiver:
+            same_region = self._regions.get(sender) == self._regions.get(receiver)
+            base_us = self._day.cross_zone_us if same_region else self._day.cross_region_us
+        return int(base_us * (1 + self._day.jitter * float(self._rng.random())))
 
 
 def spread(rng: np.random.Generator, mean: float, variation: float, count: int) -> np.ndarray:
-    """Lognormal figures of this mean and coefficient of variation."""
+    """Draw lognormal values with this mean and this coefficient of variation."""
     if variation <= 0:
         return np.full(count, mean)
-    sigma2 = np.log1p(variation * variation)
-    drawn: np.ndarray = rng.lognormal(np.log(mean) - sigma2 / 2, np.sqrt(sigma2), count)
-    return drawn
+    log_variance = np.log1p(variation * variation)
+    values: np.ndarray = rng.lognormal(np.log(mean) - log_variance / 2, np.sqrt(log_variance), count)
+    return values
--- a/eiderhub/world/registry.py
+++ b/eiderhub/world/registry.py
@@ -1,4 +1,4 @@
-"""Discovery: what it tells of the endpoints, how late, and how it works through its calls."""
+"""Discovery: the published lists of endpoints, the delay of their changes, and the processing of calls."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from enum import Enum
 
 from eiderhub.interface import Readiness
-from eiderhub.world.day import Day, pick
+from eiderhub.world.day import Day, draw_value
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One endpoint as discovery has it."""
+    """One endpoint in a list of discovery."""
 
     id: str
     tier: int
@@ -21,26 +21,30 @@
     kind: str
     cell: int
     lifecycle: Readiness
-    started_us: int | None  # time of the day; None: long ago
+    started_us: int | None  # None: before the day started
     generation: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
+    """A list of the endpoints of a tier, or the changes since an earlier generation."""
+
     generation: int
     whole: bool
     entries: tuple[Entry, ...]
 
 
 class Delivery(Enum):
+    """How much of an answer the caller receives."""
+
     WHOLE = "whole"
-    BREAKS_OFF = "breaks off"  # amid the list
-    STALLS = "stalls"  # amid the list, for good
+    BREAKS_OFF = "breaks off"  # the connection ends within the list
+    STALLS = "stalls"  # no more bytes after a part of the list, and the connection stays open
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """The answer to a call. No listing: the call has failed."""
+    """The result of a call; without a listing the call has failed."""
 
     ticket: int
     listing: Listing | None
@@ -48,168 +52,209 @@
 
 
 @dataclass(slots=True)
-class _Ask:
-    ticket: int
+class _Call:
+    """A call in the queue, in service or waiting as a watch."""
+
+    call_id: int
     tier: int
-    after: int | None
-    until_us: int  # a watch waits so long for news
-    since_us: int  # in the queue
+    after_generation: int | None
+    wait_until_us: int  # end of a watch without changes
+    queued_us: int
 
 
 class Registry:
-    """Lists of all tiers, one generation count over them; calls queue for `at_once` workers."""
+    """Simulated discovery: the lists of all tiers under one generation number.
+
+    Calls wait in one queue for `at_once` workers.
+    """
 
     def __init__(self, day: Day) -> None:
         spec = day.scenario.discovery
         rng = day.rng("registry")
         self._spec = spec
         self._rng = rng
-        self._workers = max(1, round(pick(rng, spec.at_once)))
-        self._call_us = pick(rng, spec.call_ms) * 1000
-        self._line_us = pick(rng, spec.line_us)
+        self._workers = max(1, round(draw_value(rng, spec.at_once)))
+        self._call_us = draw_value(rng, spec.call_ms) * 1000
+        self._entry_us = draw_value(rng, spec.line_us)
         self.generation = 1
-        self.news: list[tuple[int, Entry]] = []  # what can be told from then on; for whoever keeps record
-        self.down = False
+        self.news: list[tuple[int, Entry]] = []  # log of the published changes, for the host
+        self.unavailable = False
         self.stalling = False
         self.entries = {
             plan.id: Entry(plan.id, plan.tier, plan.zone, plan.kind, plan.cell, Readiness.READY, None, 1)
             for plan in day.plans
         }
-        self._coming: list[tuple[int, int, Entry]] = []  # changes that are not told yet: when, in order
+        # Heap of unpublished changes: time of publication, order, entry.
+        self._pending: list[tuple[int, int, Entry]] = []
         self._serial = 0
-        self._queue: deque[_Ask] = deque()
-        self._serving: list[tuple[int, int, _Ask]] = []  # until when
-        self._watches: dict[int, _Ask] = {}
+        self._queue: deque[_Call] = deque()
+        self._serving: list[tuple[int, int, _Call]] = []  # heap: completion time, call id
+        self._watches: dict[int, _Call] = {}
         self._failed: list[int] = []
 
-    # --- the truth, as it reaches discovery ---
+    # --- changes of endpoints ---
 
-    def came_up(self, now_us: int, endpoint: str, started_us: int) -> None:
-        # A process that was not missed yet is known by its start alone.
-        self._coming = [
-            c for c in self._coming if c[2].id != endpoint or c[2].lifecycle is not Readiness.GONE
+    def came_up(self, now_us: int, endpoint_id: str, started_us: int) -> None:
+        """Schedule the publication of an endpoint's start."""
+        # Where the end of its former process is still unpublished, only the start is published.
+        self._pending = [
+            change
+            for change in self._pending
+            if change[2].id != endpoint_id or change[2].lifecycle is not Readiness.GONE
         ]
-        heapq.heapify(self._coming)
-        self._change(now_us, pick(self._rng, self._spec.add_s), endpoint, Readiness.READY, started_us)
-
-    def drains(self, now_us: int, endpoint: str) -> None:
-        self._change(now_us, pick(self._rng, self._spec.notice_s), endpoint, Readiness.DRAINING)
+        heapq.heapify(self._pending)
+        self._schedule_change(
+            now_us, draw_value(self._rng, self._spec.add_s), endpoint_id, Readiness.READY, started_us
+        )
 
-    def gone(self, now_us: int, endpoint: str, silent: bool = False) -> None:
-        lag = self._spec.silent_s if silent else self._spec.notice_s
-        self._change(now_us, pick(self._rng, lag), endpoint, Readiness.GONE)
+    def drains(self, now_us: int, endpoint_id: str) -> None:
+        """Schedule the publication that an endpoint drains."""
+        self._schedule_change(
+            now_us, draw_value(self._rng, self._spec.notice_s), endpoint_id, Readiness.DRAINING
+        )
 
-    def _change(
-        self, now_us: int, lag_s: float, endpoint: str, lifecycle: Readiness, started_us: int | None = None
+    def gone(self, now_us: int, endpoint_id: str, silent: bool = False) -> None:
+        """Schedule the publication of an endpoint's end; `silent`: it has not deregistered."""
+        delay_s = self._spec.silent_s if silent else self._spec.notice_s
+        self._schedule_change(now_us, draw_value(self._rng, delay_s), endpoint_id, Readiness.GONE)
+
+    def _schedule_change(
+        self,
+        now_us: int,
+        delay_s: float,
+        endpoint_id: str,
+        lifecycle: Readiness,
+        started_us: int | None = None,
     ) -> None:
-        entry = self.entries[endpoint]
+        entry = self.entries[endpoint_id]
         if lifecycle is not Readiness.READY:
             started_us = entry.started_us
-        at = now_us + int(lag_s * 1e6)
-        # News of one endpoint never overtake each other: an old "gone" must not follow its return.
-        at = max([at, *(when + 1 for when, _, other in self._coming if other.id == endpoint)])
+        publish_us = now_us + int(delay_s * 1e6)
+        # Changes of one endpoint stay in order: a delayed end must not be published after a new start.
+        publish_us = max(
+            [
+                publish_us,
+                *(pending_us + 1 for pending_us, _, other in self._pending if other.id == endpoint_id),
+            ]
+        )
         self._serial += 1
         heapq.heappush(
-            self._coming, (at, self._serial, replace(entry, lifecycle=lifecycle, started_us=started_us))
+            self._pending,
+            (publish_us, self._serial, replace(entry, lifecycle=lifecycle, started_us=started_us)),
         )
 
     # --- calls ---
 
-    def ask(self, now_us: int, tier: int, after: int | None, wait_us: int) -> int:
-        """A call for a tier's list: whole, or a watch on what is newer than `after`. Returns its ticket."""
+    def ask(self, now_us: int, tier: int, after_generation: int | None, wait_us: int) -> int:
+        """Start a call for a tier's list; returns the call's id.
+
+        With `after_generation` and `wait_us` it is a watch: it waits for changes after that generation.
+        """
         self._serial += 1
-        ask = _Ask(self._serial, tier, after, now_us + wait_us, now_us)
-        if self.down:
-            self._failed.append(ask.ticket)
-        elif after is not None and after >= self._newest(tier) and wait_us > 0:
-            self._watches[ask.ticket] = ask
+        call = _Call(self._serial, tier, after_generation, now_us + wait_us, now_us)
+        if self.unavailable:
+            self._failed.append(call.call_id)
+        elif (
+            after_generation is not None and after_generation >= self._newest_generation(tier) and wait_us > 0
+        ):
+            self._watches[call.call_id] = call
         else:
-            self._queue.append(ask)
-            self._assign(now_us)
-        return ask.ticket
-
-    def hang_up(self, ticket: int) -> None:
-        """The caller is gone; work on its answer goes on."""
-        self._watches.pop(ticket, None)
-
-    def set_down(self, now_us: int, down: bool) -> None:
-        self.advance_to(now_us)
-        self.down = down
-        if down:  # watches end as well
-            self._failed += [ask.ticket for _, _, ask in sorted(self._serving)]
-            self._failed += [ask.ticket for ask in self._queue]
+            self._queue.append(call)
+            self._assign_workers(now_us)
+        return call.call_id
+
+    def hang_up(self, call_id: int) -> None:
+        """Drop a watch whose caller has disconnected; a queued call or one in service is still processed."""
+        self._watches.pop(call_id, None)
+
+    def set_down(self, now_us: int, unavailable: bool) -> None:
+        """Set whether discovery is unavailable: then present and new calls fail."""
+        self.apply_changes(now_us)
+        self.unavailable = unavailable
+        if unavailable:  # watches fail as well
+            self._failed += [call.call_id for _, _, call in sorted(self._serving)]
+            self._failed += [call.call_id for call in self._queue]
             self._failed += list(self._watches)
             self._serving.clear()
             self._queue.clear()
             self._watches.clear()
 
-    def _newest(self, tier: int) -> int:
-        return max((e.generation for e in self.entries.values() if e.tier == tier), default=0)
+    def _newest_generation(self, tier: int) -> int:
+        return max((entry.generation for entry in self.entries.values() if entry.tier == tier), default=0)
 
     def whole(self, tier: int) -> Listing:
-        """All that a tier has now."""
-        rows = self.entries.values()
-        present = tuple(e for e in rows if e.tier == tier and e.lifecycle is not Readiness.GONE)
+        """Return the full list of a tier."""
+        entries = self.entries.values()
+        present = tuple(
+            entry for entry in entries if entry.tier == tier and entry.lifecycle is not Readiness.GONE
+        )
         return Listing(self.generation, True, present)
 
-    def _listing(self, ask: _Ask) -> Listing:
-        if ask.after is None or ask.after <= 0 or ask.after > self.generation:
-            return self.whole(ask.tier)
-        rows = self.entries.values()
-        changed = tuple(e for e in rows if e.tier == ask.tier and e.generation > ask.after)
+    def _listing(self, call: _Call) -> Listing:
+        if (
+            call.after_generation is None
+            or call.after_generation <= 0
+            or call.after_generation > self.generation
+        ):
+            return self.whole(call.tier)
+        entries = self.entries.values()
+        changed = tuple(
+            entry for entry in entries if entry.tier == call.tier and entry.generation > call.after_generation
+        )
         return Listing(self.generation, False, changed)
 
-    def _assign(self, now_us: int) -> None:
-        """Give free workers the calls that have waited longest."""
+    def _assign_workers(self, now_us: int) -> None:
+        """Give free workers the calls that have waited longest; those past the time-out fail."""
         while self._queue and len(self._serving) < self._workers:
-            ask = self._queue.popleft()
-            if now_us - ask.since_us > self._spec.timeout_ms * 1000:
-                self._failed.append(ask.ticket)
+            call = self._queue.popleft()
+            if now_us - call.queued_us > self._spec.timeout_ms * 1000:
+                self._failed.append(call.call_id)
                 continue
-            lines = len(self._listing(ask).entries)
-            done = now_us + int(self._call_us + self._line_us * lines)
-            heapq.heappush(self._serving, (done, ask.ticket, ask))
+            entry_count = len(self._listing(call).entries)
+            done_us = now_us + int(self._call_us + self._entry_us * entry_count)
+            heapq.heappush(self._serving, (done_us, call.call_id, call))
 
     # --- time ---
 
-    def advance_to(self, now_us: int) -> None:
-        """Apply the changes that are due, and wake the watches that they concern."""
-        while self._coming and self._coming[0][0] <= now_us:
-            _, _, entry = heapq.heappop(self._coming)
+    def apply_changes(self, now_us: int) -> None:
+        """Publish the changes that are due, and end the watches of their tiers."""
+        while self._pending and self._pending[0][0] <= now_us:
+            _, _, entry = heapq.heappop(self._pending)
             self.generation += 1
             self.entries[entry.id] = replace(entry, generation=self.generation)
             self.news.append((now_us, entry))
-            for ticket in [t for t, ask in self._watches.items() if ask.tier == entry.tier]:
-                self._wake(now_us, ticket)
+            for call_id in [watch_id for watch_id, call in self._watches.items() if call.tier == entry.tier]:
+                self._end_watch(now_us, call_id)
 
-    def _wake(self, now_us: int, ticket: int) -> None:
-        ask = self._watches.pop(ticket)
-        ask.since_us = now_us
-        self._queue.append(ask)
+    def _end_watch(self, now_us: int, call_id: int) -> None:
+        call = self._watches.pop(call_id)
+        call.queued_us = now_us
+        self._queue.append(call)
 
     def advance(self, now_us: int) -> list[Told]:
-        """The answers that are due by now."""
-        self.advance_to(now_us)
-        for ticket in [t for t, ask in self._watches.items() if ask.until_us <= now_us]:
-            self._wake(now_us, ticket)
-        told = []
+        """Return the results of the calls that end by now."""
+        self.apply_changes(now_us)
+        for call_id in [watch_id for watch_id, call in self._watches.items() if call.wait_until_us <= now_us]:
+            self._end_watch(now_us, call_id)
+        results = []
         while True:
-            self._assign(now_us)
+            self._assign_workers(now_us)
             if not self._serving or self._serving[0][0] > now_us:
                 break
-            _, ticket, ask = heapq.heappop(self._serving)
+            _, call_id, call = heapq.heappop(self._serving)
             delivery = Delivery.WHOLE
             if self.stalling and self._rng.random() < 0.7:
                 delivery = Delivery.STALLS if self._rng.random() < 0.5 else Delivery.BREAKS_OFF
-            told.append(Told(ticket, self._listing(ask), delivery))
-        told += [Told(ticket, None) for ticket in self._failed]
+            results.append(Told(call_id, self._listing(call), delivery))
+        results += [Told(call_id, None) for call_id in self._failed]
         self._failed.clear()
-        return told
+        return results
 
     def next_us(self, now_us: int) -> int | None:
+        """The time at which `advance` has something to do next; None: never, if nothing else happens."""
         if self._failed:
             return now_us
-        moments = [when for when, _, _ in self._coming[:1]]
-        moments += [done for done, _, _ in self._serving[:1]]
-        moments += [ask.until_us for ask in self._watches.values()]
-        return max(now_us, min(moments)) if moments else None
+        times_us = [publish_us for publish_us, _, _ in self._pending[:1]]
+        times_us += [done_us for done_us, _, _ in self._serving[:1]]
+        times_us += [call.wait_until_us for call in self._watches.values()]
+        return max(now_us, min(times_us)) if times_us else None
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -1,4 +1,4 @@
-"""The world's machines: properties that hold for any order of events."""
+"""The simulated surroundings of sidecars: properties that hold for any order of events."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from eiderhub.interface import Readiness
 from eiderhub.world import scenario as scenarios
 from eiderhub.world.clients import End, Errand, arrivals, patience_us, retry_us
-from eiderhub.world.day import Day, S, draw
+from eiderhub.world.day import US_PER_S, Day, draw
 from eiderhub.world.endpoint import Answer, Call, Endpoint, Fell, Offer, State, Work
 from eiderhub.world.front import Front
 from eiderhub.world.judge import Fate, Judge
@@ -42,122 +42,129 @@
         max_size=40,
     ),
 )
-def test_processor_gives_each_job_its_work_and_no_more_than_it_has(
+def test_processor_serves_no_more_work_than_its_capacity(
     cores: int, steps: list[tuple[int, str, int, int]]
 ) -> None:
-    processor, now, lacking = Processor(cores), 0, dict[int, float]()
-    asked = given_up = capacity = 0.0
-    for serial, (wait, what, work, speed) in enumerate(steps):
-        capacity += wait * processor.speed * cores
-        now += wait
-        for job in processor.ended(now):
+    processor, now_us, unfinished = Processor(cores), 0, dict[int, float]()
+    added_us = removed_us = capacity_us = 0.0
+    for serial, (wait_us, action, work_us, speed) in enumerate(steps):
+        capacity_us += wait_us * processor.speed * cores
+        now_us += wait_us
+        for job in processor.finished(now_us):
             assert isinstance(job, int)
-            del lacking[job]
-        if what == "add":
-            processor.add(now, serial, work)
-            lacking[serial] = work
-            asked += work
-        elif what == "speed":
-            processor.set_speed(now, float(speed))
-        elif lacking:
-            job = min(lacking)
-            given_up += processor.remove(now, job)
-            del lacking[job]
-    processor.set_speed(now, 1.0)
-    left = sum(processor.remove(now, job) for job in sorted(lacking))
-    assert asked - given_up - left <= capacity + 1 + len(steps)  # rounding to microseconds
+            del unfinished[job]
+        if action == "add":
+            processor.add(now_us, serial, work_us)
+            unfinished[serial] = work_us
+            added_us += work_us
+        elif action == "speed":
+            processor.set_speed(now_us, float(speed))
+        elif unfinished:
+            job = min(unfinished)
+            removed_us += processor.remove(now_us, job)
+            del unfinished[job]
+    processor.set_speed(now_us, 1.0)
+    remaining_us = sum(processor.remove(now_us, job) for job in sorted(unfinished))
+    assert added_us - removed_us - remaining_us <= capacity_us + 1 + len(steps)  # rounding to microseconds
 
 
 @given(st.lists(st.integers(1, 9000), min_size=1, max_size=20), st.integers(1, 4))
-def test_processor_ends_everything_at_the_moments_it_names(works: list[int], cores: int) -> None:
+def test_processor_finishes_jobs_at_the_times_that_next_us_returns(works_us: list[int], cores: int) -> None:
     processor = Processor(cores)
-    for job, work in enumerate(works):
-        processor.add(0, job, work)
-    ends, now = [], 0
-    while (due := processor.next_us()) is not None:
-        assert due >= now
-        now = due
-        ended = processor.ended(now)
-        assert ended  # a moment at which nothing ends would have a host wait in a circle
-        ends += ended
-    assert [works[int(str(job))] for job in ends] == sorted(works)
-    assert now >= max(works) and now >= sum(works) / cores - len(works)
+    for job, work_us in enumerate(works_us):
+        processor.add(0, job, work_us)
+    finished_jobs, now_us = [], 0
+    while (due_us := processor.next_us()) is not None:
+        assert due_us >= now_us
+        now_us = due_us
+        newly_finished = processor.finished(now_us)
+        assert newly_finished  # otherwise a host would call again and again at the same time
+        finished_jobs += newly_finished
+    assert [works_us[int(str(job))] for job in finished_jobs] == sorted(works_us)
+    assert now_us >= max(works_us) and now_us >= sum(works_us) / cores - len(works_us)
 
 
 # --- endpoints ---
 
 
 def endpoint(**changes: Any) -> Endpoint:
-    base = day()
-    plan = dataclasses.replace(base.plans[0], error_rate=0.0, choke=None, **changes)
-    return Endpoint(plan, base.rng("test"))
+    base_day = day()
+    plan = dataclasses.replace(base_day.plans[0], error_rate=0.0, choke=None, **changes)
+    return Endpoint(plan, base_day.rng("test"))
 
 
-def ended(machine: Endpoint, until_us: int) -> list[tuple[int, Any]]:
-    """Everything it says up to then; calls to the next tier are served at once."""
-    said, now = [], 0
-    while (due := machine.next_us(now)) is not None and due <= until_us:
-        now = due
-        for each in machine.advance(now):
-            said.append((now, each))
-            if isinstance(each, Call):
-                machine.called(now, each.token, served=True)
-    return said
+def run_until(simulated: Endpoint, until_us: int) -> list[tuple[int, Any]]:
+    """Advance to this time, and return the outputs; calls to the next tier are served immediately."""
+    outputs, now_us = [], 0
+    while (due_us := simulated.next_us(now_us)) is not None and due_us <= until_us:
+        now_us = due_us
+        for output in simulated.advance(now_us):
+            outputs.append((now_us, output))
+            if isinstance(output, Call):
+                simulated.called(now_us, output.token, served=True)
+    return outputs
 
 
 @given(count=st.integers(0, 40), slots=st.integers(1, 8), queue=st.integers(0, 8))
-def test_endpoint_holds_its_slots_and_queue_and_answers_each_request_once(
+def test_endpoint_fills_its_slots_and_queue_and_answers_each_request_once(
     count: int, slots: int, queue: int
 ) -> None:
-    machine = endpoint(slots=slots, queue=queue)
-    offers = Counter(machine.offer(0, Work(i, 1000.0, i % 3), True) for i in range(count))
+    simulated = endpoint(slots=slots, queue=queue)
+    offers = Counter(simulated.offer(0, Work(i, 1000.0, i % 3), True) for i in range(count))
     assert offers[Offer.TAKEN] == min(count, slots + queue)
     assert offers[Offer.DECLINED] == count - offers[Offer.TAKEN]
-    answers = Counter(said.token for _, said in ended(machine, 60 * S) if isinstance(said, Answer))
+    answers = Counter(
+        output.token for _, output in run_until(simulated, 60 * US_PER_S) if isinstance(output, Answer)
+    )
     assert answers == dict.fromkeys(range(offers[Offer.TAKEN]), 1)
-    assert machine.in_work == 0
+    assert simulated.in_flight == 0
 
 
-@given(st.lists(st.sampled_from(["hang", "pause", "slow", "cancel", "die"]), max_size=6))
-def test_whatever_befalls_an_endpoint_nothing_is_answered_twice_or_after_its_end(troubles: list[str]) -> None:
-    machine = endpoint()
+@given(st.lists(st.sampled_from(["hang", "pause", "slow", "cancel", "crash"]), max_size=6))
+def test_endpoint_faults_cause_no_second_answer_and_no_answer_after_a_crash_or_cancel(
+    faults: list[str],
+) -> None:
+    simulated = endpoint()
     for i in range(10):
-        machine.offer(0, Work(i, 50_000.0, 0), True)
-    gone: set[int] = set()
-    for i, trouble in enumerate(troubles):
-        at = (i + 1) * 1000
-        if trouble == "hang":
-            machine.hang(at, at + S)
-        elif trouble == "pause":
-            machine.pause(at, at + S // 2)
-        elif trouble == "slow":
-            machine.slow(at, 2.0)
-        elif trouble == "cancel":
-            machine.cancel(at, i)
-            gone.add(i)
+        simulated.offer(0, Work(i, 50_000.0, 0), True)
+    lost: set[int] = set()
+    for i, fault in enumerate(faults):
+        now_us = (i + 1) * 1000
+        if fault == "hang":
+            simulated.hang(now_us, now_us + US_PER_S)
+        elif fault == "pause":
+            simulated.pause(now_us, now_us + US_PER_S // 2)
+        elif fault == "slow":
+            simulated.slow(now_us, 2.0)
+        elif fault == "cancel":
+            simulated.cancel(now_us, i)
+            lost.add(i)
         else:
-            machine.die(at)
-            gone.update(range(10))
-    answers = Counter(said.token for _, said in ended(machine, 60 * S))
+            simulated.die(now_us)
+            lost.update(range(10))
+    answers = Counter(output.token for _, output in run_until(simulated, 60 * US_PER_S))
     assert all(count == 1 for count in answers.values())
-    assert not gone & {int(str(token)) for token in answers}
-    assert len(answers) + len(gone) == 10
+    assert not lost & {int(str(token)) for token in answers}
+    assert len(answers) + len(lost) == 10
 
 
-@given(part=st.floats(0.1, 4.0))
-def test_cold_endpoint_falls_over_only_past_its_budget(part: float) -> None:
-    machine = endpoint(slots=10_000)
-    machine.die(0)
-    machine.start(0)
-    plan = machine.plan
-    budget = plan.fall_factor * plan.capacity * plan.cold_from * plan.fall_us + 500_000
+@given(budget_factor=st.floats(0.1, 4.0))
+def test_cold_endpoint_crashes_only_beyond_its_overload_budget(budget_factor: float) -> None:
+    simulated = endpoint(slots=10_000)
+    simulated.die(0)
+    simulated.start(0)
+    plan = simulated.plan
+    budget_us = plan.overload_factor * plan.capacity * plan.cold_from * plan.overload_window_us + 500_000
     count = 200
-    offers = [machine.offer(0, Work(i, part * budget / count, 0), True) for i in range(count)]
-    fell = [said for said in machine.advance(0) if isinstance(said, Fell)]
-    assert bool(fell) == (Offer.REFUSED in offers) == (part > 1.0001) or abs(part - 1) < 0.001
-    if fell:
-        assert machine.state is State.DOWN
-        assert fell[0].told_us == pytest.approx(fell[0].work_us)
+    offers = [simulated.offer(0, Work(i, budget_factor * budget_us / count, 0), True) for i in range(count)]
+    overloads = [output for output in simulated.advance(0) if isinstance(output, Fell)]
+    assert (
+        bool(overloads) == (Offer.REFUSED in offers) == (budget_factor > 1.0001)
+        or abs(budget_factor - 1) < 0.001
+    )
+    if overloads:
+        assert simulated.state is State.DOWN
+        assert overloads[0].informed_work_us == pytest.approx(overloads[0].work_us)
 
 
 # --- discovery ---
@@ -166,199 +173,247 @@
 @given(
     st.lists(
         st.tuples(
-            st.sampled_from(["drains", "gone", "came_up", "down", "up"]),
+            st.sampled_from(["draining", "stopped", "started", "unavailable", "available"]),
             st.integers(0, 3),
             st.integers(0, 4000),
         ),
         max_size=25,
     )
 )
-def test_who_follows_the_changes_ends_with_the_truth(changes: list[tuple[str, int, int]]) -> None:
-    registry, now = Registry(day()), 0
-    known: dict[str, Readiness] = {}
+def test_following_the_changes_of_discovery_yields_the_current_list(
+    changes: list[tuple[str, int, int]],
+) -> None:
+    registry, now_us = Registry(day()), 0
+    received: dict[str, Readiness] = {}
     generation: int | None = None
 
     def apply(listing: Listing) -> None:
         if listing.whole:
-            known.clear()
+            received.clear()
         for entry in listing.entries:
-            known[entry.id] = entry.lifecycle
+            received[entry.id] = entry.lifecycle
             if entry.lifecycle is Readiness.GONE:
-                del known[entry.id]
+                del received[entry.id]
 
-    def ask(after: int | None) -> int | None:
-        nonlocal now
-        ticket = registry.ask(now, 0, after, 0)
+    def call_once(after_generation: int | None) -> int | None:
+        nonlocal now_us
+        call_id = registry.ask(now_us, 0, after_generation, 0)
         while True:
-            for told in registry.advance(now):
-                if told.ticket == ticket:
-                    if told.listing is None:
-                        return after
-                    assert told.delivery is Delivery.WHOLE
-                    apply(told.listing)
-                    return told.listing.generation
-            due = registry.next_us(now)
-            assert due is not None
-            now = max(now + 1, due)
-
-    for what, number, wait_ms in changes:
-        now += wait_ms * 1000
-        name = f"gateway-{number}"
-        if what in ("down", "up"):
-            registry.set_down(now, what == "down")
-        elif what == "came_up":
-            registry.came_up(now, name, now)
-        elif what == "drains":
-            registry.drains(now, name)
+            for result in registry.advance(now_us):
+                if result.ticket == call_id:
+                    if result.listing is None:
+                        return after_generation
+                    assert result.delivery is Delivery.WHOLE
+                    apply(result.listing)
+                    return result.listing.generation
+            due_us = registry.next_us(now_us)
+            assert due_us is not None
+            now_us = max(now_us + 1, due_us)
+
+    for change, number, wait_ms in changes:
+        now_us += wait_ms * 1000
+        endpoint_id = f"gateway-{number}"
+        if change in ("unavailable", "available"):
+            registry.set_down(now_us, change == "unavailable")
+        elif change == "started":
+            registry.came_up(now_us, endpoint_id, now_us)
+        elif change == "draining":
+            registry.drains(now_us, endpoint_id)
         else:
-            registry.gone(now, name)
-        generation = ask(generation)
-    registry.set_down(now, False)
-    now += 60 * S
-    registry.advance(now)
-    ask(generation)
-    truth = {e.id: e.lifecycle for e in registry.entries.values() if e.tier == 0}
-    assert known == {name: state for name, state in truth.items() if state is not Readiness.GONE}
+            registry.gone(now_us, endpoint_id)
+        generation = call_once(generation)
+    registry.set_down(now_us, False)
+    now_us += 60 * US_PER_S
+    registry.advance(now_us)
+    call_once(generation)
+    expected = {entry.id: entry.lifecycle for entry in registry.entries.values() if entry.tier == 0}
+    assert received == {
+        endpoint_id: state for endpoint_id, state in expected.items() if state is not Readiness.GONE
+    }
 
 
-# --- clients and the front ---
+# --- clients and the front balancer ---
 
 
-def test_a_day_is_its_seed() -> None:
+def test_day_depends_only_on_its_seed() -> None:
     def drawn(seed: int) -> tuple[Any, ...]:
-        made = day("upgrade", seed)
-        return made.plans, made.events, [dataclasses.astuple(errand) for errand in arrivals(made)[:200]]
+        drawn_day = day("upgrade", seed)
+        return (
+            drawn_day.plans,
+            drawn_day.events,
+            [dataclasses.astuple(request) for request in arrivals(drawn_day)[:200]],
+        )
 
     assert repr(drawn(5)) == repr(drawn(5))
     assert repr(drawn(5)) != repr(drawn(6))
 
 
 @given(
-    end=st.sampled_from(End), tries=st.integers(1, 6), at=st.integers(0, 7 * S), after=st.integers(0, 5 * S)
+    end=st.sampled_from(End),
+    tries=st.integers(1, 6),
+    now_us=st.integers(0, 7 * US_PER_S),
+    retry_after_us=st.integers(0, 5 * US_PER_S),
 )
-def test_clients_retry_only_what_is_harmless_and_within_their_time(
-    end: End, tries: int, at: int, after: int
+def test_clients_retry_only_repeatable_requests_within_their_deadline(
+    end: End, tries: int, now_us: int, retry_after_us: int
 ) -> None:
-    made = day()
-    for grade in made.grades:
-        errand = Errand(0, 0, grade, None, "west", 1.0, None, honours=True, tries=tries)
-        when = retry_us(made, errand, at, end, after)
-        if when is not None:
-            assert end in (End.REFUSED, End.UNREACHABLE)  # neither class of this day repeats anything else
-            assert at <= when < errand.due_us and tries <= made.retries
-        assert patience_us(made, errand, at) <= errand.due_us - at
-
-
-def test_front_sends_new_connections_for_a_while_after_a_no_and_then_none() -> None:
+    drawn_day = day()
+    for request_class in drawn_day.grades:
+        request = Errand(0, 0, request_class, None, "west", 1.0, None, honours_retry_after=True, tries=tries)
+        retry_at_us = retry_us(drawn_day, request, now_us, end, retry_after_us)
+        if retry_at_us is not None:
+            assert end in (
+                End.REFUSED,
+                End.UNREACHABLE,
+            )  # both classes of this day may be repeated only after these
+            assert now_us <= retry_at_us < request.deadline_us and tries <= drawn_day.retries
+        assert patience_us(drawn_day, request, now_us) <= request.deadline_us - now_us
+
+
+def test_front_stops_sending_new_connections_some_time_after_a_negative_answer() -> None:
     front = Front(day())
     front.answered(0, "front-0", True)
     front.answered(1000, "front-0", False)
-    assert front.takes_new(200_000, "front-0")
-    assert not front.takes_new(201_001, "front-0")
+    assert front.accepts_connections(200_000, "front-0")
+    assert not front.accepts_connections(201_001, "front-0")
     front.answered(300_000, "front-0", True)
     assert front.choose(300_000, "north", lambda _: False) == "front-0"  # its own zone has none
     front.silent(400_000, "front-0")
-    assert front.takes_new(500_000, "front-0") and not front.takes_new(5 * S, "front-0")
-
-
-# --- the judge ---
-
-
-def test_judge_finds_each_broken_rule_and_nothing_in_a_kept_one() -> None:
-    made = day()
-    bind, quote = made.grades
-    first, zone_mate = made.plans[0], made.plans[3]
-    stranger = made.plans[1]
-    assert first.zone == zone_mate.zone != stranger.zone
-
-    def broken(*moves: tuple[Any, ...], grade: Any = bind) -> list[str]:
-        judge = Judge(made)
-        judge.knows(0, "front-0", Listing(1, True, tuple(Registry(made).entries.values())))
-        judge.taken("r", "front-0", grade)
-        for name, *values in moves:
-            getattr(judge, name)(*values)
-        return list(judge.verdict(0.0, 0.0).breaches)
-
-    to = ("attempt", 10, 10, "r", "front-0")
-    declined = ("attempt_ended", "r", first, True)
-    failed = ("attempt_ended", "r", first, False)
-    assert broken((*to, first), ("answered", 20, "r", 200, True)) == []
-    assert broken(("answered", 20, "r", 200, False)) == ["no dropped request"]
-    assert broken((*to, first), ("cut_short", 20, "r", True, False)) == ["no dropped request"]
-    assert broken((*to, first), ("cut_short", 20, "r", True, True)) == []
-    assert broken((*to, first), declined, (*to, stranger), ("answered", 20, "r", 200, True)) == []
-    assert broken((*to, first), failed, (*to, zone_mate)) == ["each effect once"]
-    assert broken((*to, first), failed, ("answered", 20, "r", 503, False)) == ["each effect once"]
-    assert broken((*to, first), declined, ("answered", 20, "r", 503, False)) == []
-    assert broken((*to, first), failed, (*to, zone_mate), grade=quote) == []
-    assert broken((*to, first), failed, (*to, stranger), grade=quote) == ["each effect once"]
-    assert broken(("attempt", 10, 10, "never", "front-0", first)) == ["each effect once"]
-    late = ("attempt", 5 * S, 5 * S, "r", "front-0", first)
-    leaving = dataclasses.replace(Registry(made).entries[first.id], lifecycle=Readiness.DRAINING)
-    assert broken(("told", 3 * S, "front-0", Listing(2, False, (leaving,))), late) == ["safe drain"]
-    assert broken(("told", 4 * S, "front-0", Listing(2, False, (leaving,))), late) == []
-    # Who neither watches nor asks counts as told after a while.
-    silent = ("attempt", 15 * S, 15 * S, "r", "front-0", first)
-    assert broken(("listed", 1 * S, leaving), silent) == ["safe drain"]
-    assert broken(("listed", 1 * S, leaving), ("asked_list", 2 * S, "front-0"), silent) == []
-    assert broken(("fell", 1, first.id, Fell(90.0, 60.0))) == ["careful fail-back"]
-    assert broken(("fell", 1, first.id, Fell(90.0, 59.0))) == []
-    judge = Judge(made)
-    judge.taken("r", "front-0", bind)
-    assert judge.cut_short(1, "r", first=False, killed=False) is Fate.UNREAD
-
-
-def test_worth_counts_aims_shares_and_the_worst_window() -> None:
-    made = day()
-    bind, quote = made.grades
-    judge = Judge(made)
-    errands = [
-        Errand(0, 0, bind, "acme", "west", 1.0, None, False, ended_us=S, end=End.SERVED),
+    assert front.accepts_connections(500_000, "front-0") and not front.accepts_connections(
+        5 * US_PER_S, "front-0"
+    )
+
+
+# --- the evaluation ---
+
+
+def test_evaluation_finds_each_breach_and_none_where_the_rules_are_kept() -> None:
+    drawn_day = day()
+    bind, quote = drawn_day.grades
+    first_plan, same_zone_plan = drawn_day.plans[0], drawn_day.plans[3]
+    other_zone_plan = drawn_day.plans[1]
+    assert first_plan.zone == same_zone_plan.zone != other_zone_plan.zone
+
+    def breaches(*calls: tuple[Any, ...], request_class: Any = bind) -> list[str]:
+        evaluator = Judge(drawn_day)
+        evaluator.knows(0, "front-0", Listing(1, True, tuple(Registry(drawn_day).entries.values())))
+        evaluator.taken("r", "front-0", request_class)
+        for name, *values in calls:
+            getattr(evaluator, name)(*values)
+        return list(evaluator.verdict(0.0, 0.0).breaches)
+
+    attempt = ("attempt", 10, 10, "r", "front-0")
+    attempt_declined = ("attempt_ended", "r", first_plan, True)
+    attempt_failed = ("attempt_ended", "r", first_plan, False)
+    assert breaches((*attempt, first_plan), ("answered", 20, "r", 200, True)) == []
+    assert breaches(("answered", 20, "r", 200, False)) == ["no dropped request"]
+    assert breaches((*attempt, first_plan), ("cut_short", 20, "r", True, False)) == ["no dropped request"]
+    assert breaches((*attempt, first_plan), ("cut_short", 20, "r", True, True)) == []
+    assert (
+        breaches(
+            (*attempt, first_plan),
+            attempt_declined,
+            (*attempt, other_zone_plan),
+            ("answered", 20, "r", 200, True),
+        )
+        == []
+    )
+    assert breaches((*attempt, first_plan), attempt_failed, (*attempt, same_zone_plan)) == [
+        "each effect once"
+    ]
+    assert breaches((*attempt, first_plan), attempt_failed, ("answered", 20, "r", 503, False)) == [
+        "each effect once"
+    ]
+    assert breaches((*attempt, first_plan), attempt_declined, ("answered", 20, "r", 503, False)) == []
+    assert (
+        breaches((*attempt, first_plan), attempt_failed, (*attempt, same_zone_plan), request_class=quote)
+        == []
+    )
+    assert breaches(
+        (*attempt, first_plan), attempt_failed, (*attempt, other_zone_plan), request_class=quote
+    ) == ["each effect once"]
+    assert breaches(("attempt", 10, 10, "never", "front-0", first_plan)) == ["each effect once"]
+    late_attempt = ("attempt", 5 * US_PER_S, 5 * US_PER_S, "r", "front-0", first_plan)
+    draining_entry = dataclasses.replace(
+        Registry(drawn_day).entries[first_plan.id], lifecycle=Readiness.DRAINING
+    )
+    assert breaches(
+        ("told", 3 * US_PER_S, "front-0", Listing(2, False, (draining_entry,))), late_attempt
+    ) == ["safe drain"]
+    assert (
+        breaches(("told", 4 * US_PER_S, "front-0", Listing(2, False, (draining_entry,))), late_attempt) == []
+    )
+    # A sidecar that makes no call to discovery is taken to know its changes after a while.
+    attempt_after_silence = ("attempt", 15 * US_PER_S, 15 * US_PER_S, "r", "front-0", first_plan)
+    assert breaches(("listed", 1 * US_PER_S, draining_entry), attempt_after_silence) == ["safe drain"]
+    assert (
+        breaches(
+            ("listed", 1 * US_PER_S, draining_entry),
+            ("asked_list", 2 * US_PER_S, "front-0"),
+            attempt_after_silence,
+        )
+        == []
+    )
+    assert breaches(("fell", 1, first_plan.id, Fell(90.0, 60.0))) == ["careful fail-back"]
+    assert breaches(("fell", 1, first_plan.id, Fell(90.0, 59.0))) == []
+    evaluator = Judge(drawn_day)
+    evaluator.taken("r", "front-0", bind)
+    assert evaluator.cut_short(1, "r", first=False, killed=False) is Fate.UNREAD
+
+
+def test_evaluation_counts_target_latencies_quotas_and_the_worst_window() -> None:
+    drawn_day = day()
+    bind, quote = drawn_day.grades
+    evaluator = Judge(drawn_day)
+    requests = [
+        Errand(0, 0, bind, "acme", "west", 1.0, None, False, ended_us=US_PER_S, end=End.SERVED),
         Errand(
-            1, 1 * S, bind, "acme", "west", 1.0, None, False, ended_us=4 * S, end=End.SERVED
-        ),  # past its aim
-        Errand(2, 15 * S, quote, "globe", "west", 1.0, None, False, ended_us=16 * S, end=End.SERVED),
+            1, 1 * US_PER_S, bind, "acme", "west", 1.0, None, False, ended_us=4 * US_PER_S, end=End.SERVED
+        ),  # after its target latency
+        Errand(
+            2, 15 * US_PER_S, quote, "globe", "west", 1.0, None, False, ended_us=16 * US_PER_S, end=End.SERVED
+        ),
         Errand(
             3,
-            16 * S,
+            16 * US_PER_S,
             quote,
             "globe",
             "west",
             1.0,
             None,
             False,
-            within_share=False,
-            ended_us=17 * S,
+            within_quota=False,
+            ended_us=17 * US_PER_S,
             end=End.FAILED,
         ),
     ]
-    for errand in errands:
-        judge.asked(errand)
-    verdict = judge.verdict(0.0, 0.0)
-    assert verdict.classes["bind"].share == 0.5
-    assert verdict.classes["quote"].share == pytest.approx(5 / 5.25)
-    assert verdict.worst_window == 0.0  # from 1 s on: the late one alone
-    assert verdict.worst_tenant == 0.5  # within its share `globe` was served whole
-    assert verdict.whole == pytest.approx((8 + 5) / (16 + 5.25))
-    parts = 0.25 * verdict.whole + 0.2 * 0.5 + 0.1 * 0.5
-    assert verdict.goodput == pytest.approx(parts)
+    for request in requests:
+        evaluator.asked(request)
+    evaluation = evaluator.verdict(0.0, 0.0)
+    assert evaluation.classes["bind"].share == 0.5
+    assert evaluation.classes["quote"].share == pytest.approx(5 / 5.25)
+    assert evaluation.worst_window == 0.0  # the window from 1 s on has only the late request
+    assert evaluation.worst_tenant == 0.5  # all requests of `globe` within its quota were served
+    assert evaluation.whole == pytest.approx((8 + 5) / (16 + 5.25))
+    expected_goodput = 0.25 * evaluation.whole + 0.2 * 0.5 + 0.1 * 0.5
+    assert evaluation.goodput == pytest.approx(expected_goodput)
 
 
 # --- scenarios ---
 
 
-def test_shipped_scenarios_can_be_drawn_and_play_what_they_say() -> None:
+def test_shipped_scenarios_can_be_drawn_with_all_their_troubles() -> None:
     names = scenarios.shipped()
     assert {"calm", "burst", "hang", "release", "cold-zone", "discovery-down", "upgrade", "drain"} <= set(
         names
     )
     for name in names:
-        made = day(name)
-        assert made.rate_per_s > 10
-        assert all(event.at_us < made.length_us for event in made.events)
-        assert [event.kind.value for event in made.events] == sorted(
-            (t.kind.value for t in made.scenario.trouble),
-            key=[event.kind.value for event in made.events].index,
+        drawn_day = day(name)
+        assert drawn_day.rate_per_s > 10
+        assert all(event.at_us < drawn_day.length_us for event in drawn_day.events)
+        assert [event.kind.value for event in drawn_day.events] == sorted(
+            (trouble.kind.value for trouble in drawn_day.scenario.trouble),
+            key=[event.kind.value for event in drawn_day.events].index,
         )
 
 
@@ -384,7 +439,7 @@
         ("extends = ", ["no TOML: Invalid value (at end of document)"]),
     ],
 )
-def test_faults_of_a_scenario_are_named_all_at_once(tmp_path: Path, text: str, faults: list[str]) -> None:
+def test_all_faults_of_a_scenario_are_reported_together(tmp_path: Path, text: str, faults: list[str]) -> None:
     path = tmp_path / "mine.toml"
     path.write_text(text, encoding="utf-8")
     with pytest.raises(DocumentError) as caught:
