--- a/eiderhub/scale/__init__.py
+++ b/eiderhub/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale runs: hollow sidecars, the real client code without the data path, beside real processes."""
+"""Scale and cost measurements: hollow sidecars (client code without the data path) and real processes."""
--- a/eiderhub/scale/alarms.py
+++ b/eiderhub/scale/alarms.py
@@ -1,4 +1,4 @@
-"""Timers that are some microseconds late; the loop's own are kept in whole milliseconds: too coarse."""
+"""Timers with microsecond precision; the event loop's own timers are rounded to whole milliseconds."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import Any
 
-NS = 1_000_000_000
-AT_A_TIME = 1 << 16  # lateness that is kept: the newest
+NS_PER_S = 1_000_000_000
+MAX_LATENESS_SAMPLES = 1 << 16  # the oldest are discarded first
 
 _libc = ctypes.CDLL(None, use_errno=True)
 
@@ -21,55 +21,58 @@
     _fields_ = (("s", ctypes.c_long), ("ns", ctypes.c_long))
 
 
-class _Setting(ctypes.Structure):
-    _fields_ = (("every", _Timespec), ("first", _Timespec))
+class _TimerSpec(ctypes.Structure):
+    _fields_ = (("interval", _Timespec), ("value", _Timespec))
 
 
-class Alarms:
-    """Callbacks at moments of the system's monotonic clock, in nanoseconds, on the running loop.
+class PreciseTimers:
+    """Runs callbacks on the running loop at given times of the system's monotonic clock, in nanoseconds.
+
+    `lateness_ns` has the delay of each callback behind its due time, since the list was last replaced.
 
     Raises:
-        OSError: the system has no timer to give.
+        OSError: the timer descriptor can't be created.
     """
 
     def __init__(self) -> None:
-        self.late_ns: list[int] = []
-        self._due: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
-        self._count = 0
+        self.lateness_ns: list[int] = []
+        self._heap: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
+        self._sequence = 0
         self._loop = asyncio.get_running_loop()
         flags = os.O_NONBLOCK | os.O_CLOEXEC
-        self._descriptor: int = _libc.timerfd_create(time.CLOCK_MONOTONIC, flags)
-        if self._descriptor < 0:
+        self._timer_fd: int = _libc.timerfd_create(time.CLOCK_MONOTONIC, flags)
+        if self._timer_fd < 0:
             raise OSError(ctypes.get_errno(), os.strerror(ctypes.get_errno()))
-        self._loop.add_reader(self._descriptor, self._ring)
+        self._loop.add_reader(self._timer_fd, self._on_expired)
 
-    def at(self, due_ns: int, callback: Callable[..., object], *args: Any) -> None:
-        self._count += 1
-        heapq.heappush(self._due, (due_ns, self._count, callback, args))
-        if self._due[0][1] == self._count:
+    def call_at(self, due_ns: int, callback: Callable[..., object], *args: Any) -> None:
+        """Schedules the callback; one whose time has passed runs on the next turn of the loop."""
+        self._sequence += 1
+        heapq.heappush(self._heap, (due_ns, self._sequence, callback, args))
+        if self._heap[0][1] == self._sequence:
             self._arm()
 
     def close(self) -> None:
-        """Nothing more is called back."""
-        self._due.clear()
-        if self._descriptor >= 0:
-            self._loop.remove_reader(self._descriptor)
-            os.close(self._descriptor)
-            self._descriptor = -1
+        """Drops all pending callbacks and closes the descriptor. May be called more than once."""
+        self._heap.clear()
+        if self._timer_fd >= 0:
+            self._loop.remove_reader(self._timer_fd)
+            os.close(self._timer_fd)
+            self._timer_fd = -1
 
     def _arm(self) -> None:
-        due_ns = max(1, self._due[0][0])  # 0 would disarm it; what is past rings at once
-        setting = _Setting(_Timespec(0, 0), _Timespec(due_ns // NS, due_ns % NS))
-        _libc.timerfd_settime(self._descriptor, 1, ctypes.byref(setting), None)  # 1: an absolute time
+        due_ns = max(1, self._heap[0][0])  # 0 disarms the timer; a past time expires at once
+        timer_spec = _TimerSpec(_Timespec(0, 0), _Timespec(due_ns // NS_PER_S, due_ns % NS_PER_S))
+        _libc.timerfd_settime(self._timer_fd, 1, ctypes.byref(timer_spec), None)  # 1 is TFD_TIMER_ABSTIME
 
-    def _ring(self) -> None:
+    def _on_expired(self) -> None:
         with contextlib.suppress(BlockingIOError):
-            os.read(self._descriptor, 8)
-        while self._due and (late_ns := time.monotonic_ns() - self._due[0][0]) >= 0:
-            _, _, callback, args = heapq.heappop(self._due)
-            if len(self.late_ns) >= AT_A_TIME:
-                del self.late_ns[: AT_A_TIME // 2]
-            self.late_ns.append(late_ns)
+            os.read(self._timer_fd, 8)
+        while self._heap and (delay_ns := time.monotonic_ns() - self._heap[0][0]) >= 0:
+            _, _, callback, args = heapq.heappop(self._heap)
+            if len(self.lateness_ns) >= MAX_LATENESS_SAMPLES:
+                del self.lateness_ns[: MAX_LATENESS_SAMPLES // 2]
+            self.lateness_ns.append(delay_ns)
             callback(*args)
-        if self._due:
+        if self._heap:
             self._arm()
--- a/eiderhub/scale/backends.py
+++ b/eiderhub/scale/backends.py
@@ -1,9 +1,10 @@
-"""What stands around a sidecar under measurement, in other processes: endpoints, discovery, a bare relay.
+"""Stand-ins for a sidecar's surroundings, each in a process of its own: endpoints, discovery, a bare relay.
 
     python -m eiderhub.scale.backends endpoints FILE SETS COUNT SERVICE_US
     python -m eiderhub.scale.backends relay FILE HOST:PORT...
 
-Each listens on loopback, writes `Places` to FILE once it does, and ends on SIGTERM or with who started it.
+A process listens on loopback, writes its addresses as JSON to FILE once it listens, and ends on SIGTERM or
+after its parent process has ended.
 """
 
 from __future__ import annotations
@@ -25,34 +26,34 @@
 
 from eiderhub.address import Address, parse_host_port
 from eiderhub.http1 import Exchange, ServerConnection
-from eiderhub.scale.alarms import Alarms
+from eiderhub.scale.alarms import PreciseTimers
 
 HOST = "127.0.0.1"
 BACKLOG = 1024
-ANSWER = b"y" * 200
-GENERATION = 1  # of discovery's list, which never changes
-MOST_WAIT_MS = 60_000
-LOOK_S = 0.5  # how often a process looks whether who started it still lives
+RESPONSE_BODY = b"y" * 200
+GENERATION = 1  # of the discovery list, which never changes
+MAX_WAIT_MS = 60_000
+PARENT_CHECK_INTERVAL_S = 0.5
 
 
 class Places(msgspec.Struct, frozen=True):
-    """Where a process listens."""
+    """Addresses on which a process listens."""
 
-    sets: list[list[Address]]  # of endpoints, alike; a relay has one set
-    figures: Address | None = None  # answers `Counts`
-    discovery: Address | None = None  # lists the first set
+    sets: list[list[Address]]  # equal sets of endpoints; a relay has one set
+    figures: Address | None = None  # serves `EndpointCounts`
+    discovery: Address | None = None  # serves a list of the first set
 
 
-class Counts(msgspec.Struct, frozen=True):
-    """Of endpoints, since they began, by set."""
+class EndpointCounts(msgspec.Struct, frozen=True):
+    """Totals of the endpoints since their start, by set."""
 
     accepted: list[int]  # connections
     answered: list[int]  # requests
-    late_p99_ms: float  # of the timers behind answers
+    late_p99_ms: float  # of the timers that delay responses
 
 
-def instance(number: int, address: Address) -> dict[str, object]:
-    """An endpoint as discovery lists it; up for long."""
+def instance_entry(number: int, address: Address) -> dict[str, object]:
+    """An endpoint in the form of a discovery list; its start time is long past."""
     return {
         "instanceId": f"e{number}",
         "hostPort": str(address),
@@ -65,149 +66,153 @@
     }
 
 
-def listing(addresses: Sequence[Address]) -> dict[str, object]:
-    """A whole list in discovery's form."""
-    entries = [instance(number, address) for number, address in enumerate(addresses)]
+def full_list(addresses: Sequence[Address]) -> dict[str, object]:
+    """A full list in the form of a discovery response."""
+    entries = [instance_entry(number, address) for number, address in enumerate(addresses)]
     return {"generation": GENERATION, "reset": True, "instances": entries}
 
 
 class _Endpoints:
-    def __init__(self, sets: int, service_us: int) -> None:
+    def __init__(self, set_count: int, service_us: int) -> None:
         self._service_ns = service_us * 1000
-        self._alarms = Alarms()
-        self._accepted = [0] * sets
-        self._answered = [0] * sets
+        self._timers = PreciseTimers()
+        self._accepted = [0] * set_count
+        self._answered = [0] * set_count
         self._connections: set[ServerConnection] = set()
-        self._whole = b""
+        self._full_list = b""
 
-    async def open(self, count: int) -> Places:
-        """`count` endpoints in each set."""
+    async def start(self, count: int) -> Places:
+        """Starts `count` endpoints in each set, the counts service and the discovery service."""
         sets = []
         for number in range(len(self._accepted)):
-            serve = partial(self._serve, number)
-            opened = partial(self._opened, number)
-            sets.append([await self._listen(serve, opened) for _ in range(count)])
-        self._whole = msgspec.json.encode(listing(sets[0]))
-        return Places(sets, await self._listen(self._figures), await self._listen(self._list))
+            handler = partial(self._serve_request, number)
+            on_connection = partial(self._count_connection, number)
+            sets.append([await self._listen(handler, on_connection) for _ in range(count)])
+        self._full_list = msgspec.json.encode(full_list(sets[0]))
+        return Places(sets, await self._listen(self._serve_counts), await self._listen(self._serve_list))
 
     async def _listen(
         self,
-        serve: Callable[[Exchange], None],
-        opened: Callable[[ServerConnection], None] = lambda _: None,
+        handler: Callable[[Exchange], None],
+        on_connection: Callable[[ServerConnection], None] = lambda _: None,
     ) -> Address:
-        def connection() -> ServerConnection:
-            return ServerConnection(serve, lambda: 0, self._connections, opened)
+        def make_connection() -> ServerConnection:
+            return ServerConnection(handler, lambda: 0, self._connections, on_connection)
 
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(connection, HOST, 0, backlog=BACKLOG)
+        server = await loop.create_server(make_connection, HOST, 0, backlog=BACKLOG)
         return Address(HOST, server.sockets[0].getsockname()[1])
 
-    def _opened(self, number: int, _: ServerConnection) -> None:
-        self._accepted[number] += 1
+    def _count_connection(self, set_number: int, _: ServerConnection) -> None:
+        self._accepted[set_number] += 1
 
-    def _serve(self, number: int, exchange: Exchange) -> None:
+    def _serve_request(self, set_number: int, exchange: Exchange) -> None:
         if self._service_ns:
-            self._alarms.at(time.monotonic_ns() + self._service_ns, self._answer, number, exchange)
+            self._timers.call_at(time.monotonic_ns() + self._service_ns, self._respond, set_number, exchange)
         else:
-            self._answer(number, exchange)
+            self._respond(set_number, exchange)
 
-    def _answer(self, number: int, exchange: Exchange) -> None:
-        self._answered[number] += not exchange.finished
-        exchange.respond(200, ANSWER)
+    def _respond(self, set_number: int, exchange: Exchange) -> None:
+        self._answered[set_number] += not exchange.finished
+        exchange.respond(200, RESPONSE_BODY)
 
-    def _figures(self, exchange: Exchange) -> None:
-        late = self._alarms.late_ns
-        late_ms = round(float(np.percentile(late, 99)) / 1e6, 3) if late else 0.0
-        self._alarms.late_ns = []
-        exchange.respond(200, msgspec.json.encode(Counts(self._accepted, self._answered, late_ms)))
+    def _serve_counts(self, exchange: Exchange) -> None:
+        delays_ns = self._timers.lateness_ns
+        late_p99_ms = round(float(np.percentile(delays_ns, 99)) / 1e6, 3) if delays_ns else 0.0
+        self._timers.lateness_ns = []
+        exchange.respond(
+            200, msgspec.json.encode(EndpointCounts(self._accepted, self._answered, late_p99_ms))
+        )
 
-    def _list(self, exchange: Exchange) -> None:
+    def _serve_list(self, exchange: Exchange) -> None:
         query = parse_qs(urlsplit(exchange.url.decode("latin-1")).query)
         if "after" not in query:
-            exchange.respond(200, self._whole)
+            exchange.respond(200, self._full_list)
             return
-        wait_ms = min(MOST_WAIT_MS, int(query.get("wait_ms", ["0"])[0]))
-        nothing = msgspec.json.encode({"generation": GENERATION, "reset": False, "instances": []})
-        asyncio.get_running_loop().call_later(wait_ms / 1000, exchange.respond, 200, nothing)
+        wait_ms = min(MAX_WAIT_MS, int(query.get("wait_ms", ["0"])[0]))
+        empty_delta = msgspec.json.encode({"generation": GENERATION, "reset": False, "instances": []})
+        asyncio.get_running_loop().call_later(wait_ms / 1000, exchange.respond, 200, empty_delta)
 
 
-class _Half(asyncio.Protocol):
-    """One side of a relayed connection; bytes that come before the other is up wait for it."""
+class _RelaySide(asyncio.Protocol):
+    """One side of a relayed connection; buffers received bytes until the other side is connected."""
 
-    def __init__(self, other: _Half | None = None, to: Address | None = None) -> None:
-        self._other = other
-        self._to = to
-        self._early: list[bytes] = []
+    def __init__(self, peer: _RelaySide | None = None, target: Address | None = None) -> None:
+        self._peer = peer
+        self._target = target
+        self._buffered: list[bytes] = []
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        if self._to is not None:
-            self._other = far = _Half(self)
-            self._task = asyncio.get_running_loop().create_task(self._connect(far, self._to))
-        elif self._other is not None:
-            self._other.flush(self.transport)
+        if self._target is not None:
+            self._peer = upstream = _RelaySide(self)
+            self._task = asyncio.get_running_loop().create_task(self._connect(upstream, self._target))
+        elif self._peer is not None:
+            self._peer.flush(self.transport)
 
-    async def _connect(self, far: _Half, to: Address) -> None:
+    async def _connect(self, upstream: _RelaySide, target: Address) -> None:
         try:
-            await asyncio.get_running_loop().create_connection(lambda: far, to.host, to.port)
+            await asyncio.get_running_loop().create_connection(lambda: upstream, target.host, target.port)
         except OSError:
             if self.transport is not None:
                 self.transport.abort()
 
-    def flush(self, to: asyncio.Transport) -> None:
-        for data in self._early:
-            to.write(data)
-        self._early.clear()
+    def flush(self, destination: asyncio.Transport) -> None:
+        """Sends the buffered bytes to the side that has just connected."""
+        for data in self._buffered:
+            destination.write(data)
+        self._buffered.clear()
         if self.transport is None or self.transport.is_closing():
-            to.close()
+            destination.close()
 
     def data_received(self, data: bytes) -> None:
-        if self._other is not None and self._other.transport is not None:
-            self._other.transport.write(data)
+        if self._peer is not None and self._peer.transport is not None:
+            self._peer.transport.write(data)
         else:
-            self._early.append(data)
+            self._buffered.append(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if self._other is not None and self._other.transport is not None:
-            self._other.transport.close()
+        if self._peer is not None and self._peer.transport is not None:
+            self._peer.transport.close()
 
 
 async def _relay(targets: list[Address]) -> Places:
     loop = asyncio.get_running_loop()
     addresses = []
     for target in targets:
-        server = await loop.create_server(partial(_Half, None, target), HOST, 0, backlog=BACKLOG)
+        server = await loop.create_server(partial(_RelaySide, None, target), HOST, 0, backlog=BACKLOG)
         addresses.append(Address(HOST, server.sockets[0].getsockname()[1]))
     return Places([addresses])
 
 
-async def _serve(arguments: list[str]) -> None:
+async def _run(arguments: list[str]) -> None:
     parent = os.getppid()
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    what, file, *rest = arguments
-    if what == "endpoints":
-        sets, count, service_us = (int(text) for text in rest)
-        places = await _Endpoints(sets, service_us).open(count)
+    role, file, *rest = arguments
+    if role == "endpoints":
+        set_count, endpoint_count, service_us = (int(text) for text in rest)
+        addresses = await _Endpoints(set_count, service_us).start(endpoint_count)
     else:
-        places = await _relay([parse_host_port(text) for text in rest])
-    beside = Path(file + ".part")
-    beside.write_bytes(msgspec.json.encode(places))
-    beside.replace(file)
+        addresses = await _relay([parse_host_port(text) for text in rest])
+    temporary = Path(file + ".part")
+    temporary.write_bytes(msgspec.json.encode(addresses))
+    temporary.replace(file)
     while not stop.is_set() and os.getppid() == parent:
         try:
-            async with asyncio.timeout(LOOK_S):
+            async with asyncio.timeout(PARENT_CHECK_INTERVAL_S):
                 await stop.wait()
         except TimeoutError:
             pass
 
 
 def main() -> int:
+    """Runs the stand-in that the command line names, until it is stopped."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(_serve(sys.argv[1:]))
+        runner.run(_run(sys.argv[1:]))
     return 0
 
 
--- a/eiderhub/scale/changes.py
+++ b/eiderhub/scale/changes.py
@@ -1,4 +1,4 @@
-"""Changes of records at a steady rate, and how long each takes until it is in force."""
+"""Changes records at a constant rate and measures the time until each change is in effect at the sidecars."""
 
 from __future__ import annotations
 
@@ -18,73 +18,82 @@
 from eiderhub.scale.plan import Seat
 from eiderhub.scale.topology import Topology
 
-LINES = 16
-WRITE_S = 2.0  # an operator waits so long
+CONNECTIONS = 16
+WRITE_TIMEOUT_S = 2.0  # that of an operator's call
 
 
 @dataclass(slots=True)
-class Written:
-    """What came of changes."""
+class WriteResults:
+    """Counts of attempted and failed writes, and the acknowledged changes."""
 
-    tried: int = 0
+    attempted: int = 0
     failed: int = 0
     made: list[Change] = field(default_factory=list)
 
 
 class Writer:
-    """An operator who drains records and takes it back, by turns; each call leaves when it is due."""
+    """An operator who alternately drains a record and undoes it; each call is sent at its due time."""
 
     def __init__(self, address: Address, seats: Sequence[Seat], seed: int) -> None:
-        self._lines = [RegistryClient(address) for _ in range(LINES)]
+        self._clients = [RegistryClient(address) for _ in range(CONNECTIONS)]
         self._seats = seats
         self._rng = random.Random(seed)
-        self._busy: set[asyncio.Task[None]] = set()
-        self.written = Written()
+        self._pending: set[asyncio.Task[None]] = set()
+        self.written = WriteResults()
 
     async def write(self, rate: float, seconds: float) -> None:
-        """An even number of changes; returns when the last of them is answered or given up."""
-        begun = time.monotonic()
+        """Sends an even number of changes; returns after `seconds`, once the last one has ended."""
+        start_s = time.monotonic()
         seat = self._seats[0]
         for number in range(2 * max(1, int(rate * seconds / 2))):
-            due = begun + number / rate
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
+            due_s = start_s + number / rate
+            await asyncio.sleep(max(0.0, due_s - time.monotonic()))
             if not number % 2:
                 seat = self._rng.choice(self._seats)
-            task = asyncio.create_task(self._turn(self._lines[number % LINES], seat, bool(number % 2)))
-            self._busy.add(task)
-            task.add_done_callback(self._busy.discard)
-        if self._busy:
-            await asyncio.gather(*self._busy)
-        await asyncio.sleep(max(0.0, begun + seconds - time.monotonic()))
-
-    async def _turn(self, line: RegistryClient, seat: Seat, undo: bool) -> None:
-        self.written.tried += 1
-        call = api.RecordRequest(service=seat.service, id=seat.id, undo=undo)
+            task = asyncio.create_task(
+                self._send_change(self._clients[number % CONNECTIONS], seat, bool(number % 2))
+            )
+            self._pending.add(task)
+            task.add_done_callback(self._pending.discard)
+        if self._pending:
+            await asyncio.gather(*self._pending)
+        await asyncio.sleep(max(0.0, start_s + seconds - time.monotonic()))
+
+    async def _send_change(self, client: RegistryClient, seat: Seat, undo: bool) -> None:
+        self.written.attempted += 1
+        request = api.RecordRequest(service=seat.service, id=seat.id, undo=undo)
         try:
-            done = await line.post(api.DRAIN_PATH, call, api.WriteResponse, WRITE_S)
+            response = await client.post(api.DRAIN_PATH, request, api.WriteResponse, WRITE_TIMEOUT_S)
         except (NoReplyError, RequestRefusedError):
             self.written.failed += 1
             return
-        self.written.made.append(Change(seat.service, done.version, time.monotonic()))
+        self.written.made.append(Change(seat.service, response.version, time.monotonic()))
 
     def close(self) -> None:
-        for task in self._busy:
+        """Cancels pending changes and closes the connections."""
+        for task in self._pending:
             task.cancel()
-        for line in self._lines:
-            line.close()
-
-
-async def settled(topology: Topology, made: list[Change]) -> tuple[list[float], int]:
-    """For each change and each sidecar that follows it, milliseconds until in force; and how many miss it."""
-    found: list[Settled] = await topology.each("/settle", Settle(made), Settled)
-    delays = [delay for one in found for each in one.delays_ms for delay in each]
-    missing = sum(one.missing for one in found)
-    for real in topology.reals:
-        moments = np.array(real.in_force, dtype=float).reshape(-1, 2)
-        real.in_force = real.in_force[-1:]
-        for change in made:
-            if change.service == real.seat.follows:
-                delay = delay_ms(moments, change)
+        for client in self._clients:
+            client.close()
+
+
+async def settled(topology: Topology, changes: list[Change]) -> tuple[list[float], int]:
+    """Collects the propagation delays of changes.
+
+    Returns the milliseconds from each change's acknowledgement until it is in effect at each sidecar that
+    follows its service, and the number of sidecars' changes that are not in effect.
+    """
+    responses: list[Settled] = await topology.each("/settle", Settle(changes), Settled)
+    delays = [
+        delay for response in responses for change_delays in response.delays_ms for delay in change_delays
+    ]
+    missing = sum(response.missing for response in responses)
+    for sidecar in topology.reals:
+        adoptions = np.array(sidecar.in_force, dtype=float).reshape(-1, 2)
+        sidecar.in_force = sidecar.in_force[-1:]
+        for change in changes:
+            if change.service == sidecar.seat.follows:
+                delay = delay_ms(adoptions, change)
                 if delay is None:
                     missing += 1
                 else:
@@ -93,7 +102,7 @@
 
 
 def spread(delays: list[float]) -> dict[str, float]:
-    """Percentiles, in milliseconds."""
+    """Returns percentiles in milliseconds; empty without delays."""
     if not delays:
         return {}
     p50, p99, last = np.percentile(delays, [50, 99, 100])
--- a/eiderhub/scale/counts.py
+++ b/eiderhub/scale/counts.py
@@ -1,4 +1,4 @@
-"""What a process says over its connections, counted where they are opened; and what processes cost."""
+"""Counts the traffic of a process's outgoing connections, and reads the resource usage of processes."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from eiderhub.registry import api
 from eiderhub.scale.result import Machine
 
-NAME = b'"instanceId"'  # stands once in each entry of a list
-KINDS = {
+ENTRY_MARKER = b'"instanceId"'  # occurs once in each entry of a list
+CALL_KINDS = {
     api.LIST_PATH.encode(): "list",
     api.FEED_PATH.encode(): "feed",
     api.STATUS_PATH.encode(): "status",
@@ -30,11 +30,11 @@
 }
 WRITES = ("put", "drain", "remove")
 OTHER = "other"
-PER_S = 10  # buckets: calls are counted by tenths of a second of the machine's monotonic clock
+BUCKETS_PER_S = 10  # buckets of calls, by the machine's monotonic clock
 
 
 class Told(Struct, frozen=True):
-    """What went to one address and came back, all told; `buckets` since they were last taken."""
+    """Total traffic with one address; `buckets` has the calls since the counts were last taken."""
 
     calls: dict[str, int] = {}  # by kind
     bytes_out: int = 0
@@ -46,7 +46,7 @@
 
 
 class Tally:
-    """Counts for one address."""
+    """Counts the traffic with one address."""
 
     def __init__(self) -> None:
         self.calls: Counter[str] = Counter()
@@ -54,21 +54,26 @@
         self._buckets: Counter[int] = Counter()
 
     def went(self, data: bytes) -> None:
+        """Counts sent bytes, and a call if they begin with a request line."""
         self.bytes_out += len(data)
         if data[:4] in (b"GET ", b"POST"):
             path = data[: data.index(b"\r\n")].split(b" ")[1].partition(b"?")[0]
-            self.calls[KINDS.get(path, OTHER)] += 1
-            self._buckets[int(time.monotonic() * PER_S)] += 1
+            self.calls[CALL_KINDS.get(path, OTHER)] += 1
+            self._buckets[int(time.monotonic() * BUCKETS_PER_S)] += 1
 
     def came(self, data: bytes, tail: bytes) -> bytes:
-        """`tail`: what this gave for the piece before, of the same connection."""
+        """Counts received bytes and list entries; returns the tail to pass with the next bytes.
+
+        `tail` is the return value for the previous bytes of the same connection, as an entry's marker may be
+        split between the two.
+        """
         self.bytes_in += len(data)
-        whole = tail + data
-        self.entries += whole.count(NAME)
-        return whole[-len(NAME) + 1 :]
+        searched = tail + data
+        self.entries += searched.count(ENTRY_MARKER)
+        return searched[-len(ENTRY_MARKER) + 1 :]
 
     def told(self) -> Told:
-        """All of it; the buckets begin anew."""
+        """Returns all counts and clears the buckets."""
         buckets, self._buckets = dict(self._buckets), Counter()
         return Told(
             dict(self.calls), self.bytes_out, self.bytes_in, self.entries, self.opened, self.open, buckets
@@ -76,7 +81,7 @@
 
 
 def since(after: Told, before: Told) -> Told:
-    """What came between two tellings; `open` and `buckets` are the later one's."""
+    """Returns the traffic between two counts; `open` and `buckets` are those of the later."""
     kinds = {kind: count - before.calls.get(kind, 0) for kind, count in after.calls.items()}
     return Told(
         {kind: count for kind, count in kinds.items() if count},
@@ -89,66 +94,69 @@
     )
 
 
-def together(all_told: list[Told]) -> Told:
+def together(counts: list[Told]) -> Told:
+    """Returns the sums over several addresses or processes."""
     kinds: Counter[str] = Counter()
     buckets: Counter[int] = Counter()
-    for one in all_told:
-        kinds.update(one.calls)
-        buckets.update(one.buckets)
+    for each in counts:
+        kinds.update(each.calls)
+        buckets.update(each.buckets)
     return Told(
         dict(kinds),
-        sum(one.bytes_out for one in all_told),
-        sum(one.bytes_in for one in all_told),
-        sum(one.entries for one in all_told),
-        sum(one.opened for one in all_told),
-        sum(one.open for one in all_told),
+        sum(each.bytes_out for each in counts),
+        sum(each.bytes_in for each in counts),
+        sum(each.entries for each in counts),
+        sum(each.opened for each in counts),
+        sum(each.open for each in counts),
         dict(buckets),
     )
 
 
 def peak(buckets: dict[int, int], since_s: float = 0.0) -> int:
-    """The most calls within a tenth of a second, from this moment of the monotonic clock on."""
-    return max((count for at, count in buckets.items() if at >= int(since_s * PER_S)), default=0)
+    """Returns the maximum number of calls in one bucket at or after this time of the monotonic clock."""
+    return max(
+        (count for bucket, count in buckets.items() if bucket >= int(since_s * BUCKETS_PER_S)), default=0
+    )
 
 
-class _Transport:
-    """Counts what is written; all else is the transport's own."""
+class _CountingTransport:
+    """Counts written bytes; all other members are those of the wrapped transport."""
 
-    def __init__(self, transport: asyncio.Transport, tally: Tally) -> None:
+    def __init__(self, transport: asyncio.Transport, counter: Tally) -> None:
         self._transport = transport
-        self._tally = tally
+        self._counter = counter
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._transport, name)
 
     def write(self, data: bytes) -> None:
-        self._tally.went(data)
+        self._counter.went(data)
         self._transport.write(data)
 
 
-class _Protocol(asyncio.Protocol):
-    """Counts what comes, and passes it on."""
+class _CountingProtocol(asyncio.Protocol):
+    """Counts received bytes and connections, and passes all events to the inner protocol."""
 
-    def __init__(self, inner: asyncio.Protocol, tally: Tally) -> None:
+    def __init__(self, inner: asyncio.Protocol, counter: Tally) -> None:
         self._inner = inner
-        self._tally = tally
+        self._counter = counter
         self._tail = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._tally.opened += 1
-        self._tally.open += 1
-        counted = _Transport(cast(asyncio.Transport, transport), self._tally)
+        self._counter.opened += 1
+        self._counter.open += 1
+        counted = _CountingTransport(cast(asyncio.Transport, transport), self._counter)
         self._inner.connection_made(cast(asyncio.BaseTransport, counted))
 
     def data_received(self, data: bytes) -> None:
-        self._tail = self._tally.came(data, self._tail)
+        self._tail = self._counter.came(data, self._tail)
         self._inner.data_received(data)
 
     def eof_received(self) -> bool | None:
         return self._inner.eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._tally.open -= 1
+        self._counter.open -= 1
         self._inner.connection_lost(exc)
 
     def pause_writing(self) -> None:
@@ -159,29 +167,34 @@
 
 
 class CountingLoop(uvloop.Loop):
-    """A loop whose outgoing connections are counted by the address that they go to."""
+    """An event loop that counts the traffic of its outgoing connections by remote address."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.tallies: dict[str, Tally] = {}
+        self.counters: dict[str, Tally] = {}
 
     async def create_connection(
-        self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **more: Any
+        self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        tally = self.tallies.setdefault(f"{host}:{port}", Tally())
+        counter = self.counters.setdefault(f"{host}:{port}", Tally())
         return await super().create_connection(
-            lambda: _Protocol(protocol_factory(), tally), host, port, **more
+            lambda: _CountingProtocol(protocol_factory(), counter), host, port, **options
         )
 
     def told(self) -> dict[str, Told]:
-        return {address: tally.told() for address, tally in self.tallies.items()}
+        """Returns the counts by remote address and clears their buckets."""
+        return {address: counter.told() for address, counter in self.counters.items()}
 
 
 def counting() -> CountingLoop:
-    """The loop that runs now. Raises RuntimeError where it is another kind."""
+    """Returns the running loop.
+
+    Raises:
+        RuntimeError: it is not a `CountingLoop`.
+    """
     loop = asyncio.get_running_loop()
     if not isinstance(loop, CountingLoop):
-        raise RuntimeError("connections are not counted on this loop")
+        raise RuntimeError("the running event loop does not count connections")
     return loop
 
 
@@ -189,9 +202,10 @@
 
 
 def cost(pid: int) -> tuple[float, float]:
-    """Seconds of processor time of all its threads, and MB that are resident. Zeros where it has ended.
+    """Returns a process's processor time in seconds, over all threads, and its resident memory in MB.
 
-    The scheduler's own account is in nanoseconds; where the system keeps none, ticks of 10 ms are taken.
+    Both are 0 if the process has ended. The scheduler's statistics are in nanoseconds; on systems without
+    them the time is read in clock ticks (10 ms).
     """
     folder = Path(f"/proc/{pid}")
     try:
@@ -206,6 +220,7 @@
 
 
 def machine() -> Machine:
+    """Describes this machine: usable cores, memory, versions of Python and of the system."""
     pages = os.sysconf("SC_PHYS_PAGES")
     return Machine(
         cores=len(os.sched_getaffinity(0)),
--- a/eiderhub/scale/faults.py
+++ b/eiderhub/scale/faults.py
@@ -1,4 +1,4 @@
-"""What befalls a running fleet: a release, a zone that is lost and comes back, a region that is cut off."""
+"""Faults of a running fleet: a release, a lost zone, a region cut off, a killed follower or main service."""
 
 from __future__ import annotations
 
@@ -20,176 +20,187 @@
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, Fault
 from eiderhub.scale.topology import Topology
 
-STEPS = 10  # a release's
-WATCH_S = 0.25  # how often the main service's records are counted
-LEASES = 6  # a lost zone's records are waited for so many leases: a mass expiry is held up for one more
-SPARE_S = 10.0
-RETURN_S = 180.0  # by then all agree again, or the run says that they don't
-HOME_PART = 0.98  # of a follower's sidecars: some are always between two calls
-DRAINS_PER_S = 2.0  # from either side, meanwhile
+RELEASE_STEPS = 10
+POLL_INTERVAL_S = 0.25  # between status calls to a list service
+# Leases to wait for the expiry of a lost zone's records; the service delays a mass expiry by one lease.
+EXPIRY_WAIT_LEASES = 6
+EXPIRY_MARGIN_S = 10.0
+RETURN_S = 180.0  # for all lists to agree again; after that the result reports that they do not
+RETURNED_SHARE = 0.98  # of a follower's sidecars; some are between two watch calls at any time
+DRAINS_PER_S = 2.0  # during a fault, for each writer
 
 
 class Course:
-    """What a fault has done so far."""
+    """The state of one fault: its affected sidecars, writers, times and notes."""
 
     def __init__(self, topology: Topology, plan: Plan, seconds: float, seed: int) -> None:
         self.topology = topology
         self.plan = plan
         self.seconds = seconds
         self.seed = seed
-        self.touched: list[Seat] = []
+        self.affected: list[Seat] = []
         self.writers: list[Writer] = []
         self.least_records = len(plan.seats)
-        self.ended_s = 0.0  # when the fault was over, on the monotonic clock
-        self.back_s = 0.0
+        self.ended_s = 0.0  # end of the fault, on the monotonic clock
+        self.return_s = 0.0
         self.notes: list[str] = []
 
     async def watch_records(self) -> None:
-        """The least that the main service has had, at any look."""
+        """Polls the main service's number of records and updates its minimum, until cancelled."""
         while True:
             try:
                 self.least_records = min(self.least_records, (await self.topology.main.status()).records)
             except (NoReplyError, RequestRefusedError):
-                self.notes.append("the main service did not answer a look")
-            await asyncio.sleep(WATCH_S)
+                self.notes.append("the main service did not answer a status call")
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def records_are(self, count: int, wait_s: float) -> bool:
-        until = time.monotonic() + wait_s
+        """Waits up to `wait_s` for the main service to have this number of records; returns if it has."""
+        deadline_s = time.monotonic() + wait_s
         while (await self.topology.main.status(30.0)).records != count:
-            if time.monotonic() >= until:
+            if time.monotonic() >= deadline_s:
                 return False
             self.topology.check()
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return True
 
-    def writer(self, writer: Writer) -> Writer:
+    def add_writer(self, writer: Writer) -> Writer:
+        """Registers a writer, whose results are counted and which is closed with this object."""
         self.writers.append(writer)
         return writer
 
     def close(self) -> None:
+        """Closes all writers."""
         for writer in self.writers:
             writer.close()
 
 
-async def release(course: Course) -> None:
-    """The largest service's hollow sidecars are replaced, each by one under a new id, some at a time."""
-    plan, topology = course.plan, course.topology
+async def release(fault_run: Course) -> None:
+    """Replaces the largest service's hollow sidecars by sidecars with new ids, in RELEASE_STEPS steps."""
+    plan, topology = fault_run.plan, fault_run.topology
     service = max(plan.sizes, key=lambda name: plan.sizes[name])
-    course.touched = [seat for seat in plan.hollow if seat.service == service]
+    fault_run.affected = [seat for seat in plan.hollow if seat.service == service]
     others = [seat for seat in plan.hollow if seat.service != service]
-    writer = course.writer(Writer(topology.main.address, others, course.seed))
-    writing = asyncio.create_task(writer.write(DRAINS_PER_S, course.seconds))
-    begun = time.monotonic()
+    writer = fault_run.add_writer(Writer(topology.main.address, others, fault_run.seed))
+    writing = asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
+    start_s = time.monotonic()
     try:
-        for step in range(STEPS):
-            await asyncio.sleep(max(0.0, begun + step * course.seconds / STEPS - time.monotonic()))
-            some = course.touched[step::STEPS]
-            pairs = [(seat.id, structs.replace(seat, id=f"{seat.id}.new")) for seat in some]
+        for step in range(RELEASE_STEPS):
+            await asyncio.sleep(
+                max(0.0, start_s + step * fault_run.seconds / RELEASE_STEPS - time.monotonic())
+            )
+            step_seats = fault_run.affected[step::RELEASE_STEPS]
+            pairs = [(seat.id, structs.replace(seat, id=f"{seat.id}.new")) for seat in step_seats]
             await topology.each("/replace", Replace(pairs), Nothing)
-        course.ended_s = time.monotonic()
+        fault_run.ended_s = time.monotonic()
         await writing
     finally:
         writing.cancel()
 
 
-async def zone_lost(course: Course) -> None:
-    """All of one zone's hollow sidecars end at once; when their leases have ended, all come back at once."""
-    plan, topology = course.plan, course.topology
+async def zone_lost(fault_run: Course) -> None:
+    """Stops all hollow sidecars of one zone at once and starts them again once their leases have expired."""
+    plan, topology = fault_run.plan, fault_run.topology
     zones = [seat.zone for seat in plan.hollow]
     zone = max(sorted(set(zones)), key=zones.count)
-    course.touched = [seat for seat in plan.hollow if seat.zone == zone]
+    fault_run.affected = [seat for seat in plan.hollow if seat.zone == zone]
     others = [seat for seat in plan.hollow if seat.zone != zone]
-    names = Which([seat.id for seat in course.touched])
-    writer = course.writer(Writer(topology.main.address, others, course.seed))
-    writing = asyncio.create_task(writer.write(DRAINS_PER_S, course.seconds))
-    begun = time.monotonic()
+    ids = Which([seat.id for seat in fault_run.affected])
+    writer = fault_run.add_writer(Writer(topology.main.address, others, fault_run.seed))
+    writing = asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
+    start_s = time.monotonic()
     try:
-        await topology.each("/abandon", names, Nothing)
-        left = len(plan.seats) - len(course.touched)
-        if await course.records_are(left, LEASES * plan.lease_ms / 1000 + SPARE_S):
-            course.notes.append(f"zone {zone}: its leases had ended after {time.monotonic() - begun:.1f} s")
+        await topology.each("/abandon", ids, Nothing)
+        remaining = len(plan.seats) - len(fault_run.affected)
+        if await fault_run.records_are(
+            remaining, EXPIRY_WAIT_LEASES * plan.lease_ms / 1000 + EXPIRY_MARGIN_S
+        ):
+            fault_run.notes.append(
+                f"zone {zone}: its leases had expired after {time.monotonic() - start_s:.1f} s"
+            )
         else:
-            course.notes.append(f"zone {zone}: not all of its leases had ended when it came back")
+            fault_run.notes.append(f"zone {zone}: not all of its leases had expired when it was restarted")
         await writing
-        course.ended_s = time.monotonic()
-        await topology.each("/return", names, Nothing)
+        fault_run.ended_s = time.monotonic()
+        await topology.each("/return", ids, Nothing)
     finally:
         writing.cancel()
 
 
-async def region_cut(course: Course) -> None:
-    """One region can't reach the others for a while; records on both sides are drained meanwhile."""
-    plan, topology = course.plan, course.topology
+async def region_cut(fault_run: Course) -> None:
+    """Cuts one region off from the others for a time; records on both sides are drained during the cut."""
+    plan, topology = fault_run.plan, fault_run.topology
     region = cut_region(plan)
-    course.touched = [seat for seat in plan.seats if seat.region == region]
+    fault_run.affected = [seat for seat in plan.seats if seat.region == region]
     inside = [seat for seat in plan.hollow if seat.region == region]
     outside = [seat for seat in plan.hollow if seat.region != region]
-    within = course.writer(Writer(topology.wires["out main"].address, inside, course.seed))
-    without = course.writer(Writer(topology.main.address, outside, course.seed + 1))
+    inside_writer = fault_run.add_writer(Writer(topology.wires["out main"].address, inside, fault_run.seed))
+    outside_writer = fault_run.add_writer(Writer(topology.main.address, outside, fault_run.seed + 1))
     await topology.turn(region, How.CUT)
     writing = [
-        asyncio.create_task(writer.write(DRAINS_PER_S, course.seconds)) for writer in (within, without)
+        asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
+        for writer in (inside_writer, outside_writer)
     ]
     try:
-        await asyncio.sleep(course.seconds)
+        await asyncio.sleep(fault_run.seconds)
         await topology.turn(region, How.OPEN)
-        course.ended_s = time.monotonic()
+        fault_run.ended_s = time.monotonic()
         await asyncio.gather(*writing)
     finally:
         for task in writing:
             task.cancel()
-    for where, writer in ((f"within region {region}", within), ("outside of it", without)):
-        course.notes.append(f"{where} {writer.written.failed} of {writer.written.tried} writes failed")
+    for side, writer in ((f"within region {region}", inside_writer), ("outside the region", outside_writer)):
+        fault_run.notes.append(f"{side}: {writer.written.failed} of {writer.written.attempted} writes failed")
 
 
-async def follower_killed(course: Course) -> None:
-    """The follower with the most sidecars is killed, and started again after a while."""
-    plan, topology = course.plan, course.topology
-    homes = [plan.followers_of(seat.region)[0] for seat in plan.seats]
-    region = max(sorted(set(homes)), key=homes.count)
-    course.touched = [seat for seat, home in zip(plan.seats, homes, strict=True) if home == region]
+async def follower_killed(fault_run: Course) -> None:
+    """Kills the follower with the most sidecars, and starts it again at the end of the fault."""
+    plan, topology = fault_run.plan, fault_run.topology
+    home_regions = [plan.followers_of(seat.region)[0] for seat in plan.seats]
+    region = max(sorted(set(home_regions)), key=home_regions.count)
+    fault_run.affected = [seat for seat, home in zip(plan.seats, home_regions, strict=True) if home == region]
     follower = topology.followers[region]
-    writer = course.writer(Writer(topology.main.address, plan.hollow, course.seed))
-    writing = asyncio.create_task(writer.write(DRAINS_PER_S, course.seconds))
+    writer = fault_run.add_writer(Writer(topology.main.address, plan.hollow, fault_run.seed))
+    writing = asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
     try:
         await follower.stop()
-        await asyncio.sleep(course.seconds)
+        await asyncio.sleep(fault_run.seconds)
         await follower.start()
-        course.ended_s = time.monotonic()
+        fault_run.ended_s = time.monotonic()
         await writing
-        # They come home once they have been away for a while, and nothing else calls them back.
-        until = course.ended_s + RETURN_S
-        while (await follower.status()).watches < HOME_PART * len(course.touched):
-            if time.monotonic() >= until:
-                course.notes.append(f"follower {region}: not all of its sidecars came back to it")
+        # Sidecars return after a time away from their follower; nothing notifies them of its restart.
+        deadline_s = fault_run.ended_s + RETURN_S
+        while (await follower.status()).watches < RETURNED_SHARE * len(fault_run.affected):
+            if time.monotonic() >= deadline_s:
+                fault_run.notes.append(f"follower {region}: not all of its sidecars returned to it")
                 break
-            await asyncio.sleep(WATCH_S)
-        course.back_s = time.monotonic() - course.ended_s
+            await asyncio.sleep(POLL_INTERVAL_S)
+        fault_run.return_s = time.monotonic() - fault_run.ended_s
     finally:
         writing.cancel()
 
 
-async def main_killed(course: Course) -> None:
-    """The main service is killed, and started again from its store after a while."""
-    plan, topology = course.plan, course.topology
-    course.touched = plan.seats
-    writer = course.writer(Writer(topology.main.address, plan.hollow, course.seed))
-    writing = asyncio.create_task(writer.write(DRAINS_PER_S, course.seconds))
+async def main_killed(fault_run: Course) -> None:
+    """Kills the main service, and starts it again from its store at the end of the fault."""
+    plan, topology = fault_run.plan, fault_run.topology
+    fault_run.affected = plan.seats
+    writer = fault_run.add_writer(Writer(topology.main.address, plan.hollow, fault_run.seed))
+    writing = asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
     try:
         await topology.main.stop()
-        await asyncio.sleep(course.seconds)
-        took_s = await topology.main.start()
-        course.ended_s = time.monotonic()
-        course.notes.append(f"it answered {took_s:.2f} s after its start")
+        await asyncio.sleep(fault_run.seconds)
+        restart_s = await topology.main.start()
+        fault_run.ended_s = time.monotonic()
+        fault_run.notes.append(f"the main service answered {restart_s:.2f} s after its start")
         await writing
-        # All leases began anew with it: who has not renewed within one is dropped.
+        # All leases start again with the service; records not renewed within one lease are removed.
         await asyncio.sleep(2 * plan.lease_ms / 1000)
     finally:
         writing.cancel()
 
 
 def cut_region(plan: Plan) -> str:
-    """The region that a cut is about: the first."""
+    """Returns the region that the fault `region-cut` cuts off: the first."""
     return next(iter(plan.regions))
 
 
@@ -202,29 +213,33 @@
 }
 
 
-def told(name: str, course: Course, before: Look, after: Look, agreed: bool, last_s: float) -> Fault:
-    """What came of it, from the looks before it and after all had come back."""
+def told(name: str, fault_run: Course, before: Look, after: Look, agreed: bool, last_s: float) -> Fault:
+    """Computes the result from measurements before the fault and after the recovery."""
 
-    def said(text: str) -> int:
-        return after.said.get(text, 0) - before.said.get(text, 0)
+    def warning_count(warning: str) -> int:
+        return after.said.get(warning, 0) - before.said.get(warning, 0)
 
-    peaks = {role: peak(one.buckets, course.ended_s) for role, one in after.services.items()}
-    peaks[HOLLOW] = peak(together(list(after.hollow.values())).buckets, course.ended_s)
-    if course.topology.reals:
-        peaks[REAL] = peak(together(list(after.real.values())).buckets, course.ended_s)
-    notes = list(course.notes)
-    notes += [f"{text}: {said(text)} times" for text in (EMPTIED, WENT_BACK) if said(text)]
+    peaks = {role: peak(counts.buckets, fault_run.ended_s) for role, counts in after.services.items()}
+    peaks[HOLLOW] = peak(together(list(after.hollow.values())).buckets, fault_run.ended_s)
+    if fault_run.topology.reals:
+        peaks[REAL] = peak(together(list(after.real.values())).buckets, fault_run.ended_s)
+    notes = list(fault_run.notes)
+    notes += [
+        f"{warning}: {warning_count(warning)} times"
+        for warning in (EMPTIED, WENT_BACK)
+        if warning_count(warning)
+    ]
     return Fault(
         name=name,
-        touched=len(course.touched),
-        writes_tried=sum(writer.written.tried for writer in course.writers),
-        writes_failed=sum(writer.written.failed for writer in course.writers),
-        renewals_failed=said(UNRENEWED),
-        lost_wrongly=said(LOST),
-        agree_s=round(max(0.0, last_s - course.ended_s), 2),
+        touched=len(fault_run.affected),
+        writes_tried=sum(writer.written.attempted for writer in fault_run.writers),
+        writes_failed=sum(writer.written.failed for writer in fault_run.writers),
+        renewals_failed=warning_count(UNRENEWED),
+        lost_wrongly=warning_count(LOST),
+        agree_s=round(max(0.0, last_s - fault_run.ended_s), 2),
         agreed=agreed,
-        back_s=round(course.back_s, 2),
+        back_s=round(fault_run.return_s, 2),
         peak_per_100ms=peaks,
-        least_records=min(course.least_records, after.statuses[MAIN].records),
+        least_records=min(fault_run.least_records, after.statuses[MAIN].records),
         notes=notes,
     )
--- a/eiderhub/scale/frontends.py
+++ b/eiderhub/scale/frontends.py
@@ -1,9 +1,9 @@
-"""What many open streams cost a server: a thread for each by cheroot, or all on one event loop.
+"""Measures the cost of many open streams: cheroot with one thread for each, or all on one event loop.
 
     python -m eiderhub.scale.frontends cheroot|loop --streams 400
 
-Both serve the same events over loopback; the process that serves tells its processor time and memory, the one
-that reads tells how late events come.
+Both serve the same events over loopback. The result has the processor time and memory of the serving process,
+and the lateness of events in the reading process.
 """
 
 from __future__ import annotations
@@ -25,24 +25,25 @@
 from eiderhub.dataplane.frontend import ClientExchange, FrontendConnection
 from eiderhub.http1 import ServerConnection
 
-EVENTS, PAUSE_S = 30, 0.1
+EVENT_COUNT, EVENT_INTERVAL_S = 30, 0.1
 PORT = 18377
 HOST = "127.0.0.1"
 
 
-def event(number: int) -> bytes:
-    """An event that tells when it was made, by the machine's steady clock."""
+def render_event(number: int) -> bytes:
+    """Returns an event whose data is its creation time on the monotonic clock."""
     return f"id: {number}\ndata: {time.monotonic_ns()}\n\n".encode()
 
 
-def serve_by_threads(streams: int) -> None:
+def serve_with_threads(streams: int) -> None:
+    """Serves with cheroot and one thread for each stream, until killed."""
     from cheroot import wsgi
 
     def application(environ: dict[str, Any], start_response: Any) -> Iterator[bytes]:
         start_response("200 OK", [("Content-Type", "text/event-stream")])
-        for number in range(EVENTS):
-            yield event(number)
-            time.sleep(PAUSE_S)
+        for number in range(EVENT_COUNT):
+            yield render_event(number)
+            time.sleep(EVENT_INTERVAL_S)
 
     server = wsgi.Server((HOST, PORT), application, numthreads=streams, max=streams, request_queue_size=1024)
     server.prepare()
@@ -50,79 +51,95 @@
     server.serve()
 
 
-class Loop:
+class EventService:
+    """Sends the events of each stream from the event loop."""
+
     draining = False
 
     def serve(self, exchange: ClientExchange) -> None:
+        """Starts the event stream of a request."""
         exchange.begin(((b"Content-Type", b"text/event-stream"),))
-        self._next(exchange, 0)
+        self._send_event(exchange, 0)
 
-    def _next(self, exchange: ClientExchange, number: int) -> None:
-        if number == EVENTS:
+    def _send_event(self, exchange: ClientExchange, number: int) -> None:
+        if number == EVENT_COUNT:
             exchange.finish()
             return
-        exchange.event(Event(event(number), number, ""))
-        asyncio.get_running_loop().call_later(PAUSE_S, self._next, exchange, number + 1)
+        exchange.event(Event(render_event(number), number, ""))
+        asyncio.get_running_loop().call_later(EVENT_INTERVAL_S, self._send_event, exchange, number + 1)
 
 
 async def serve_on_loop() -> None:
+    """Serves all streams on the running loop, until killed."""
     connections: set[ServerConnection] = set()
     loop = asyncio.get_running_loop()
-    await loop.create_server(lambda: FrontendConnection(Loop(), connections), HOST, PORT, backlog=1024)
+    await loop.create_server(
+        lambda: FrontendConnection(EventService(), connections), HOST, PORT, backlog=1024
+    )
     print("up", flush=True)
     await loop.create_future()
 
 
-async def read_one(late_ms: list[float]) -> None:
+async def read_stream(late_ms: list[float]) -> None:
+    """Reads one stream to its end and appends the lateness of its events."""
     reader, writer = await asyncio.open_connection(HOST, PORT)
     writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     parser = EventParser()
-    seen = 0
-    while seen < EVENTS:
+    event_count = 0
+    while event_count < EVENT_COUNT:
         data = await reader.read(65536)
         if not data:
             return
-        now = time.monotonic_ns()
+        now_ns = time.monotonic_ns()
         start = data.find(b"id: ")
-        for found in parser.feed(data[start:] if start >= 0 else b""):
-            made = found.data.split("\r")[0]
-            seen += 1
-            if made.isdigit():
-                late_ms.append((now - int(made)) / 1e6)
+        for event in parser.feed(data[start:] if start >= 0 else b""):
+            created_ns = event.data.split("\r")[0]
+            event_count += 1
+            if created_ns.isdigit():
+                late_ms.append((now_ns - int(created_ns)) / 1e6)
     writer.close()
 
 
-async def read_all(streams: int) -> list[float]:
+async def read_streams(streams: int) -> list[float]:
+    """Reads all streams at the same time; returns the lateness of their events in ms, ascending."""
     late_ms: list[float] = []
     async with asyncio.TaskGroup() as group:
         for _ in range(streams):
-            group.create_task(read_one(late_ms))
+            group.create_task(read_stream(late_ms))
     return sorted(late_ms)
 
 
 def main() -> None:
+    """Starts the server process, reads its streams and prints the figures as JSON."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("kind", choices=("cheroot", "loop"))
     parser.add_argument("--streams", type=int, default=400)
     parser.add_argument("--serve", action="store_true", help=argparse.SUPPRESS)
-    words = parser.parse_args()
-    if words.serve:
-        if words.kind == "cheroot":
-            serve_by_threads(words.streams)
+    options = parser.parse_args()
+    if options.serve:
+        if options.kind == "cheroot":
+            serve_with_threads(options.streams)
         uvloop.run(serve_on_loop())
-    command = [sys.executable, "-m", "eiderhub.scale.frontends", words.kind, "--streams", str(words.streams)]
+    command = [
+        sys.executable,
+        "-m",
+        "eiderhub.scale.frontends",
+        options.kind,
+        "--streams",
+        str(options.streams),
+    ]
     server = subprocess.Popen([*command, "--serve"], stdout=subprocess.PIPE)
     assert server.stdout is not None
     server.stdout.readline()
-    late_ms = uvloop.run(read_all(words.streams))
+    late_ms = uvloop.run(read_streams(options.streams))
     server.kill()
     _, _, usage = os.wait4(server.pid, 0)
     server.returncode = 0
     figures = {
-        "kind": words.kind,
-        "streams": words.streams,
+        "kind": options.kind,
+        "streams": options.streams,
         "events": len(late_ms),
         "late_ms_p50": round(late_ms[len(late_ms) // 2], 2),
         "late_ms_p99": round(late_ms[int(0.99 * (len(late_ms) - 1))], 2),
--- a/eiderhub/scale/path.py
+++ b/eiderhub/scale/path.py
@@ -1,8 +1,8 @@
-"""The data path: the time that a real sidecar adds to a call, and the processor time that a call costs it.
+"""Measures the data path: the latency that a real sidecar adds to a call and the processor time of a call.
 
-Calls leave when they are due, whatever has become of those before (open loop), and their time runs from then.
-They go in turn through a sidecar, through a relay that only passes bytes on, and straight to endpoints, all
-in the same run: what differs between the three is the hop.
+The load is open-loop: each call is sent at its due time, whether or not earlier calls have ended, and its
+latency counts from that time. A run has three legs, which differ only in the hop between caller and endpoint:
+a sidecar, a relay that only copies bytes, and none (direct).
 """
 
 from __future__ import annotations
@@ -29,220 +29,229 @@
 from eiderhub.emulator.processes import Process, Usage, claim, environment, new_folder
 from eiderhub.http1 import ConnectionPool, NoReplyError, Reply, fetch
 from eiderhub.interface import Effect
-from eiderhub.scale.alarms import NS, Alarms
-from eiderhub.scale.backends import Counts, Places, listing
+from eiderhub.scale.alarms import NS_PER_S, PreciseTimers
+from eiderhub.scale.backends import EndpointCounts, Places, full_list
 from eiderhub.world.clients import End
 
-CLASS = "look"
+REQUEST_CLASS = "look"
 DEADLINE_MS = 2000
-SOON_NS = 20_000_000  # the first call is due no sooner
-WARM_S = 2.0  # connections come up, and the sidecar learns, before calls count
-IDLE_S = 4.0  # in which a sidecar with nothing to do is watched
-READY_S = 20.0  # for a process to listen
-END_S = 5.0  # after SIGTERM; then SIGKILL
-DESCRIPTORS = 4096
+START_DELAY_NS = 20_000_000  # from the start of a run to its first call
+WARM_UP_S = 2.0  # to open connections and to fill the sidecar's statistics before calls are counted
+IDLE_S = 4.0  # length of the measurement of an idle sidecar
+READY_TIMEOUT_S = 20.0  # for a process to start to listen
+TERMINATE_TIMEOUT_S = 5.0  # between SIGTERM and SIGKILL
+DESCRIPTOR_LIMIT = 4096
 CONN_IDLE_US = 5_000_000  # the sidecar's setting
 VERSION = 1
 LEGS = ("sidecar", "relay", "direct")
-Tell = Callable[[float, str], None]
+ReportProgress = Callable[[float, str], None]
 
 
-class Times(msgspec.Struct, frozen=True):
-    """Percentiles, in milliseconds. As a difference of two, they may be below 0."""
+class LatencyPercentiles(msgspec.Struct, frozen=True):
+    """Latency percentiles in milliseconds, or differences of percentiles, which may be negative."""
 
     p50_ms: float
     p99_ms: float
     p999_ms: float
 
-    def less(self, other: Times) -> Times:
-        """By how much each percentile lies above the other's."""
+    def minus(self, other: LatencyPercentiles) -> LatencyPercentiles:
+        """Returns the difference of each percentile, this one's minus the other's."""
         pairs = zip(msgspec.structs.astuple(self), msgspec.structs.astuple(other), strict=True)
-        return Times(*(round(a - b, 3) for a, b in pairs))
+        return LatencyPercentiles(*(round(a - b, 3) for a, b in pairs))
 
 
 class Leg(msgspec.Struct, frozen=True):
-    """Calls that went one way, by how they ended; times are of those served, from when they were due."""
+    """Calls of one leg by outcome; `times` are latencies of served calls, counted from their due times."""
 
     sent: int
     served: int
     refused: int
-    failed: int  # answered as failed, broken off, not answered in time, not connected
-    times: Times | None  # none: nothing was served
+    failed: int  # error responses, broken connections, time-outs, failed connects
+    times: LatencyPercentiles | None  # None if no call was served
 
 
 class PathFigures(msgspec.Struct, frozen=True):
-    """What targets add to a call, beside the same calls with nothing in between."""
+    """Latency that targets add to calls, from calls through them and direct calls in the same run."""
 
-    rate: float  # calls a second, each way
+    rate: float  # calls a second, on each leg
     seconds: float
     seed: int
     target: Leg
     direct: Leg
-    added: Times | None
-    late: Times  # of the callers' own timers
+    added: LatencyPercentiles | None
+    late: LatencyPercentiles  # lateness of the callers' own timers
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True):
-    """One rate."""
+    """Results for one call rate."""
 
-    rate: float  # calls a second, each of the three ways
+    rate: float  # calls a second, on each of the three legs
     seconds: float
     sidecar: Leg
     relay: Leg
     direct: Leg
-    over_direct: Times | None  # the sidecar's percentiles less those of direct calls
-    over_relay: Times | None
-    sidecar_cpu_us_per_call: float  # with its timers and all else that it did meanwhile
+    over_direct: LatencyPercentiles | None  # the sidecar's percentiles minus those of direct calls
+    over_relay: LatencyPercentiles | None
+    sidecar_cpu_us_per_call: float  # includes its timers and background work
     relay_cpu_us_per_call: float
     sidecar_cpu_share: float  # of a core
-    connections: dict[str, int]  # opened at endpoints, by the way of the calls
+    connections: dict[str, int]  # opened at endpoints, by leg
     connections_per_1000: dict[str, float]
-    late: Times  # of the callers' own timers
-    endpoints_late_p99_ms: float  # of the timers behind answers
+    late: LatencyPercentiles  # lateness of the callers' own timers
+    endpoints_late_p99_ms: float  # lateness of the timers that delay responses
 
 
 class RelayResult(msgspec.Struct, frozen=True, kw_only=True):
-    """A run of `ottercleat bench relay`."""
+    """Results of one run of `ottercleat bench relay`."""
 
     kind: Literal["relay"] = "relay"
     version: Literal[1] = 1
-    revision: str  # the sidecar's
+    revision: str  # of the sidecar
     machine: str
     measured: str
     settings: dict[str, float | int | str]
-    idle_cpu_us_per_s: float  # of the sidecar, with its list and no calls
-    memory_mb: float  # of the sidecar, at the end
+    idle_cpu_us_per_s: float  # of the sidecar, with its endpoint list and no calls
+    memory_mb: float  # of the sidecar, at the end of the run
     steps: list[Step]
 
 
 class PathError(Exception):
-    """A process that the measurement needs did not come up, with the last lines of its log."""
+    """A process of the measurement did not start or has ended; the message has the last lines of its log."""
 
 
-def times_of(latencies_ns: Sequence[int]) -> Times | None:
+def latency_percentiles(latencies_ns: Sequence[int]) -> LatencyPercentiles | None:
+    """Returns None if there are no latencies."""
     if not len(latencies_ns):
         return None
     p50, p99, p999 = np.percentile(latencies_ns, [50, 99, 99.9]) / 1e6
-    return Times(round(float(p50), 3), round(float(p99), 3), round(float(p999), 3))
+    return LatencyPercentiles(round(float(p50), 3), round(float(p99), 3), round(float(p999), 3))
 
 
-def difference(one: Leg, other: Leg) -> Times | None:
-    """None where one of them served nothing."""
-    return one.times.less(other.times) if one.times is not None and other.times is not None else None
+def difference(one: Leg, other: Leg) -> LatencyPercentiles | None:
+    """Returns the differences of the percentiles, or None if one of the legs served no call."""
+    return one.times.minus(other.times) if one.times is not None and other.times is not None else None
 
 
-def due_times(legs: int, rate: float, seconds: float, seed: int) -> tuple[np.ndarray, np.ndarray]:
-    """When calls are due, in ns from the beginning, rising; and which way each goes.
+def due_times(leg_count: int, rate: float, seconds: float, seed: int) -> tuple[np.ndarray, np.ndarray]:
+    """Returns the due times of calls in ns from the start, ascending, and the leg number of each call.
 
-    Each way has a Poisson process of its own: calls that were due together would wait for each other.
+    Each leg has its own Poisson process: calls of several legs at the same time would delay each other.
     """
-    due = [schedule(Pattern.POISSON, [rate], seconds, seed * LEGS_MOST + leg) for leg in range(legs)]
-    ways = np.repeat(np.arange(legs), [len(each) for each in due])
-    together = np.concatenate(due)
-    order = np.argsort(together, kind="stable")
-    return (together[order] * NS).astype(np.int64), ways[order]
+    due_s_by_leg = [
+        schedule(Pattern.POISSON, [rate], seconds, seed * MAX_LEGS + leg) for leg in range(leg_count)
+    ]
+    leg_numbers = np.repeat(np.arange(leg_count), [len(each) for each in due_s_by_leg])
+    all_due_s = np.concatenate(due_s_by_leg)
+    order = np.argsort(all_due_s, kind="stable")
+    return (all_due_s[order] * NS_PER_S).astype(np.int64), leg_numbers[order]
 
 
-LEGS_MOST = 16
+MAX_LEGS = 16
 
 
-class _Way:
-    """The connections and the calls of one leg."""
+class _LegCalls:
+    """Connection pools and call outcomes of one leg."""
 
     def __init__(self, targets: Sequence[tuple[str, int]]) -> None:
         self.pools = [ConnectionPool(loopback(host), port) for host, port in targets]
-        self.turn = 0
-        self.ends: Counter[End] = Counter()
+        self.request_count = 0
+        self.outcomes: Counter[End] = Counter()
         self.latencies_ns: list[int] = []
 
-    def pool(self) -> ConnectionPool:
-        self.turn += 1
-        return self.pools[self.turn % len(self.pools)]
+    def next_pool(self) -> ConnectionPool:
+        self.request_count += 1
+        return self.pools[self.request_count % len(self.pools)]
 
-    def leg(self) -> Leg:
-        served, refused = self.ends[End.SERVED], self.ends[End.REFUSED]
-        sent = self.ends.total()
-        return Leg(sent, served, refused, sent - served - refused, times_of(self.latencies_ns))
+    def result(self) -> Leg:
+        served, refused = self.outcomes[End.SERVED], self.outcomes[End.REFUSED]
+        sent = self.outcomes.total()
+        return Leg(sent, served, refused, sent - served - refused, latency_percentiles(self.latencies_ns))
 
-    def forget(self) -> None:
-        self.ends = Counter()
+    def reset(self) -> None:
+        self.outcomes = Counter()
         self.latencies_ns = []
 
 
 class _Call(Asking):
-    """One call on its way."""
+    """One call; counts its outcome in its leg."""
 
-    def __init__(self, callers: Callers, way: _Way, number: int, due_ns: int) -> None:
+    def __init__(self, callers: Callers, leg: _LegCalls, number: int, due_ns: int) -> None:
         self._callers = callers
-        self._way = way
+        self._leg = leg
         self._due_ns = due_ns
-        name = f"{callers.run:08x}{number:08x}"
-        data = render(name, CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
-        super().__init__(callers.clock, way.pool(), data, callers.clock.now_us() + DEADLINE_MS * 1000)
+        name = f"{callers.run_id:08x}{number:08x}"
+        data = render(name, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
+        super().__init__(callers.clock, leg.next_pool(), data, callers.clock.now_us() + DEADLINE_MS * 1000)
 
     def meaning(self, reply: Reply) -> End:
         return end_of(reply.status)
 
     def crossed(self, first: bool) -> bool:
-        return not first  # a kept connection's close
+        return not first  # a reused connection may have been closed before it read the request
 
     def ended(self, end: End, reply: Reply | None) -> None:
         if end is End.SERVED:
-            self._way.latencies_ns.append(time.monotonic_ns() - self._due_ns)
-        self._way.ends[end] += 1
-        self._callers.ended()
+            self._leg.latencies_ns.append(time.monotonic_ns() - self._due_ns)
+        self._leg.outcomes[end] += 1
+        self._callers.on_call_ended()
 
 
 class Callers:
-    """Open-loop callers of one or more ways; their connections are kept from one play to the next."""
+    """Open-loop load on one or more legs; connections stay open between runs of the load."""
 
-    def __init__(self, ways: Mapping[str, Sequence[tuple[str, int]]]) -> None:
-        if len(ways) > LEGS_MOST:
-            raise ValueError(f"{len(ways)} ways are more than {LEGS_MOST}")
-        self.ways = {name: _Way(targets) for name, targets in ways.items()}
+    def __init__(self, targets_by_leg: Mapping[str, Sequence[tuple[str, int]]]) -> None:
+        if len(targets_by_leg) > MAX_LEGS:
+            raise ValueError(f"{len(targets_by_leg)} legs exceed the limit of {MAX_LEGS}")
+        self.calls_by_leg = {name: _LegCalls(targets) for name, targets in targets_by_leg.items()}
         self.clock = Clock()
-        self.run = os.getpid() & 0xFFFF
-        self._alarms = Alarms()
-        self._open = 0
-        self._done = asyncio.Event()
+        self.run_id = os.getpid() & 0xFFFF
+        self._timers = PreciseTimers()
+        self._open_calls = 0
+        self._all_ended = asyncio.Event()
 
-    async def play(self, rate: float, seconds: float, seed: int) -> tuple[dict[str, Leg], Times]:
-        """Calls at this rate each way; returns once all have ended, with the callers' own lateness.
+    async def run_load(
+        self, rate: float, seconds: float, seed: int
+    ) -> tuple[dict[str, Leg], LatencyPercentiles]:
+        """Sends calls at this rate on each leg and waits until all have ended.
+
+        Returns the result of each leg and the lateness of the callers' own timers.
 
         Raises:
-            ValueError: more calls than a run may have.
+            ValueError: the rate and length give more calls than a run may have.
         """
-        due_ns, ways = due_times(len(self.ways), rate, seconds, seed)
-        each = list(self.ways.values())
-        for way in each:
-            way.forget()
-        self.run += 1 << 16  # ids differ from those of the play before
-        self._alarms.late_ns = []
-        self._done.clear()
-        self._open = len(due_ns)
-        begun_ns = time.monotonic_ns() + SOON_NS
+        due_ns, leg_numbers = due_times(len(self.calls_by_leg), rate, seconds, seed)
+        leg_calls = list(self.calls_by_leg.values())
+        for leg in leg_calls:
+            leg.reset()
+        self.run_id += 1 << 16  # call ids differ from those of the previous run
+        self._timers.lateness_ns = []
+        self._all_ended.clear()
+        self._open_calls = len(due_ns)
+        start_ns = time.monotonic_ns() + START_DELAY_NS
 
         def send(number: int) -> None:
             if number + 1 < len(due_ns):
-                self._alarms.at(begun_ns + int(due_ns[number + 1]), send, number + 1)
-            _Call(self, each[ways[number]], number, begun_ns + int(due_ns[number]))
+                self._timers.call_at(start_ns + int(due_ns[number + 1]), send, number + 1)
+            _Call(self, leg_calls[leg_numbers[number]], number, start_ns + int(due_ns[number]))
 
-        if self._open:
-            self._alarms.at(begun_ns + int(due_ns[0]), send, 0)
-            await self._done.wait()
-        late = times_of(self._alarms.late_ns) or Times(0.0, 0.0, 0.0)
-        return {name: way.leg() for name, way in self.ways.items()}, late
+        if self._open_calls:
+            self._timers.call_at(start_ns + int(due_ns[0]), send, 0)
+            await self._all_ended.wait()
+        lateness = latency_percentiles(self._timers.lateness_ns) or LatencyPercentiles(0.0, 0.0, 0.0)
+        return {name: leg.result() for name, leg in self.calls_by_leg.items()}, lateness
 
-    def ended(self) -> None:
-        self._open -= 1
-        if not self._open:
-            self._done.set()
+    def on_call_ended(self) -> None:
+        """Counts down the open calls of the current run."""
+        self._open_calls -= 1
+        if not self._open_calls:
+            self._all_ended.set()
 
     def close(self) -> None:
-        self._alarms.close()
+        """Closes the timers and all connections."""
+        self._timers.close()
         self.clock.stop()
-        for way in self.ways.values():
-            for pool in way.pools:
+        for leg in self.calls_by_leg.values():
+            for pool in leg.pools:
                 pool.close()
 
 
@@ -253,36 +262,44 @@
     seconds: float,
     seed: int,
 ) -> PathFigures:
-    """What `targets` (sidecars) add to calls that reach `direct` (endpoints) without them.
+    """Measures the latency that `targets` (sidecars) add to calls, compared with direct calls to endpoints.
 
-    `rate` is in calls a second each of the two ways, over all addresses of it in turn; all are on loopback.
+    `rate` is in calls a second on each of the two legs; a leg uses its addresses in turn. All addresses are
+    on loopback.
 
     Raises:
-        ValueError: an address that is not loopback, or more calls than a run may have.
+        ValueError: an address is not on loopback, or the run would have too many calls.
     """
     callers = Callers({"target": targets, "direct": direct})
     try:
-        legs, late = await callers.play(rate, seconds, seed)
+        legs, lateness = await callers.run_load(rate, seconds, seed)
     finally:
         callers.close()
-    target, straight = legs["target"], legs["direct"]
-    return PathFigures(rate, seconds, seed, target, straight, difference(target, straight), late)
+    target_leg, direct_leg = legs["target"], legs["direct"]
+    return PathFigures(
+        rate, seconds, seed, target_leg, direct_leg, difference(target_leg, direct_leg), lateness
+    )
 
 
 def cpu_ns(pid: int) -> int:
-    """Processor time of all threads that a process has now; in user and system mode."""
-    used = 0
-    for each in Path(f"/proc/{pid}/task").glob("*/schedstat"):
-        with contextlib.suppress(OSError):  # a thread that has just ended
-            used += int(each.read_text().split()[0])
-    return used
+    """Returns the user and system time of all current threads of a process."""
+    total_ns = 0
+    for schedstat in Path(f"/proc/{pid}/task").glob("*/schedstat"):
+        with contextlib.suppress(OSError):  # the thread has ended since
+            total_ns += int(schedstat.read_text().split()[0])
+    return total_ns
 
 
 def sidecar_settings() -> dict[str, object]:
-    """One class of calls that may be repeated, one zone, no tenants, no second copies."""
+    """Sidecar settings with one idempotent request class, one zone, no tenants and no hedges."""
     return {
         "Categories": [
-            {"Name": CLASS, "AimUs": 1_000_000, "DeadlineUs": DEADLINE_MS * 1000, "Effect": "idempotent"}
+            {
+                "Name": REQUEST_CLASS,
+                "AimUs": 1_000_000,
+                "DeadlineUs": DEADLINE_MS * 1000,
+                "Effect": "idempotent",
+            }
         ],
         "Allowed": {"MaxAttempts": 3, "ConnIdleUs": CONN_IDLE_US, "ConnectTimeoutUs": 250_000},
         "Discovery": "ask",
@@ -295,63 +312,67 @@
     folder: Path,
     address: Address,
     discovery: Address,
-    known: Sequence[Address],
+    endpoints: Sequence[Address],
     seed: int,
     root: Path | None = None,
 ) -> Process:
-    """A sidecar with these endpoints, as the platform starts one; its files lie in `folder`.
+    """Starts a sidecar with these endpoints the way the platform does; its files are written to `folder`.
 
-    `root` is of another checkout, whose sidecar it is then.
+    `root` is the root of another checkout, whose sidecar is started instead of this one's.
     """
     document = {
         "name": "bench",
         "listen": str(address),
         "discovery": str(discovery),
         "seed": f"{seed:x}",
-        "limits": {"cores": 1.0, "memory_mb": 128, "sockets": DESCRIPTORS},
-        "known": listing(known),
+        "limits": {"cores": 1.0, "memory_mb": 128, "sockets": DESCRIPTOR_LIMIT},
+        "known": full_list(endpoints),
         "settings": sidecar_settings(),
     }
     path = folder / "config.json"
     path.write_bytes(msgspec.json.encode(document))
     temporary = folder / "tmp"
     temporary.mkdir(exist_ok=True)
-    environ = {key: value for key, value in environment().items() if not key.startswith("GW_")}
-    environ |= {"GW_CONFIG": str(path), "TMPDIR": str(temporary)}
+    sidecar_environment = {key: value for key, value in environment().items() if not key.startswith("GW_")}
+    sidecar_environment |= {"GW_CONFIG": str(path), "TMPDIR": str(temporary)}
     if root is not None:
-        environ["PYTHONPATH"] = str(root)
-    # With -P: the working directory, which -m puts first, may hold a checkout as well.
+        sidecar_environment["PYTHONPATH"] = str(root)
+    # -P keeps the working directory out of the module path: it may contain another checkout.
     command = [sys.executable, "-P", "-B", "-m", "eiderhub.sidecar"]
     log = folder / "sidecar.log"
-    return Process("sidecar", command, environ, log, DESCRIPTORS, None, Usage(), lambda *_: None)
+    return Process(
+        "sidecar", command, sidecar_environment, log, DESCRIPTOR_LIMIT, None, Usage(), lambda *_: None
+    )
 
 
 async def start_backends(folder: Path, name: str, *arguments: str) -> tuple[Process, Places]:
-    """Stand-ins as a process, once it listens; `arguments` as eiderhub.scale.backends has them, less FILE.
+    """Starts a process of eiderhub.scale.backends and waits until it listens.
+
+    `arguments` are those of the module without FILE.
 
     Raises:
-        PathError: it ended, or did not listen in time.
+        PathError: the process ended, or did not listen in time.
     """
     file = folder / f"{name}.places"
     command = [sys.executable, "-B", "-m", "eiderhub.scale.backends", arguments[0], str(file), *arguments[1:]]
     log = folder / f"{name}.log"
-    process = Process(name, command, environment(), log, DESCRIPTORS, None, Usage(), lambda *_: None)
-    begun = time.monotonic()
+    process = Process(name, command, environment(), log, DESCRIPTOR_LIMIT, None, Usage(), lambda *_: None)
+    started_s = time.monotonic()
     while not file.exists():
-        if process.ended.is_set() or time.monotonic() - begun > READY_S:
-            await end([process])
-            raise PathError("\n".join([f"{name} did not come up", *process.tail()]))
+        if process.ended.is_set() or time.monotonic() - started_s > READY_TIMEOUT_S:
+            await stop_processes([process])
+            raise PathError("\n".join([f"{name} did not start to listen", *process.tail()]))
         await asyncio.sleep(0.01)
     return process, msgspec.json.decode(file.read_bytes(), type=Places)
 
 
-async def end(processes: Sequence[Process]) -> None:
-    """SIGTERM, and SIGKILL to what has not ended by then."""
+async def stop_processes(processes: Sequence[Process]) -> None:
+    """Sends SIGTERM, and after TERMINATE_TIMEOUT_S SIGKILL to processes that have not ended."""
     for process in processes:
         process.terminate()
     for process in processes:
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(TERMINATE_TIMEOUT_S):
                 await process.ended.wait()
         except TimeoutError:
             process.kill()
@@ -359,8 +380,8 @@
 
 
 @contextlib.contextmanager
-def _no_collections() -> Iterator[None]:
-    """A full collection in the callers' process would be taken for the target's slowness."""
+def _garbage_collection_disabled() -> Iterator[None]:
+    """Collects garbage once and disables collection: a full one would count as latency of the target."""
     gc.collect()
     gc.disable()
     try:
@@ -370,101 +391,109 @@
 
 
 class RelayBench:
-    """A sidecar, a bare relay and endpoints as processes, and callers in this one."""
+    """Runs a sidecar, a bare relay and endpoints as processes, with the callers in this process."""
 
     def __init__(
         self,
         rates: Sequence[float],
         seconds: float,
         seed: int,
-        endpoints: int,
+        endpoint_count: int,
         service_us: int,
-        sidecar: Path | None = None,
-        warm_s: float = WARM_S,
+        sidecar_root: Path | None = None,
+        warm_up_s: float = WARM_UP_S,
         idle_s: float = IDLE_S,
     ) -> None:
         self._rates = list(rates)
         self._seconds = seconds
         self._seed = seed
-        self._count = endpoints
+        self._endpoint_count = endpoint_count
         self._service_us = service_us
-        self._sidecar = sidecar  # the root of another checkout, whose sidecar is measured
-        self._warm_s = warm_s
+        self._sidecar_root = sidecar_root  # root of another checkout, to measure its sidecar
+        self._warm_up_s = warm_up_s
         self._idle_s = idle_s
         self._processes: list[Process] = []
 
-    async def run(self, tell: Tell, revision: str, machine: str) -> RelayResult:
-        """Ends its processes and removes their files, whatever happens.
+    async def run(self, report_progress: ReportProgress, revision: str, machine: str) -> RelayResult:
+        """Measures all rates; stops its processes and removes their files also after an error.
 
         Raises:
-            PathError: a process did not come up, or has ended.
+            PathError: a process did not start, or has ended.
         """
         self._folder = new_folder()
-        held = claim("127.0.0.1")
+        reserved_socket = claim("127.0.0.1")
         callers: Callers | None = None
         try:
-            tell(0.0, "starting")
-            where = await self._start(
-                "endpoints", "endpoints", str(len(LEGS)), str(self._count), str(self._service_us)
+            report_progress(0.0, "starting")
+            backends = await self._start_backends(
+                "endpoints", "endpoints", str(len(LEGS)), str(self._endpoint_count), str(self._service_us)
+            )
+            direct = backends.sets[2]
+            relay_addresses = await self._start_backends(
+                "relay", "relay", *(str(address) for address in backends.sets[1])
             )
-            direct = where.sets[2]
-            bare = await self._start("relay", "relay", *(str(address) for address in where.sets[1]))
-            address = Address(*held.getsockname())
-            sidecar = await self._start_sidecar(address, where)
+            address = Address(*reserved_socket.getsockname())
+            sidecar = await self._start_sidecar(address, backends)
             relay = self._processes[1]
-            assert where.figures is not None
-            self._figures = ConnectionPool(*where.figures)
-            tell(0.0, "idle")
-            before = cpu_ns(sidecar.pid)
-            begun = time.monotonic()
+            assert backends.figures is not None
+            self._counts_pool = ConnectionPool(*backends.figures)
+            report_progress(0.0, "idle")
+            cpu_before_ns = cpu_ns(sidecar.pid)
+            started_s = time.monotonic()
             await asyncio.sleep(self._idle_s)
-            idle = (cpu_ns(sidecar.pid) - before) / 1000 / max(1e-9, time.monotonic() - begun)
-            callers = Callers({"sidecar": [address], "relay": bare.sets[0], "direct": direct})
+            idle_us_per_s = (
+                (cpu_ns(sidecar.pid) - cpu_before_ns) / 1000 / max(1e-9, time.monotonic() - started_s)
+            )
+            callers = Callers({"sidecar": [address], "relay": relay_addresses.sets[0], "direct": direct})
             steps = []
-            with _no_collections():
+            with _garbage_collection_disabled():
                 for number, rate in enumerate(self._rates):
-                    tell(number / len(self._rates), f"{rate:g} calls a second each way")
-                    steps.append(await self._step(callers, rate, sidecar, relay))
+                    report_progress(number / len(self._rates), f"{rate:g} calls a second on each leg")
+                    steps.append(await self._measure_rate(callers, rate, sidecar, relay))
             memory_mb = sidecar.measure()[1]
-            self._check()
+            self._check_processes()
         finally:
             if callers is not None:
                 callers.close()
-            if hasattr(self, "_figures"):
-                self._figures.close()
-            await end(self._processes)
-            held.close()
+            if hasattr(self, "_counts_pool"):
+                self._counts_pool.close()
+            await stop_processes(self._processes)
+            reserved_socket.close()
             shutil.rmtree(self._folder, ignore_errors=True)
         return RelayResult(
             revision=revision,
             machine=machine,
             measured=time.strftime("%Y-%m-%d"),
             settings={
-                "endpoints": self._count,
+                "endpoints": self._endpoint_count,
                 "service_us": self._service_us,
                 "seed": self._seed,
                 "seconds": self._seconds,
                 "conn_idle_us": CONN_IDLE_US,
             },
-            idle_cpu_us_per_s=round(idle, 1),
+            idle_cpu_us_per_s=round(idle_us_per_s, 1),
             memory_mb=round(memory_mb, 1),
             steps=steps,
         )
 
-    async def _step(self, callers: Callers, rate: float, sidecar: Process, relay: Process) -> Step:
-        await callers.play(rate, self._warm_s, self._seed + 1)
-        before = await self._counts()
-        used = [cpu_ns(process.pid) for process in (sidecar, relay)]
-        begun = time.monotonic()
-        legs, late = await callers.play(rate, self._seconds, self._seed)
-        took_s = time.monotonic() - begun
+    async def _measure_rate(self, callers: Callers, rate: float, sidecar: Process, relay: Process) -> Step:
+        await callers.run_load(rate, self._warm_up_s, self._seed + 1)
+        counts_before = await self._fetch_counts()
+        cpu_before_ns = [cpu_ns(process.pid) for process in (sidecar, relay)]
+        started_s = time.monotonic()
+        legs, lateness = await callers.run_load(rate, self._seconds, self._seed)
+        elapsed_s = time.monotonic() - started_s
         sidecar_ns, relay_ns = (
-            cpu_ns(process.pid) - was for process, was in zip((sidecar, relay), used, strict=True)
+            cpu_ns(process.pid) - before
+            for process, before in zip((sidecar, relay), cpu_before_ns, strict=True)
         )
-        after = await self._counts()
-        self._check()
-        opened = [now - was for now, was in zip(after.accepted, before.accepted, strict=True)]
-        per_1000 = [1000 * n / max(1, legs[way].sent) for n, way in zip(opened, LEGS, strict=True)]
+        counts_after = await self._fetch_counts()
+        self._check_processes()
+        opened = [
+            after - before
+            for after, before in zip(counts_after.accepted, counts_before.accepted, strict=True)
+        ]
+        per_1000 = [1000 * count / max(1, legs[leg].sent) for count, leg in zip(opened, LEGS, strict=True)]
         return Step(
             rate=rate,
             seconds=self._seconds,
@@ -475,51 +504,53 @@
             over_relay=difference(legs["sidecar"], legs["relay"]),
             sidecar_cpu_us_per_call=round(sidecar_ns / 1000 / max(1, legs["sidecar"].sent), 1),
             relay_cpu_us_per_call=round(relay_ns / 1000 / max(1, legs["relay"].sent), 1),
-            sidecar_cpu_share=round(sidecar_ns / 1e9 / took_s, 4),
+            sidecar_cpu_share=round(sidecar_ns / 1e9 / elapsed_s, 4),
             connections=dict(zip(LEGS, opened, strict=True)),
-            connections_per_1000={way: round(n, 2) for way, n in zip(LEGS, per_1000, strict=True)},
-            late=late,
-            endpoints_late_p99_ms=after.late_p99_ms,
+            connections_per_1000={leg: round(value, 2) for leg, value in zip(LEGS, per_1000, strict=True)},
+            late=lateness,
+            endpoints_late_p99_ms=counts_after.late_p99_ms,
         )
 
-    async def _counts(self) -> Counts:
-        reply = await fetch(self._figures, b"GET / HTTP/1.1\r\nHost: figures\r\n\r\n", READY_S)
-        return msgspec.json.decode(reply.body, type=Counts)
+    async def _fetch_counts(self) -> EndpointCounts:
+        reply = await fetch(self._counts_pool, b"GET / HTTP/1.1\r\nHost: figures\r\n\r\n", READY_TIMEOUT_S)
+        return msgspec.json.decode(reply.body, type=EndpointCounts)
 
     # --- processes ---
 
-    async def _start(self, name: str, *arguments: str) -> Places:
-        process, places = await start_backends(self._folder, name, *arguments)
+    async def _start_backends(self, name: str, *arguments: str) -> Places:
+        process, addresses = await start_backends(self._folder, name, *arguments)
         self._processes.append(process)
-        return places
+        return addresses
 
-    async def _start_sidecar(self, address: Address, where: Places) -> Process:
-        assert where.discovery is not None
+    async def _start_sidecar(self, address: Address, backends: Places) -> Process:
+        assert backends.discovery is not None
         process = start_sidecar(
-            self._folder, address, where.discovery, where.sets[0], self._seed, self._sidecar
+            self._folder, address, backends.discovery, backends.sets[0], self._seed, self._sidecar_root
         )
         self._processes.append(process)
         pool = ConnectionPool(*address)
         try:
-            async with asyncio.timeout(READY_S):
+            async with asyncio.timeout(READY_TIMEOUT_S):
                 for number in range(1_000_000):
-                    self._check_one(process)
+                    self._check_process(process)
                     name = f"{number:016x}"
-                    asked = render(name, CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
+                    request = render(name, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
                     with contextlib.suppress(NoReplyError):
-                        if (await fetch(pool, asked, 1.0)).status == 200:
+                        if (await fetch(pool, request, 1.0)).status == 200:
                             return process
                     await asyncio.sleep(0.02)
         except TimeoutError:
             pass
         finally:
             pool.close()
-        raise PathError("\n".join([f"the sidecar served nothing within {READY_S:g} s", *process.tail()]))
+        raise PathError(
+            "\n".join([f"the sidecar served no request within {READY_TIMEOUT_S:g} s", *process.tail()])
+        )
 
-    def _check_one(self, process: Process) -> None:
+    def _check_process(self, process: Process) -> None:
         if process.ended.is_set():
             raise PathError("\n".join([f"{process.name} has ended", *process.tail()]))
 
-    def _check(self) -> None:
+    def _check_processes(self) -> None:
         for process in self._processes:
-            self._check_one(process)
+            self._check_process(process)
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -1,4 +1,4 @@
-"""What calls and decisions cost: lines through figures, the schedule, small runs judged by counts."""
+"""Tests of the cost measurements: fitted lines, the call schedule, and small runs checked by their counts."""
 
 from __future__ import annotations
 
@@ -26,27 +26,29 @@
 from eiderhub.emulator.processes import claim, new_folder
 from eiderhub.http1 import ConnectionPool, fetch
 from eiderhub.scale import backends, decisions, fit, path, result
-from eiderhub.scale.alarms import Alarms
+from eiderhub.scale.alarms import PreciseTimers
 from eiderhub.scale.fit import CONSTANT, Observation
 
-# --- the lines ---
+# --- fitted lines ---
 
 
-def observations(prices: dict[str, float], rows: list[dict[str, float]]) -> list[Observation]:
+def make_observations(
+    coefficients: dict[str, float], driver_rows: list[dict[str, float]]
+) -> list[Observation]:
     return [
-        Observation(f"run{n}", row, sum(prices[name] * count for name, count in row.items()))
-        for n, row in enumerate(rows)
+        Observation(f"run{n}", row, sum(coefficients[name] * count for name, count in row.items()))
+        for n, row in enumerate(driver_rows)
     ]
 
 
-def test_a_line_recovers_the_prices_that_made_its_runs() -> None:
-    prices = {CONSTANT: 40.0, "endpoint": 0.25, "entry": 7.0}
+def test_fit_recovers_known_coefficients() -> None:
+    coefficients = {CONSTANT: 40.0, "endpoint": 0.25, "entry": 7.0}
     rng = random.Random(3)
     rows = [
         {CONSTANT: 1.0, "endpoint": size, "entry": rng.uniform(0, 90)} for size in (15, 150, 1500, 15_000)
     ]
-    line = fit.solve(observations(prices, rows), tuple(prices))
-    assert line.prices == pytest.approx(prices)
+    line = fit.solve(make_observations(coefficients, rows), tuple(coefficients))
+    assert line.coefficients == pytest.approx(coefficients)
     assert line.spread < 1e-9
     assert line.sizes["endpoint"] == (15, 15_000)
     assert CONSTANT not in line.sizes
@@ -54,79 +56,83 @@
     assert line.merged == {}
 
 
-def test_the_smallest_run_counts_as_much_as_the_largest() -> None:
-    """Unweighted, the residual of the largest would move the fixed part by more than all of it."""
+def test_runs_are_weighted_by_their_own_amounts() -> None:
+    """Without weights, the residual of the largest run would change the fixed part by more than 100%."""
     rows = [{CONSTANT: 1.0, "endpoint": size} for size in (15, 150, 1500, 15_000)]
-    made = observations({CONSTANT: 20.0, "endpoint": 2.0}, rows)
-    made[-1] = made[-1]._replace(amount=made[-1].amount * 1.05)
-    line = fit.solve(made, (CONSTANT, "endpoint"))
-    assert line.prices[CONSTANT] == pytest.approx(20.0, rel=0.15)
+    run_observations = make_observations({CONSTANT: 20.0, "endpoint": 2.0}, rows)
+    run_observations[-1] = run_observations[-1]._replace(amount=run_observations[-1].amount * 1.05)
+    line = fit.solve(run_observations, (CONSTANT, "endpoint"))
+    assert line.coefficients[CONSTANT] == pytest.approx(20.0, rel=0.15)
     assert 0.01 < line.spread < 0.05
 
 
-def test_no_price_is_below_zero_and_the_rest_is_solved_without_it() -> None:
+def test_negative_coefficients_are_excluded_and_the_rest_is_fitted_again() -> None:
     rows = [{CONSTANT: 1.0, "endpoint": size} for size in (10.0, 100.0, 1000.0)]
     falling = [Observation(f"run{n}", row, 100.0 - n) for n, row in enumerate(rows)]
     line = fit.solve(falling, (CONSTANT, "endpoint"))
-    assert line.prices["endpoint"] == 0.0
-    assert line.prices[CONSTANT] == pytest.approx(99.0, rel=0.01)
+    assert line.coefficients["endpoint"] == 0.0
+    assert line.coefficients[CONSTANT] == pytest.approx(99.0, rel=0.01)
     rng = np.random.default_rng(5)
     for _ in range(50):
         matrix, amounts = rng.uniform(0, 1, (6, 4)), rng.uniform(-1, 1, 6)
         names = ("a", "b", "c", "d")
         rows = [dict(zip(names, map(float, row), strict=True)) for row in matrix]
-        made = [Observation("run", row, float(y)) for row, y in zip(rows, amounts, strict=True)]
-        assert min(fit.solve(made, names).prices.values()) >= 0
+        random_observations = [
+            Observation("run", row, float(y)) for row, y in zip(rows, amounts, strict=True)
+        ]
+        assert min(fit.solve(random_observations, names).coefficients.values()) >= 0
 
 
-def test_spread_is_the_largest_residual_as_a_share_of_its_own_figure() -> None:
-    made = [Observation(f"run{n}", {CONSTANT: 1.0}, amount) for n, amount in enumerate((90.0, 100.0, 110.0))]
-    line = fit.solve(made, (CONSTANT,))
-    fixed = line.prices[CONSTANT]
+def test_spread_is_the_largest_relative_residual() -> None:
+    run_observations = [
+        Observation(f"run{n}", {CONSTANT: 1.0}, amount) for n, amount in enumerate((90.0, 100.0, 110.0))
+    ]
+    line = fit.solve(run_observations, (CONSTANT,))
+    fixed = line.coefficients[CONSTANT]
     assert line.spread == pytest.approx(max(abs(fixed - y) / y for y in (90.0, 100.0, 110.0)))
     assert line.spread > 0.08
 
 
-def test_counts_that_runs_cannot_tell_apart_share_a_price_and_that_is_said() -> None:
+def test_collinear_drivers_share_a_coefficient_and_are_reported() -> None:
     rows = [{"write": n, "feed": 7 * n, "second": 10.0} for n in (20.0, 40.0, 80.0)]
-    prices = {"write": 100.0, "feed": 10.0, "second": 5.0}
-    line = fit.solve(observations(prices, rows), tuple(prices))
+    coefficients = {"write": 100.0, "feed": 10.0, "second": 5.0}
+    line = fit.solve(make_observations(coefficients, rows), tuple(coefficients))
     assert line.merged == {"feed": "write"}
-    assert line.prices["write"] == pytest.approx(170.0)
-    assert line.prices["feed"] == 0.0
-    assert line.prices["second"] == pytest.approx(5.0)
+    assert line.coefficients["write"] == pytest.approx(170.0)
+    assert line.coefficients["feed"] == 0.0
+    assert line.coefficients["second"] == pytest.approx(5.0)
 
 
-def test_what_no_run_had_costs_nothing() -> None:
+def test_driver_absent_from_all_runs_has_coefficient_zero() -> None:
     line = fit.solve([Observation("run", {"second": 2.0}, 6.0)], ("second", "write"))
-    assert line.prices == pytest.approx({"second": 3.0, "write": 0.0})
+    assert line.coefficients == pytest.approx({"second": 3.0, "write": 0.0})
     assert line.merged == {}
     with pytest.raises(fit.FitError):
         fit.solve([], ("second",))
 
 
-# --- whole documents ---
+# --- complete documents ---
 
-PRICES: dict[str, dict[str, float]] = {  # microseconds, bytes, MB
+COEFFICIENTS: dict[str, dict[str, float]] = {  # microseconds, bytes, MB
     "main": {"second": 900.0, "write": 400.0, "renewal": 120.0, "feed": 60.0},
     "follower": {"second": 700.0, "change": 90.0, "answer": 80.0, "entry": 3.0},
     "hollow": {"watcher second": 200.0, "answer": 150.0, "entry": 5.0, "renewal": 110.0},
-    "heard": {"answer": 500.0, "entry": 220.0, "renewal": 330.0},
+    "traffic": {"answer": 500.0, "entry": 220.0, "renewal": 330.0},
     "memory": {CONSTANT: 30.0, "record": 0.002, "connection": 0.02},
 }
-DELTA = (10.0, 2.0)  # microseconds of the decisions, and more for each endpoint
+DELTA_US = (10.0, 2.0)  # processor time of a delta: fixed part, and for each endpoint
 FEED_BYTES, FEED_IDLE_BYTES = 300.0, 40.0
 MEAN_LIST = 15.0
 
 
-def priced(name: str, counts: dict[str, float]) -> float:
-    return sum(PRICES[name][count] * amount for count, amount in counts.items())
+def cost_of(name: str, counts: dict[str, float]) -> float:
+    return sum(COEFFICIENTS[name][count] * amount for count, amount in counts.items())
 
 
 def scale_run(
     watchers: int, followers: int, seed: int, fault: str = "none", changes: int | None = None
 ) -> result.Result:
-    """A run that costs just what PRICES says."""
+    """A scale result whose amounts are computed from COEFFICIENTS."""
     rng = random.Random(seed)
     phases = []
     for name, seconds in (("calm", 20.0), ("changes", 30.0)):
@@ -137,39 +143,43 @@
         entries = writes * 15 + rng.randint(0, 40)
         roles: dict[str, result.Role] = {}
         main = {"second": seconds, "write": writes, "renewal": renewals, "feed": writes * followers}
-        heard: dict[str, float] = {"answer": answers, "entry": entries, "renewal": renewals}
+        traffic: dict[str, float] = {"answer": answers, "entry": entries, "renewal": renewals}
         memory = {CONSTANT: 1.0, "record": 3 * watchers, "connection": watchers + rng.randint(0, 99)}
-        fed = FEED_BYTES * writes * followers + FEED_IDLE_BYTES * followers * seconds
+        total_feed_bytes = FEED_BYTES * writes * followers + FEED_IDLE_BYTES * followers * seconds
         roles["main"] = result.Role(
             processes=1,
-            cpu_s=priced("main", main) / 1e6,
-            memory_mb=priced("memory", memory),
+            cpu_s=cost_of("main", main) / 1e6,
+            memory_mb=cost_of("memory", memory),
             records=3 * watchers,
             connections=int(memory["connection"]),
         )
         for number in range(followers):
-            own = {
+            follower_counts = {
                 "second": seconds,
                 "change": writes,
                 "answer": answers // followers,
                 "entry": entries // followers,
             }
-            held = {CONSTANT: 1.0, "record": 3 * watchers, "connection": watchers // followers + number}
+            follower_memory = {
+                CONSTANT: 1.0,
+                "record": 3 * watchers,
+                "connection": watchers // followers + number,
+            }
             roles[f"follower-r{number}"] = result.Role(
                 processes=1,
-                cpu_s=priced("follower", own) / 1e6,
-                memory_mb=priced("memory", held),
+                cpu_s=cost_of("follower", follower_counts) / 1e6,
+                memory_mb=cost_of("memory", follower_memory),
                 answers=answers // followers,
                 entries=entries // followers,
                 records=3 * watchers,
                 connections=watchers // followers + number,
             )
-        decided = (DELTA[0] + DELTA[1] * MEAN_LIST) * min(answers, entries)
+        decisions_us = (DELTA_US[0] + DELTA_US[1] * MEAN_LIST) * min(answers, entries)
         roles["hollow"] = result.Role(
             processes=4,
-            cpu_s=(priced("hollow", {**heard, "watcher second": watchers * seconds}) + decided) / 1e6,
+            cpu_s=(cost_of("hollow", {**traffic, "watcher second": watchers * seconds}) + decisions_us) / 1e6,
             memory_mb=100.0,
-            bytes_in=int(priced("heard", heard)),
+            bytes_in=int(cost_of("traffic", traffic)),
         )
         roles["run"] = result.Role(processes=1, cpu_s=0.1, memory_mb=50.0)
         phases.append(
@@ -182,12 +192,12 @@
                 watch_answers=answers,
                 entries_told=entries,
                 feed_answers=writes * followers,
-                feed_bytes=int(fed),
+                feed_bytes=int(total_feed_bytes),
                 roles=roles,
                 in_force_ms=in_force if writes else {},
             )
         )
-    cut = result.Fault(
+    fault_result = result.Fault(
         name=fault,
         touched=watchers // followers,
         writes_tried=0,
@@ -209,12 +219,12 @@
             mean_list=MEAN_LIST, largest_service=50, most_watched=100,
         ),
         seed=seed, watchers=watchers, records=3 * watchers, fill_s=1.0, late_ms=1.0, phases=phases,
-        agreed=True, fault=None if fault == "none" else cut,
+        agreed=True, fault=None if fault == "none" else fault_result,
     )  # fmt: skip
 
 
 def leg(p99_ms: float) -> path.Leg:
-    return path.Leg(1000, 1000, 0, 0, path.Times(0.5, p99_ms, p99_ms))
+    return path.Leg(1000, 1000, 0, 0, path.LatencyPercentiles(0.5, p99_ms, p99_ms))
 
 
 def relay_run() -> path.RelayResult:
@@ -225,14 +235,14 @@
             sidecar=msgspec.structs.replace(leg(1.0 + added), sent=int(rate * 10)),
             relay=leg(1.1),
             direct=leg(1.0),
-            over_direct=path.Times(0.2, added, added),
-            over_relay=path.Times(0.1, added, added),
+            over_direct=path.LatencyPercentiles(0.2, added, added),
+            over_relay=path.LatencyPercentiles(0.1, added, added),
             sidecar_cpu_us_per_call=300.0 + 5000.0 / rate,
             relay_cpu_us_per_call=40.0,
             sidecar_cpu_share=0.1,
             connections={},
             connections_per_1000={},
-            late=path.Times(0.1, 0.1, 0.1),
+            late=path.LatencyPercentiles(0.1, 0.1, 0.1),
             endpoints_late_p99_ms=0.1,
         )
         for rate, added in ((116.0, 0.4), (400.0, 0.7))
@@ -253,7 +263,7 @@
             decisions.Sample(
                 size=size,
                 order_us=20.0 + 0.001 * size,
-                delta_us=DELTA[0] + DELTA[1] * size,
+                delta_us=DELTA_US[0] + DELTA_US[1] * size,
                 whole_list_us=15.0 + 3.0 * size,
                 timers_us=100.0 + 4.0 * size,
                 bytes_per_endpoint=900.0,
@@ -265,7 +275,7 @@
     )
 
 
-def written(folder: Path, **documents: Any) -> list[Path]:
+def write_results(folder: Path, **documents: Any) -> list[Path]:
     paths = []
     for name, document in documents.items():
         file = folder / f"{name}.json"
@@ -274,8 +284,8 @@
     return paths
 
 
-def all_runs(folder: Path) -> list[Path]:
-    return written(
+def write_all_runs(folder: Path) -> list[Path]:
+    return write_results(
         folder,
         a=scale_run(250, 3, 1),
         b=scale_run(500, 7, 2),
@@ -287,13 +297,13 @@
     )
 
 
-def test_known_slopes_come_back_from_invented_runs(tmp_path: Path) -> None:
-    lines = fit.Fit(fit.read(all_runs(tmp_path)))
-    found = lines.slopes().slopes
-    assert lines.notes == []
+def test_slopes_of_synthetic_runs_match_their_coefficients(tmp_path: Path) -> None:
+    fitted = fit.Fit(fit.read(write_all_runs(tmp_path)))
+    found = fitted.slopes().slopes
+    assert fitted.notes == []
     expected: dict[str, tuple[float, dict[str, float]]] = {
         "decisions.order": (20.0, {"endpoint": 0.001}),
-        "decisions.delta": (DELTA[0], {"endpoint": DELTA[1]}),
+        "decisions.delta": (DELTA_US[0], {"endpoint": DELTA_US[1]}),
         "decisions.whole_list": (15.0, {"endpoint": 3.0}),
         "decisions.timers": (100.0, {"endpoint": 4.0}),
         "path.call": (300.0, {}),
@@ -331,54 +341,54 @@
     assert found["spread.p99"].sizes["watcher"] == (250, 1000)
 
 
-def test_what_goes_along_all_records_goes_by_them(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Where the slope has records as a driver: each write, and each second, costs so much for each."""
-    each_s, each_write = 0.5, 0.05
+def test_main_service_slopes_are_fitted_per_record(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """If a slope has records as a driver, the cost of a write or second is proportional to their number."""
+    record_second_us, record_write_us = 0.5, 0.05
     runs = []
     for number, (watchers, followers) in enumerate(((250, 3), (500, 7), (1000, 7), (2000, 3)), 1):
         run = scale_run(watchers, followers, number)
         phases = []
         for phase in run.phases:
             main = phase.roles["main"]
-            more_us = main.records * (each_s * phase.seconds + each_write * phase.writes)
-            roles = {**phase.roles, "main": msgspec.structs.replace(main, cpu_s=main.cpu_s + more_us / 1e6)}
+            extra_us = main.records * (record_second_us * phase.seconds + record_write_us * phase.writes)
+            roles = {**phase.roles, "main": msgspec.structs.replace(main, cpu_s=main.cpu_s + extra_us / 1e6)}
             phases.append(msgspec.structs.replace(phase, roles=roles))
         runs.append(msgspec.structs.replace(run, phases=phases))
-    lines = fit.Fit(fit.read(written(tmp_path, **{f"n{n}": run for n, run in enumerate(runs)})))
-    by_record = tuple(f"{count} and record" for count in ("second", "write"))
-    with monkeypatch.context() as without:
-        without.setattr(fit, "BY_RECORD", ())
-        without.setattr(fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed"))
-        plain = fit.Fit(fit.read(list(tmp_path.glob("*.json")))).role("main cpu")
-    monkeypatch.setattr(fit, "BY_RECORD", by_record)
-    monkeypatch.setattr(fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed", *by_record))
-    found = lines._service()
-    assert found["main.idle"].per == pytest.approx({"record": each_s}, rel=0.02)
-    assert found["main.write"].per == pytest.approx({"record": each_write}, rel=0.02)
+    fitted = fit.Fit(fit.read(write_results(tmp_path, **{f"n{n}": run for n, run in enumerate(runs)})))
+    record_counts = tuple(f"{count} and record" for count in ("second", "write"))
+    with monkeypatch.context() as without_records:
+        without_records.setattr(fit, "RECORD_COUNTS", ())
+        without_records.setattr(fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed"))
+        plain = fit.Fit(fit.read(list(tmp_path.glob("*.json")))).role_line("main cpu")
+    monkeypatch.setattr(fit, "RECORD_COUNTS", record_counts)
+    monkeypatch.setattr(fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed", *record_counts))
+    found = fitted._service_slopes()
+    assert found["main.idle"].per == pytest.approx({"record": record_second_us}, rel=0.02)
+    assert found["main.write"].per == pytest.approx({"record": record_write_us}, rel=0.02)
     assert found["main.write"].fixed == pytest.approx(400.0, rel=0.02)
     assert found["main.write"].sizes == {"record": (750, 6000)}
-    assert found["main.write"].spread < 0.01 < plain.spread  # without them no line fits
+    assert found["main.write"].spread < 0.01 < plain.spread  # without record drivers no line fits
 
 
-def test_revision_is_the_checkouts_own(tmp_path: Path) -> None:
+def test_revision_is_read_from_the_checkout_root_only(tmp_path: Path) -> None:
     assert costs.revision(tmp_path) == "unknown"
-    asked = ["git", "-c", "user.name=n", "-c", "user.email=n@localhost", "-C", str(tmp_path)]
+    git = ["git", "-c", "user.name=n", "-c", "user.email=n@localhost", "-C", str(tmp_path)]
     package = tmp_path / "eiderhub"
     package.mkdir()
     (package / "a.py").touch()
     for arguments in (["init", "-q"], ["add", "."], ["commit", "-q", "-m", "first"]):
-        subprocess.run([*asked, *arguments], check=True, capture_output=True, timeout=30)
+        subprocess.run([*git, *arguments], check=True, capture_output=True, timeout=30)
     clean = costs.revision(tmp_path)
     assert clean.isalnum()
-    assert costs.revision(package) == "unknown"  # a folder within it is no checkout
+    assert costs.revision(package) == "unknown"  # a folder inside a checkout is not its root
     (package / "a.py").write_text("x = 1\n", encoding="utf-8")
     assert costs.revision(tmp_path) == clean + "+"
 
 
-def test_the_document_is_one_that_the_calculation_reads(tmp_path: Path) -> None:
+def test_slopes_document_matches_its_schema(tmp_path: Path) -> None:
     out = tmp_path / "slopes.json"
-    asked = ["slopes", *map(str, all_runs(tmp_path)), "-o", str(out)]
-    done = CliRunner().invoke(bench, asked, standalone_mode=False)
+    arguments = ["slopes", *map(str, write_all_runs(tmp_path)), "-o", str(out)]
+    done = CliRunner().invoke(bench, arguments, standalone_mode=False)
     assert done.return_value == 0, done.output
     document = msgspec.json.decode(out.read_bytes(), type=Slopes)
     assert document.measured == "2030-01-02"
@@ -386,29 +396,30 @@
     assert document.settings["lease_ms"] == 30_000
 
 
-def test_a_size_that_was_left_out_is_predicted(tmp_path: Path) -> None:
-    runs = fit.read(written(tmp_path, **{f"n{n}": scale_run(n, 3, n, changes=300) for n in (250, 500, 1000)}))
-    told = fit.Fit(runs).predict(4000)
-    came = fit.outcome(scale_run(4000, 3, 9, changes=300))
-    assert told.keys() == came.keys()
+def test_prediction_for_a_larger_size_matches_its_run(tmp_path: Path) -> None:
+    runs = fit.read(
+        write_results(tmp_path, **{f"n{n}": scale_run(n, 3, n, changes=300) for n in (250, 500, 1000)})
+    )
+    predicted = fit.Fit(runs).predict(4000)
+    measured = fit.outcome(scale_run(4000, 3, 9, changes=300))
+    assert predicted.keys() == measured.keys()
     exact = [
         "main memory mb",
         "follower memory mb",
-        *(f"in force {part} ms" for part in ("p50", "p99", "last")),
+        *(f"in force {percentile} ms" for percentile in ("p50", "p99", "last")),
     ]
     for name in exact:
-        assert told[name] == pytest.approx(came[name], rel=0.02), name
+        assert predicted[name] == pytest.approx(measured[name], rel=0.02), name
     for name in ("main cpu share", "follower cpu share", "hollow cpu share", "hollow bytes per s"):
-        assert told[name] == pytest.approx(came[name], rel=0.05), (
-            name
-        )  # renewals and answers differ by chance
+        # Renewals and answers of the runs are random.
+        assert predicted[name] == pytest.approx(measured[name], rel=0.05), name
 
 
-def test_prediction_beside_outcome(tmp_path: Path) -> None:
-    runs = written(tmp_path, a=scale_run(250, 3, 1), b=scale_run(500, 3, 2))
-    large = written(tmp_path, large=scale_run(1000, 3, 3))[0]
-    asked = ["slopes", *map(str, runs), "--outcome", str(large)]
-    done = CliRunner().invoke(bench, asked, standalone_mode=False)
+def test_outcome_is_printed_beside_the_prediction(tmp_path: Path) -> None:
+    runs = write_results(tmp_path, a=scale_run(250, 3, 1), b=scale_run(500, 3, 2))
+    large = write_results(tmp_path, large=scale_run(1000, 3, 3))[0]
+    arguments = ["slopes", *map(str, runs), "--outcome", str(large)]
+    done = CliRunner().invoke(bench, arguments, standalone_mode=False)
     assert done.return_value == 0, done.output
     assert "1000 watchers" in done.output and "outcome" in done.output
     done = CliRunner().invoke(bench, ["slopes", *map(str, [*runs, large]), "--outcome", str(large)])
@@ -416,7 +427,7 @@
 
 
 @pytest.mark.parametrize(
-    ("left_out", "named"),
+    ("left_out", "expected_text"),
     [
         (("a", "b", "c", "d", "e"), "bench scale"),
         (("relay",), "bench relay"),
@@ -424,27 +435,29 @@
         (("d", "e"), "return.last"),
     ],
 )
-def test_what_is_missing_is_named_in_one_line(tmp_path: Path, left_out: tuple[str, ...], named: str) -> None:
-    kept = [str(each) for each in all_runs(tmp_path) if each.stem not in left_out]
+def test_missing_input_is_reported_in_one_line(
+    tmp_path: Path, left_out: tuple[str, ...], expected_text: str
+) -> None:
+    arguments = [str(each) for each in write_all_runs(tmp_path) if each.stem not in left_out]
     out = tmp_path / "slopes.json"
-    done = run_command("slopes", *kept, "-o", str(out))
+    done = run_command("slopes", *arguments, "-o", str(out))
     assert done.returncode == 2
     errors = [line for line in done.stderr.splitlines() if line.startswith("Error")]
-    assert len(errors) == 1 and named in errors[0]
+    assert len(errors) == 1 and expected_text in errors[0]
     assert not out.exists()
 
 
-def test_rates_of_one_kind_give_no_price_of_a_call(tmp_path: Path) -> None:
-    one = relay_run()
-    one = msgspec.structs.replace(one, steps=one.steps[:1])
-    paths = [each for each in all_runs(tmp_path) if each.stem != "relay"]
-    lines = fit.Fit(fit.read([*paths, *written(tmp_path, one=one)]))
+def test_a_single_call_rate_is_rejected(tmp_path: Path) -> None:
+    single_rate = relay_run()
+    single_rate = msgspec.structs.replace(single_rate, steps=single_rate.steps[:1])
+    paths = [each for each in write_all_runs(tmp_path) if each.stem != "relay"]
+    fitted = fit.Fit(fit.read([*paths, *write_results(tmp_path, one=single_rate)]))
     with pytest.raises(fit.FitError, match="two rates"):
-        lines.slopes()
+        fitted.slopes()
 
 
 @pytest.mark.parametrize("text", ["", "[1]", "{}", '{"kind": "relay"}', '{"phases": 3}', '{"kind": 4}'])
-def test_a_file_that_is_no_result_is_named(tmp_path: Path, text: str) -> None:
+def test_invalid_result_file_is_reported(tmp_path: Path, text: str) -> None:
     file = tmp_path / "odd.json"
     file.write_text(text, encoding="utf-8")
     with pytest.raises(DocumentError) as error:
@@ -454,7 +467,7 @@
     assert done.returncode == 2 and str(file) in done.stderr and "Traceback" not in done.stderr
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path: Path) -> None:
+def test_missing_result_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(DocumentError, match=r"none\.json"):
         fit.read([tmp_path / "none.json"])
 
@@ -468,47 +481,49 @@
     )
 
 
-# --- the path ---
+# --- data path ---
 
 
-def test_the_same_seed_gives_the_same_schedule() -> None:
-    due, ways = path.due_times(3, 116.0, 5.0, 7)
-    again, ways_again = path.due_times(3, 116.0, 5.0, 7)
-    assert np.array_equal(due, again) and np.array_equal(ways, ways_again)
-    assert np.all(np.diff(due) >= 0)
-    assert set(ways) == {0, 1, 2}
-    other, _ = path.due_times(3, 116.0, 5.0, 8)
-    assert not np.array_equal(due, other)
-    for way in range(3):  # each way has a process of its own, of this rate
-        own = due[ways == way]
-        assert abs(len(own) - 580) < 5 * 580**0.5
-        assert not np.intersect1d(own, due[ways == (way + 1) % 3]).size
+def test_call_schedule_is_deterministic_for_a_seed() -> None:
+    due_ns, legs = path.due_times(3, 116.0, 5.0, 7)
+    due_again_ns, legs_again = path.due_times(3, 116.0, 5.0, 7)
+    assert np.array_equal(due_ns, due_again_ns) and np.array_equal(legs, legs_again)
+    assert np.all(np.diff(due_ns) >= 0)
+    assert set(legs) == {0, 1, 2}
+    other_due_ns, _ = path.due_times(3, 116.0, 5.0, 8)
+    assert not np.array_equal(due_ns, other_due_ns)
+    for leg_number in range(3):  # each leg has its own Poisson process with this rate
+        leg_due_ns = due_ns[legs == leg_number]
+        assert abs(len(leg_due_ns) - 580) < 5 * 580**0.5
+        assert not np.intersect1d(leg_due_ns, due_ns[legs == (leg_number + 1) % 3]).size
 
 
-def test_alarms_come_in_their_order_and_never_early() -> None:
+def test_timers_fire_in_order_and_never_early() -> None:
     async def check() -> list[tuple[str, int]]:
-        alarms = Alarms()
-        came: list[tuple[str, int]] = []
+        timers = PreciseTimers()
+        fired: list[tuple[str, int]] = []
         done = asyncio.Event()
-        now = time.monotonic_ns()
-        due = {"c": now + 3_000_000, "a": now - 5, "b": now + 1_500_000, "d": now + 3_000_001}
-        for name, when in due.items():
-            alarms.at(when, lambda name=name: came.append((name, time.monotonic_ns() - due[name])))
-        alarms.at(now + 4_000_000, done.set)
+        now_ns = time.monotonic_ns()
+        due_ns = {"c": now_ns + 3_000_000, "a": now_ns - 5, "b": now_ns + 1_500_000, "d": now_ns + 3_000_001}
+        for name, when_ns in due_ns.items():
+            timers.call_at(
+                when_ns, lambda name=name: fired.append((name, time.monotonic_ns() - due_ns[name]))
+            )
+        timers.call_at(now_ns + 4_000_000, done.set)
         async with asyncio.timeout(10):
             await done.wait()
-        alarms.close()
-        alarms.close()  # twice does no harm
-        assert len(alarms.late_ns) == 5 and min(alarms.late_ns) >= 0
-        return came
+        timers.close()
+        timers.close()  # a second call has no effect
+        assert len(timers.lateness_ns) == 5 and min(timers.lateness_ns) >= 0
+        return fired
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        came = runner.run(check())
-    assert [name for name, _ in came] == ["a", "b", "c", "d"]
-    assert all(late >= 0 for _, late in came)
+        fired = runner.run(check())
+    assert [name for name, _ in fired] == ["a", "b", "c", "d"]
+    assert all(delay_ns >= 0 for _, delay_ns in fired)
 
 
-def test_a_small_run_answers_and_counts_every_call(tmp_path: Path) -> None:
+def test_small_relay_run_counts_every_call(tmp_path: Path) -> None:
     out = tmp_path / "relay.json"
     done = run_command(
         "relay",
@@ -526,47 +541,53 @@
     assert done.returncode == 0, done.stderr
     found = msgspec.json.decode(out.read_bytes(), type=path.RelayResult)
     (step,) = found.steps
-    due, ways = path.due_times(3, 30.0, 1.0, 1)
-    for number, way in enumerate(path.LEGS):
-        counted: path.Leg = getattr(step, way)
-        assert counted.sent == counted.served == int(np.sum(ways == number)) > 0, way
+    due_ns, legs = path.due_times(3, 30.0, 1.0, 1)
+    for number, leg_name in enumerate(path.LEGS):
+        counted: path.Leg = getattr(step, leg_name)
+        assert counted.sent == counted.served == int(np.sum(legs == number)) > 0, leg_name
         assert counted.refused == counted.failed == 0
-        assert counted.times is not None and counted.times.p50_ms >= 0.3  # an endpoint takes so long
-        # Connections of the callers are kept: no more are opened than there are calls.
-        assert 0 <= step.connections[way] <= counted.sent
-    assert len(due) == sum(getattr(step, way).sent for way in path.LEGS)
+        assert counted.times is not None and counted.times.p50_ms >= 0.3  # the endpoints' service time
+        # Connections are reused, so that there are at most as many as calls.
+        assert 0 <= step.connections[leg_name] <= counted.sent
+    assert len(due_ns) == sum(getattr(step, leg_name).sent for leg_name in path.LEGS)
     assert step.sidecar_cpu_us_per_call > 0 and step.relay_cpu_us_per_call > 0
     assert step.over_direct is not None and step.over_relay is not None
     assert found.memory_mb > 5 and found.idle_cpu_us_per_s > 0
 
 
-def test_connections_at_endpoints_are_counted_by_way() -> None:
+def test_endpoint_connections_are_counted_per_leg() -> None:
     async def check(folder: Path) -> None:
-        process, where = await path.start_backends(folder, "endpoints", "endpoints", "2", "3", "0")
-        relays, bare = await path.start_backends(folder, "relay", "relay", *map(str, where.sets[1]))
-        callers = path.Callers({"direct": where.sets[0], "relay": bare.sets[0]})
+        process, addresses = await path.start_backends(folder, "endpoints", "endpoints", "2", "3", "0")
+        relay, relay_addresses = await path.start_backends(
+            folder, "relay", "relay", *map(str, addresses.sets[1])
+        )
+        callers = path.Callers({"direct": addresses.sets[0], "relay": relay_addresses.sets[0]})
         try:
             async with asyncio.timeout(30):
-                legs, _ = await callers.play(60.0, 0.5, 3)
-                counts = await figures(where)
-                opened = [sum(len(pool.open) for pool in way.pools) for way in callers.ways.values()]
-                legs_again, _ = await callers.play(60.0, 0.5, 4)
-                counts_again = await figures(where)
+                legs, _ = await callers.run_load(60.0, 0.5, 3)
+                counts = await fetch_counts(addresses)
+                opened = [
+                    sum(len(pool.open) for pool in calls.pools) for calls in callers.calls_by_leg.values()
+                ]
+                legs_again, _ = await callers.run_load(60.0, 0.5, 4)
+                counts_again = await fetch_counts(addresses)
         finally:
             callers.close()
-            await path.end([relays, process])
+            await path.stop_processes([relay, process])
         assert legs["direct"].served == legs["direct"].sent == counts.answered[0] > 0
         assert legs["relay"].served == legs["relay"].sent == counts.answered[1] > 0
-        assert counts.accepted == opened and all(opened)  # each is kept, and each was counted once
+        assert counts.accepted == opened and all(
+            opened
+        )  # all connections are still open, and each was counted once
         assert counts_again.answered[0] == legs["direct"].sent + legs_again["direct"].sent
-        assert process.ended.is_set() and relays.ended.is_set()
+        assert process.ended.is_set() and relay.ended.is_set()
 
-    async def figures(where: backends.Places) -> backends.Counts:
-        assert where.figures is not None
-        pool = ConnectionPool(*where.figures)
+    async def fetch_counts(addresses: backends.Places) -> backends.EndpointCounts:
+        assert addresses.figures is not None
+        pool = ConnectionPool(*addresses.figures)
         reply = await fetch(pool, b"GET / HTTP/1.1\r\nHost: figures\r\n\r\n", 10.0)
         pool.close()
-        return msgspec.json.decode(reply.body, type=backends.Counts)
+        return msgspec.json.decode(reply.body, type=backends.EndpointCounts)
 
     folder = new_folder()
     try:
@@ -576,16 +597,16 @@
         shutil.rmtree(folder)
 
 
-def test_measure_tells_targets_from_direct_calls_and_counts_failures() -> None:
+def test_measure_separates_target_and_direct_calls_and_counts_failures() -> None:
     async def check(folder: Path) -> path.PathFigures:
-        process, where = await path.start_backends(folder, "endpoints", "endpoints", "1", "2", "0")
-        held = claim("127.0.0.1")  # nobody listens there
+        process, addresses = await path.start_backends(folder, "endpoints", "endpoints", "1", "2", "0")
+        reserved_socket = claim("127.0.0.1")  # bound, but not listening
         try:
             async with asyncio.timeout(30):
-                return await path.measure([held.getsockname()], where.sets[0], 50.0, 0.5, 1)
+                return await path.measure([reserved_socket.getsockname()], addresses.sets[0], 50.0, 0.5, 1)
         finally:
-            held.close()
-            await path.end([process])
+            reserved_socket.close()
+            await path.stop_processes([process])
 
     folder = new_folder()
     try:
@@ -598,7 +619,7 @@
     assert found.direct.served == found.direct.sent > 0
 
 
-def test_only_loopback_is_called() -> None:
+def test_measure_rejects_addresses_outside_loopback() -> None:
     async def check() -> None:
         with pytest.raises(ValueError, match="loopback"):
             await path.measure([("10.0.0.1", 80)], [("127.0.0.1", 80)], 1.0, 0.1, 1)
@@ -607,7 +628,7 @@
 
 
 @pytest.mark.parametrize(
-    ("arguments", "named"),
+    ("arguments", "expected_text"),
     [
         (("--rate", "0"), "--rate"),
         (("--endpoints", "0"), "--endpoints"),
@@ -616,13 +637,13 @@
         (("--json", "/nowhere/x.json"), "/nowhere"),
     ],
 )
-def test_wrong_use_of_relay_is_named(arguments: tuple[str, ...], named: str) -> None:
+def test_invalid_relay_option_is_reported(arguments: tuple[str, ...], expected_text: str) -> None:
     done = CliRunner().invoke(bench, ["relay", *arguments])
     assert done.exit_code == 2
-    assert named in done.output
+    assert expected_text in done.output
 
 
-def test_a_checkout_whose_sidecar_does_not_start_is_told(tmp_path: Path) -> None:
+def test_sidecar_that_exits_at_start_is_reported(tmp_path: Path) -> None:
     package = tmp_path / "eiderhub" / "sidecar"
     package.mkdir(parents=True)
     (tmp_path / "eiderhub" / "__init__.py").touch()
@@ -634,10 +655,10 @@
     assert "Traceback" not in done.stderr
 
 
-# --- the decisions ---
+# --- decisions ---
 
 
-def test_decisions_at_tiny_sizes_give_all_figures(tmp_path: Path) -> None:
+def test_decisions_run_of_small_sizes_reports_all_figures(tmp_path: Path) -> None:
     out = tmp_path / "decisions.json"
     done = run_command("decisions", "--sizes", "30,3", "--repeats", "2", "--json", str(out))
     assert done.returncode == 0, done.stderr
@@ -651,26 +672,26 @@
     assert all(each.mb > 5 for each in found.memory)
 
 
-def test_every_call_of_the_driver_is_sent_and_answered() -> None:
+def test_decisions_driver_completes_every_call() -> None:
     driver = decisions._Driver(12, 12, 1)
     for _ in range(3):
-        driver.second()
+        driver.run_second()
     assert driver.refused == 0
-    assert driver.sent == 3 * decisions.INSTANTS_PER_S * decisions.CALLS
-    assert not driver.open
+    assert driver.attempts == 3 * decisions.INSTANTS_PER_S * decisions.CALLS
+    assert not driver.open_calls
 
 
 @pytest.mark.parametrize("sizes", ["0", "a", "15,-1", "1000000000", ""])
-def test_wrong_sizes_are_named(sizes: str) -> None:
+def test_invalid_sizes_option_is_reported(sizes: str) -> None:
     done = CliRunner().invoke(bench, ["decisions", "--sizes", sizes])
     assert done.exit_code == 2
     assert "--sizes" in done.output
 
 
-def test_a_listed_endpoint_is_one_that_a_sidecar_reads() -> None:
+def test_sidecar_parses_the_backends_endpoint_list() -> None:
     from eiderhub.sidecar.discovery import parse_endpoint_list
 
     addresses = [Address("127.0.0.1", 80 + n) for n in range(3)]
-    found = parse_endpoint_list(json.dumps(backends.listing(addresses)).encode())
+    found = parse_endpoint_list(json.dumps(backends.full_list(addresses)).encode())
     assert found.is_full and found.generation == backends.GENERATION
     assert [(each.host, each.port) for each in found.entries] == [tuple(each) for each in addresses]
