--- a/eiderhub/cli/costs.py
+++ b/eiderhub/cli/costs.py
@@ -217,7 +217,7 @@
         )
         try:
             memory_samples = playing.run_cancellable(
-                lambda: decision_costs.memory(
+                lambda: decision_costs.measure_memory(
                     sizes, seed, lambda fraction, text: report_progress(0.5 + fraction / 2, text)
                 )
             )
@@ -228,7 +228,7 @@
         "zones": len(decision_costs.ZONES),
         "seed": seed,
         "repeats": repeats,
-        "calls_per_s": decision_costs.INSTANTS_PER_S * decision_costs.CALLS,
+        "calls_per_s": decision_costs.INSTANTS_PER_S * decision_costs.CALLS_PER_INSTANT,
     }
     result = decision_costs.DecisionsResult(
         revision=revision(own_checkout()),
--- a/eiderhub/cli/load.py
+++ b/eiderhub/cli/load.py
@@ -127,7 +127,7 @@
     due_times = _due_times(rate, seconds, arrivals, steps, times, seed)
     for host, _ in targets:
         try:
-            loads.loopback(host)
+            loads.require_loopback(host)
         except ValueError as error:
             raise click.UsageError(str(error)) from None
 
--- a/eiderhub/emulator/asking.py
+++ b/eiderhub/emulator/asking.py
@@ -10,7 +10,7 @@
 from eiderhub.world.clients import End
 
 
-def render(
+def render_request(
     request_id: str,
     class_name: str,
     effect: Effect,
@@ -39,14 +39,14 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + (b"" if idempotent else body)
 
 
-def end_of(status: int) -> End:
+def classify_status(status: int) -> End:
     """Map a sidecar's response status to the outcome of the request, as tabulated in PROTOCOL."""
     if status == 200:
         return End.SERVED
     return End.REFUSED if status in (429, 503) else End.FAILED
 
 
-class Asking:
+class OutgoingRequest:
     """A request that has been sent and has no outcome yet.
 
     Subclasses interpret the reply and receive exactly one outcome, unless the request is cancelled.
--- a/eiderhub/emulator/callers.py
+++ b/eiderhub/emulator/callers.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from eiderhub.emulator.asking import Asking, end_of, render
+from eiderhub.emulator.asking import OutgoingRequest, classify_status, render_request
 from eiderhub.emulator.clock import Clock
 from eiderhub.emulator.machines import RequestInfo, RequestTable
 from eiderhub.http1 import ConnectionPool, Reply
@@ -25,7 +25,7 @@
         self.killed = False  # its last process was killed: lost requests are not counted against it
 
 
-class Try(Asking):
+class Try(OutgoingRequest):
     """One try: a request to one sidecar, whose progress and outcome are reported to the judge."""
 
     def __init__(
@@ -46,7 +46,7 @@
         self._on_finished = on_finished
         self._written = False
         self.request_id = requests.register(request)
-        data = render(
+        data = render_request(
             self.request_id,
             request.request_class.name,
             request.request_class.spec.effect,
@@ -65,7 +65,7 @@
     def classify_reply(self, reply: Reply) -> End:
         produced = self._requests.has_body(self.request_id, reply.body)
         self._judge.answer_received(self.clock.now_us(), self.request_id, reply.status, produced)
-        end = end_of(reply.status)
+        end = classify_status(reply.status)
         return End.FAILED if end is End.SERVED and not produced else end
 
     def should_resend(self, first: bool) -> bool:
--- a/eiderhub/emulator/deployment.py
+++ b/eiderhub/emulator/deployment.py
@@ -20,10 +20,10 @@
 from eiderhub.emulator.processes import (
     Process,
     SupervisedSidecar,
-    claim,
+    create_temporary_folder,
     default_command,
-    new_folder,
     open_listening_socket,
+    reserve_port,
 )
 from eiderhub.emulator.services import RealListService
 from eiderhub.emulator.settings import build_sidecar_settings
@@ -158,7 +158,7 @@
         self.targets: dict[str, Target] = {}
         self.endpoints: dict[str, EndpointServer] = {}
         self._reserved_sockets: list[socket.socket] = []  # they hold the sidecars' ports until the end
-        self.folder = new_folder()
+        self.folder = create_temporary_folder()
         self._closing = False
         self._start_count = 0
         self._inner_call_count = 0
@@ -226,9 +226,9 @@
         for number, post in enumerate(day.sidecar_plans):
             host = f"127.9.{number // 200}.{1 + number % 200}"
             inherited = open_listening_socket(host) if post.name in upgraded_sidecars else None
-            listen_socket = inherited or claim(host)
+            listen_socket = inherited or reserve_port(host)
             port = listen_socket.getsockname()[1]
-            management_sockets = [claim(host) for _ in range(MANAGEMENT_PORTS)]
+            management_sockets = [reserve_port(host) for _ in range(MANAGEMENT_PORTS)]
             self._reserved_sockets += [listen_socket, *management_sockets]
             self.sidecars[post.name] = SupervisedSidecar(
                 post=post,
@@ -301,7 +301,7 @@
         self.sidecars[process.name].processes.remove(process)
         if not process.stop_requested and not self._closing:
             outcome = f"ended by signal {-status}" if status < 0 else f"ended with status {status}"
-            self._fail(DeploymentError(f"sidecar {process.name} {outcome}", process.tail()))
+            self._fail(DeploymentError(f"sidecar {process.name} {outcome}", process.read_log_tail()))
 
     def _on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
         error = context.get("exception")
@@ -318,7 +318,7 @@
 
     def _log_tail(self, name: str) -> list[str]:
         processes = self.sidecars[name].processes
-        return processes[-1].tail() if processes else []
+        return processes[-1].read_log_tail() if processes else []
 
     def _run_in_background(self, coroutine: Coroutine[Any, Any, None]) -> None:
         """Run a coroutine concurrently with the day; its failure ends the run."""
@@ -555,7 +555,7 @@
         for process in processes:
             process.kill()
         try:
-            await asyncio.gather(*(process.ended.wait() for process in processes))
+            await asyncio.gather(*(process.exited.wait() for process in processes))
         finally:
             await self.discovery.close()
             self._close_sockets()
--- a/eiderhub/emulator/doors.py
+++ b/eiderhub/emulator/doors.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from eiderhub.emulator.processes import claim
+from eiderhub.emulator.processes import reserve_port
 from eiderhub.http1 import Exchange, ServerConnection
 
 BACKLOG_CONNECTIONS = 256
@@ -54,7 +54,7 @@
         """
         self._end_blackhole()
         if self._reservation is None:
-            self._reservation = claim(self.host)
+            self._reservation = reserve_port(self.host)
             self.port = self._reservation.getsockname()[1]
         if self._server is None:
             self._server = await asyncio.get_running_loop().create_server(
--- a/eiderhub/emulator/load.py
+++ b/eiderhub/emulator/load.py
@@ -21,7 +21,7 @@
 from hdrh.histogram import HdrHistogram
 
 from eiderhub.documents import DocumentError, Fault
-from eiderhub.emulator.asking import Asking, end_of, render
+from eiderhub.emulator.asking import OutgoingRequest, classify_status, render_request
 from eiderhub.emulator.clock import Clock
 from eiderhub.http1 import ConnectionPool, Reply
 from eiderhub.interface import Effect
@@ -63,7 +63,7 @@
     STEPS = "steps"
 
 
-def loopback(host: str) -> str:
+def require_loopback(host: str) -> str:
     """Return the IP address of a loopback host; load is never sent to another machine.
 
     Raises:
@@ -157,7 +157,7 @@
     ) -> None:
         self.due_s = due_s
         self.mix = mix
-        self.pools = [ConnectionPool(loopback(host), port) for host, port in targets]
+        self.pools = [ConnectionPool(require_loopback(host), port) for host, port in targets]
         self.results = {request_class.name: ClassResult() for request_class in mix.classes}
         self.sent = 0
         self.in_flight: set[_LoadRequest] = set()
@@ -241,7 +241,7 @@
         idempotency_key = (
             f"{request_id ^ 0x5555:016x}" if request_class.effect is Effect.DEDUPLICATED else None
         )
-        data = render(
+        data = render_request(
             f"{request_id:016x}",
             request_class.name,
             request_class.effect,
@@ -305,7 +305,7 @@
     return {**percentiles, "max": histogram.get_max_value() / 1000}
 
 
-class _LoadRequest(Asking):
+class _LoadRequest(OutgoingRequest):
     """One request in flight."""
 
     def __init__(self, load: LoadRun, number: int) -> None:
@@ -317,7 +317,7 @@
 
     def classify_reply(self, reply: Reply) -> End:
         self._load.statuses[reply.status] += 1
-        return end_of(reply.status)
+        return classify_status(reply.status)
 
     def should_resend(self, first: bool) -> bool:
         return not first  # the target may have closed a reused connection before it read the request
--- a/eiderhub/emulator/processes.py
+++ b/eiderhub/emulator/processes.py
@@ -36,7 +36,7 @@
     return [sys.executable, "-B", "-m", "eiderhub.sidecar"]
 
 
-def environment() -> dict[str, str]:
+def child_environment() -> dict[str, str]:
     """This process's environment, with `PYTHONPATH` extended by the directory of this package.
 
     A child process can then import the package from any working directory.
@@ -49,7 +49,7 @@
     }
 
 
-def claim(host: str) -> socket.socket:
+def reserve_port(host: str) -> socket.socket:
     """Reserve a free port at this address until the returned socket is closed.
 
     The socket is bound but never listens, so connections are refused. A child process can listen on the
@@ -68,7 +68,7 @@
 
 def open_listening_socket(host: str) -> socket.socket:
     """Open a non-blocking listening socket, as the platform does for sidecars that it upgrades."""
-    sock = claim(host)
+    sock = reserve_port(host)
     sock.listen(BACKLOG)
     sock.setblocking(False)
     return sock
@@ -109,7 +109,7 @@
         self.name = name
         self.log_path = log_path
         self.stop_requested = False  # whether the emulator requested its end
-        self.ended = asyncio.Event()  # set when the process has exited
+        self.exited = asyncio.Event()  # set when the process has exited
         self._usage = usage
         self._on_exit = on_exit
         usage.starts += 1
@@ -141,12 +141,12 @@
         _, status, resource_usage = os.wait4(self.pid, 0)
         self._usage.cpu_s += resource_usage.ru_utime + resource_usage.ru_stime
         # `ru_maxrss` is not used: it includes the emulator's own size at the time of the spawn.
-        self.ended.set()
+        self.exited.set()
         self._on_exit(self, os.waitstatus_to_exitcode(status))
 
     def send_signal(self, signal_number: signal.Signals) -> None:
         """Send a signal, unless the process has exited."""
-        if not self.ended.is_set():
+        if not self.exited.is_set():
             signal.pidfd_send_signal(self._pidfd, signal_number)
 
     def terminate(self) -> None:
@@ -157,7 +157,7 @@
     def kill(self) -> None:
         """Kill the process and its process group."""
         self.stop_requested = True
-        if not self.ended.is_set():
+        if not self.exited.is_set():
             with contextlib.suppress(ProcessLookupError):
                 os.killpg(self.pid, signal.SIGKILL)
 
@@ -175,7 +175,7 @@
         self._usage.memory_mb = max(self._usage.memory_mb, memory_mb)
         return (int(stat_fields[11]) + int(stat_fields[12])) / TICKS_PER_S, memory_mb
 
-    def tail(self) -> list[str]:
+    def read_log_tail(self) -> list[str]:
         """The last `LOG_TAIL_LINES` lines of the log; empty if the log cannot be read."""
         try:
             return self.log_path.read_text(encoding="utf-8", errors="replace").splitlines()[-LOG_TAIL_LINES:]
@@ -247,7 +247,7 @@
         # During an upgrade two processes run at the same time, so starts alternate between the ports.
         management_socket = self.reserved_ports[self.usage.starts % len(self.reserved_ports)]
         self.management = f"{self.host}:{management_socket.getsockname()[1]}"
-        environ = environment() | {
+        environ = child_environment() | {
             "GW_NAME": self.post.name,
             "GW_LISTEN": f"{self.host}:{self.port}",
             "GW_DISCOVERY": self.discovery,
@@ -271,7 +271,7 @@
         return process
 
 
-def new_folder() -> Path:
+def create_temporary_folder() -> Path:
     """Create a temporary folder for the files of one run."""
     return Path(tempfile.mkdtemp(prefix="ottercleat-"))
 
--- a/eiderhub/emulator/services.py
+++ b/eiderhub/emulator/services.py
@@ -22,8 +22,15 @@
 from eiderhub.address import Address
 from eiderhub.emulator.clock import Clock
 from eiderhub.emulator.lists import AddressLookup, WaitUntil
-from eiderhub.emulator.processes import DeploymentError, Process, SupervisedSidecar, Usage, claim, environment
-from eiderhub.emulator.wires import How, Wire
+from eiderhub.emulator.processes import (
+    DeploymentError,
+    Process,
+    SupervisedSidecar,
+    Usage,
+    child_environment,
+    reserve_port,
+)
+from eiderhub.emulator.wires import FaultProxy, ProxyMode
 from eiderhub.http1 import NoReplyError
 from eiderhub.interface import Readiness
 from eiderhub.registry import api
@@ -51,7 +58,7 @@
 POLL_INTERVAL_S = 0.05
 OLD_ADDRESS_CLOSE_DELAY_S = 1.5  # from a move until connections to the old addresses are reset
 LONG_POLL_S = 5.0  # of every watch
-MODES_BY_VALUE = {mode.value: mode for mode in How}
+MODES_BY_VALUE = {mode.value: mode for mode in ProxyMode}
 
 
 @dataclass(slots=True)
@@ -87,7 +94,7 @@
         ]
         log_path = self.folder / "log"
         self.process = Process(
-            self.name, command, environment(), log_path, DESCRIPTOR_LIMIT, None, self.usage, on_exit
+            self.name, command, child_environment(), log_path, DESCRIPTOR_LIMIT, None, self.usage, on_exit
         )
 
     def send_signal(self, signal_number: signal.Signals) -> None:
@@ -97,7 +104,7 @@
     async def kill(self) -> None:
         if self.process is not None:
             self.process.kill()
-            await self.process.ended.wait()
+            await self.process.exited.wait()
 
 
 class _AnswerParser:
@@ -150,10 +157,10 @@
         self._closing = False
         self._plans: dict[str, EndpointPlan] = {plan.id: plan for plan in day.endpoint_plans}
         self._proxy_count = 0
-        self._proxies: list[Wire] = []
-        self._zones_by_proxy: dict[Wire, tuple[str, str]] = {}  # of the caller and the process
-        self._sidecar_proxies: dict[str, list[Wire]] = {}  # by sidecar name
-        self._reserved_ports = [claim(f"127.7.0.{1 + index}") for index in range(1 + FOLLOWER_COUNT)]
+        self._proxies: list[FaultProxy] = []
+        self._zones_by_proxy: dict[FaultProxy, tuple[str, str]] = {}  # of the caller and the process
+        self._sidecar_proxies: dict[str, list[FaultProxy]] = {}  # by sidecar name
+        self._reserved_ports = [reserve_port(f"127.7.0.{1 + index}") for index in range(1 + FOLLOWER_COUNT)]
         addresses = [Address(*sock.getsockname()) for sock in self._reserved_ports]
         zones = day.scenario.zones  # processes are assigned round-robin, the main one to the first zone
         self._zone_by_address = {address: zones[i % len(zones)] for i, address in enumerate(addresses)}
@@ -171,7 +178,7 @@
             processors=[structlog.processors.add_log_level, structlog.processors.JSONRenderer()],
         )
         self._registrations: dict[str, Registration] = {}
-        self._registration_proxies: dict[str, Wire] = {}
+        self._registration_proxies: dict[str, FaultProxy] = {}
         self._draining: set[str] = set()
         # Time of the scenario's clock, by endpoint and Unix time in ms.
         self._start_times_us: dict[tuple[str, int], int] = {}
@@ -187,10 +194,10 @@
 
     def _add_proxy(
         self, target: Address, observer: Callable[[object, bool, bytes], None] | None = None, zone: str = ""
-    ) -> Wire:
+    ) -> FaultProxy:
         """Create a proxy to `target`; `zone` is the zone of the caller that uses it."""
         index, self._proxy_count = self._proxy_count, self._proxy_count + 1
-        proxy = Wire(f"127.7.{1 + index // 200}.{1 + index % 200}", lambda: target, observer)
+        proxy = FaultProxy(f"127.7.{1 + index // 200}.{1 + index % 200}", lambda: target, observer)
         self._proxies.append(proxy)
         self._zones_by_proxy[proxy] = (zone, self._zone_by_address[target])
         return proxy
@@ -202,8 +209,12 @@
                 network.delivers(caller_zone, server_zone),
                 network.delivers(server_zone, caller_zone),
             )
-            modes = {(True, True): How.OPEN, (False, True): How.CUT_UP, (True, False): How.CUT_DOWN}
-            await proxy.set_mode(modes.get((caller_to_server, server_to_caller), How.CUT))
+            modes = {
+                (True, True): ProxyMode.OPEN,
+                (False, True): ProxyMode.CUT_UP,
+                (True, False): ProxyMode.CUT_DOWN,
+            }
+            await proxy.set_mode(modes.get((caller_to_server, server_to_caller), ProxyMode.CUT))
 
     def _tier_name(self, tier: int) -> str:
         return self._day.scenario.tier[tier].name
@@ -253,7 +264,7 @@
         except TimeoutError:
             reason = f"the list service does not list all endpoints after {READY_TIMEOUT_S:g} s"
             process = self._nodes[0].process
-            raise DeploymentError(reason, process.tail() if process is not None else []) from None
+            raise DeploymentError(reason, process.read_log_tail() if process is not None else []) from None
 
     async def _wait_until_listed(self) -> None:
         for registration in self._registrations.values():
@@ -284,12 +295,12 @@
                 while await self._served_version(node) < 0:
                     await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
-            log_tail = node.process.tail() if node.process is not None else []
+            log_tail = node.process.read_log_tail() if node.process is not None else []
             raise DeploymentError(f"{node.name}: not ready after {READY_TIMEOUT_S:g} s", log_tail) from None
 
     def _handle_exit(self, process: Process, status: int) -> None:
         if not process.stop_requested and not self._closing:
-            self._fail(DeploymentError(f"{process.name} ended with status {status}", process.tail()))
+            self._fail(DeploymentError(f"{process.name} ended with status {status}", process.read_log_tail()))
 
     async def close(self) -> None:
         """Stop all registrations and watches, kill the processes and close the sockets."""
@@ -314,7 +325,7 @@
     def usage(self) -> dict[str, Usage]:
         """Resource usage by process name."""
         for node in self._nodes:
-            if node.process is not None and not node.process.ended.is_set():
+            if node.process is not None and not node.process.exited.is_set():
                 node.process.measure()
         return {node.name: node.usage for node in self._nodes}
 
@@ -349,7 +360,7 @@
         async def reset_old_proxies() -> None:
             await asyncio.sleep(OLD_ADDRESS_CLOSE_DELAY_S)
             for proxy in old_proxies:
-                await proxy.set_mode(How.RESET)
+                await proxy.set_mode(ProxyMode.RESET)
 
         self._start_task(reset_old_proxies())
 
@@ -485,16 +496,16 @@
 
     def set_unavailable(self, down: bool) -> None:
         """Refuse or accept the sidecars' connections to the list service."""
-        self._set_modes(self._all_sidecar_proxies(), How.RESET if down else How.OPEN)
+        self._set_modes(self._all_sidecar_proxies(), ProxyMode.RESET if down else ProxyMode.OPEN)
 
     def set_stalled(self, on: bool) -> None:
         """Truncate the responses to sidecars, or deliver them in full."""
-        self._set_modes(self._all_sidecar_proxies(), How.TRUNCATED if on else How.OPEN)
+        self._set_modes(self._all_sidecar_proxies(), ProxyMode.TRUNCATED if on else ProxyMode.OPEN)
 
-    def _all_sidecar_proxies(self) -> list[Wire]:
+    def _all_sidecar_proxies(self) -> list[FaultProxy]:
         return [proxy for proxies in self._sidecar_proxies.values() for proxy in proxies]
 
-    def _set_modes(self, proxies: list[Wire], mode: How) -> None:
+    def _set_modes(self, proxies: list[FaultProxy], mode: ProxyMode) -> None:
         async def set_modes() -> None:
             for proxy in proxies:
                 await proxy.set_mode(mode)
@@ -510,12 +521,12 @@
             main.send_signal(signal.SIGCONT)
             return
         if event.kind is TroubleKind.REGISTRY_CUT:
-            mode = MODES_BY_VALUE[event.how or How.CUT.value]
+            mode = MODES_BY_VALUE[event.how or ProxyMode.CUT.value]
             for proxy in self._proxies:
                 await proxy.set_mode(mode)
             await until(event.until_us)
             for proxy in self._proxies:
-                await proxy.set_mode(How.OPEN)
+                await proxy.set_mode(ProxyMode.OPEN)
             return
         is_storm = event.kind is TroubleKind.REGISTRY_STORM
         affected = self._nodes if is_storm else [main]
--- a/eiderhub/emulator/troubles.py
+++ b/eiderhub/emulator/troubles.py
@@ -190,7 +190,7 @@
         sidecar = target.sidecar_of_endpoint(name)
         if sidecar is not None:
             for process in list(target.sidecars[sidecar].processes):
-                await process.ended.wait()
+                await process.exited.wait()
             target.start_sidecar(sidecar)
             await target.wait_until_ready(sidecar)
         machine = target.endpoints[name]
@@ -273,17 +273,17 @@
         process.terminate()
         try:
             async with asyncio.timeout(self._stop_timeout_s):
-                await process.ended.wait()
+                await process.exited.wait()
         except TimeoutError:
             self._target.add_note(
                 f"{process.name} had not exited {self._stop_timeout_s:.1f} s after SIGTERM and was killed"
             )
             process.kill()
-            await process.ended.wait()
+            await process.exited.wait()
 
     async def _kill_sidecars(self, event: Event) -> None:
         killed = [process for name in event.sidecars for process in self._target.kill_sidecar(name)]
-        await asyncio.gather(*(process.ended.wait() for process in killed))
+        await asyncio.gather(*(process.exited.wait() for process in killed))
         await asyncio.sleep(KILL_RESTART_DELAY_S)
         for name in event.sidecars:
             self._target.start_sidecar(name)
--- a/eiderhub/emulator/wires.py
+++ b/eiderhub/emulator/wires.py
@@ -12,14 +12,14 @@
 
 from eiderhub.address import Address
 from eiderhub.emulator.doors import BACKLOG_CONNECTIONS, shut_down_listener
-from eiderhub.emulator.processes import claim
+from eiderhub.emulator.processes import reserve_port
 from eiderhub.http1 import ZERO_LINGER
 
 SLOW_DELAY_S = 0.4  # one way
 MAX_HELD_BYTES = 1 << 20  # per connection and direction; above it, reading from the sender pauses
 
 
-class How(enum.Enum):
+class ProxyMode(enum.Enum):
     """The fault that a proxy applies to its connections."""
 
     OPEN = "open"  # no fault
@@ -31,8 +31,8 @@
     TRUNCATED = "broken-off"  # half of the next data to the caller is sent, then the connection is reset
 
 
-MODES_HOLDING_UPSTREAM = (How.CUT, How.CUT_UP)
-MODES_HOLDING_DOWNSTREAM = (How.CUT, How.CUT_DOWN)
+MODES_HOLDING_UPSTREAM = (ProxyMode.CUT, ProxyMode.CUT_UP)
+MODES_HOLDING_DOWNSTREAM = (ProxyMode.CUT, ProxyMode.CUT_DOWN)
 
 
 class _Side(asyncio.Protocol):
@@ -76,7 +76,7 @@
 class _ProxyConnection:
     """One proxied connection. Data that cannot be forwarded is held in order, as TCP would retransmit it."""
 
-    def __init__(self, proxy: Wire) -> None:
+    def __init__(self, proxy: FaultProxy) -> None:
         self.proxy = proxy
         self.caller_side = _Side(self, reads_upstream=True)
         self.target_side = _Side(self, reads_upstream=False)
@@ -93,7 +93,7 @@
 
     def handle_connected(self, side: _Side) -> None:
         if side is self.caller_side:
-            self.proxy.links.add(self)
+            self.proxy.connections.add(self)
         self.send_held()
 
     def handle_data(self, side: _Side, data: bytes) -> None:
@@ -112,12 +112,12 @@
         if self.closed:
             return
         delayed = self._delayed[side.reads_upstream]
-        if self.proxy.mode is How.SLOW or delayed:  # data after delayed data must wait for it
+        if self.proxy.mode is ProxyMode.SLOW or delayed:  # data after delayed data must wait for it
             loop = asyncio.get_running_loop()
-            delayed.append((loop.time() + (SLOW_DELAY_S if self.proxy.mode is How.SLOW else 0.0), data))
+            delayed.append((loop.time() + (SLOW_DELAY_S if self.proxy.mode is ProxyMode.SLOW else 0.0), data))
             if len(delayed) == 1:
                 loop.call_at(delayed[0][0], self._forward_delayed, side.reads_upstream)
-        elif self.proxy.mode is How.TRUNCATED and not side.reads_upstream and data:
+        elif self.proxy.mode is ProxyMode.TRUNCATED and not side.reads_upstream and data:
             self._write(self.caller_side, data[: len(data) // 2])
             asyncio.get_running_loop().call_soon(self.abort)
         else:
@@ -179,7 +179,7 @@
     def abort(self) -> None:
         """Reset the connections to the caller and to the target."""
         self.closed = True
-        self.proxy.links.discard(self)
+        self.proxy.connections.discard(self)
         if self._connect_task is not None and not self._connect_task.done():
             self._connect_task.cancel()
         for side in (self.caller_side, self.target_side):
@@ -190,7 +190,7 @@
                 side.transport.abort()
 
 
-class Wire:
+class FaultProxy:
     """A listening address that forwards its connections to a target, with the fault given by `mode`."""
 
     def __init__(
@@ -200,11 +200,11 @@
         observer: Callable[[object, bool, bytes], None] | None = None,
     ) -> None:
         """`observer` is called with each piece of data: connection, whether it goes to the target, bytes."""
-        self._reserved_port = claim(host)
+        self._reserved_port = reserve_port(host)
         self.address = Address(host, int(self._reserved_port.getsockname()[1]))
         self.target = target
-        self.mode = How.OPEN
-        self.links: set[_ProxyConnection] = set()
+        self.mode = ProxyMode.OPEN
+        self.connections: set[_ProxyConnection] = set()
         self._observer = observer
         self._server: asyncio.Server | None = None
 
@@ -219,20 +219,20 @@
                 reuse_address=True,
             )
 
-    async def set_mode(self, mode: How) -> None:
+    async def set_mode(self, mode: ProxyMode) -> None:
         """Apply a mode from now on, and forward the held data that it no longer blocks."""
         self.mode = mode
-        if mode is How.RESET:
+        if mode is ProxyMode.RESET:
             self.reset_connections()
             self._stop_listening()
         else:
             await self.open()
-        for connection in list(self.links):
+        for connection in list(self.connections):
             connection.send_held()
 
     def reset_connections(self) -> None:
         """Reset all open connections; new connections are not affected."""
-        for connection in list(self.links):
+        for connection in list(self.connections):
             connection.abort()
 
     def is_held(self, upstream: bool) -> bool:
--- a/eiderhub/scale/backends.py
+++ b/eiderhub/scale/backends.py
@@ -36,7 +36,7 @@
 PARENT_CHECK_INTERVAL_S = 0.5
 
 
-class Places(msgspec.Struct, frozen=True):
+class ListenAddresses(msgspec.Struct, frozen=True):
     """Addresses on which a process listens."""
 
     sets: list[list[Address]]  # equal sets of endpoints; a relay has one set
@@ -81,7 +81,7 @@
         self._connections: set[ServerConnection] = set()
         self._full_list = b""
 
-    async def start(self, count: int) -> Places:
+    async def start(self, count: int) -> ListenAddresses:
         """Starts `count` endpoints in each set, the counts service and the discovery service."""
         sets = []
         for number in range(len(self._accepted)):
@@ -89,7 +89,9 @@
             on_connection = partial(self._count_connection, number)
             sets.append([await self._listen(handler, on_connection) for _ in range(count)])
         self._full_list = msgspec.json.encode(full_list(sets[0]))
-        return Places(sets, await self._listen(self._serve_counts), await self._listen(self._serve_list))
+        return ListenAddresses(
+            sets, await self._listen(self._serve_counts), await self._listen(self._serve_list)
+        )
 
     async def _listen(
         self,
@@ -177,13 +179,13 @@
             self._peer.transport.close()
 
 
-async def _relay(targets: list[Address]) -> Places:
+async def _relay(targets: list[Address]) -> ListenAddresses:
     loop = asyncio.get_running_loop()
     addresses = []
     for target in targets:
         server = await loop.create_server(partial(_RelaySide, None, target), HOST, 0, backlog=BACKLOG)
         addresses.append(Address(HOST, server.sockets[0].getsockname()[1]))
-    return Places([addresses])
+    return ListenAddresses([addresses])
 
 
 async def _run(arguments: list[str]) -> None:
--- a/eiderhub/scale/changes.py
+++ b/eiderhub/scale/changes.py
@@ -14,8 +14,8 @@
 from eiderhub.http1 import NoReplyError
 from eiderhub.registry import api
 from eiderhub.registry.client import RegistryClient, RequestRefusedError
-from eiderhub.scale.hollow import Change, Settle, Settled, delay_ms
-from eiderhub.scale.plan import Seat
+from eiderhub.scale.hollow import Change, DelaysRequest, DelaysResponse, delay_ms
+from eiderhub.scale.plan import SidecarSpec
 from eiderhub.scale.topology import Topology
 
 CONNECTIONS = 16
@@ -28,18 +28,18 @@
 
     attempted: int = 0
     failed: int = 0
-    made: list[Change] = field(default_factory=list)
+    acknowledged: list[Change] = field(default_factory=list)
 
 
 class Writer:
     """An operator who alternately drains a record and undoes it; each call is sent at its due time."""
 
-    def __init__(self, address: Address, seats: Sequence[Seat], seed: int) -> None:
+    def __init__(self, address: Address, seats: Sequence[SidecarSpec], seed: int) -> None:
         self._clients = [RegistryClient(address) for _ in range(CONNECTIONS)]
         self._seats = seats
         self._rng = random.Random(seed)
         self._pending: set[asyncio.Task[None]] = set()
-        self.written = WriteResults()
+        self.results = WriteResults()
 
     async def write(self, rate: float, seconds: float) -> None:
         """Sends an even number of changes; returns after `seconds`, once the last one has ended."""
@@ -59,15 +59,15 @@
             await asyncio.gather(*self._pending)
         await asyncio.sleep(max(0.0, start_s + seconds - time.monotonic()))
 
-    async def _send_change(self, client: RegistryClient, seat: Seat, undo: bool) -> None:
-        self.written.attempted += 1
+    async def _send_change(self, client: RegistryClient, seat: SidecarSpec, undo: bool) -> None:
+        self.results.attempted += 1
         request = api.RecordRequest(service=seat.service, id=seat.id, undo=undo)
         try:
             response = await client.post(api.DRAIN_PATH, request, api.WriteResponse, WRITE_TIMEOUT_S)
         except (NoReplyError, RequestRefusedError):
-            self.written.failed += 1
+            self.results.failed += 1
             return
-        self.written.made.append(Change(seat.service, response.version, time.monotonic()))
+        self.results.acknowledged.append(Change(seat.service, response.version, time.monotonic()))
 
     def close(self) -> None:
         """Cancels pending changes and closes the connections."""
@@ -77,22 +77,24 @@
             client.close()
 
 
-async def settled(topology: Topology, changes: list[Change]) -> tuple[list[float], int]:
+async def propagation_delays(topology: Topology, changes: list[Change]) -> tuple[list[float], int]:
     """Collects the propagation delays of changes.
 
     Returns the milliseconds from each change's acknowledgement until it is in effect at each sidecar that
     follows its service, and the number of sidecars' changes that are not in effect.
     """
-    responses: list[Settled] = await topology.each("/settle", Settle(changes), Settled)
+    responses: list[DelaysResponse] = await topology.call_each(
+        "/settle", DelaysRequest(changes), DelaysResponse
+    )
     delays = [
         delay for response in responses for change_delays in response.delays_ms for delay in change_delays
     ]
     missing = sum(response.missing for response in responses)
-    for sidecar in topology.reals:
-        adoptions = np.array(sidecar.in_force, dtype=float).reshape(-1, 2)
-        sidecar.in_force = sidecar.in_force[-1:]
+    for sidecar in topology.real_sidecars:
+        adoptions = np.array(sidecar.adoptions, dtype=float).reshape(-1, 2)
+        sidecar.adoptions = sidecar.adoptions[-1:]
         for change in changes:
-            if change.service == sidecar.seat.follows:
+            if change.service == sidecar.spec.follows:
                 delay = delay_ms(adoptions, change)
                 if delay is None:
                     missing += 1
@@ -101,7 +103,7 @@
     return delays, missing
 
 
-def spread(delays: list[float]) -> dict[str, float]:
+def delay_percentiles(delays: list[float]) -> dict[str, float]:
     """Returns percentiles in milliseconds; empty without delays."""
     if not delays:
         return {}
--- a/eiderhub/scale/counts.py
+++ b/eiderhub/scale/counts.py
@@ -33,7 +33,7 @@
 BUCKETS_PER_S = 10  # buckets of calls, by the machine's monotonic clock
 
 
-class Told(Struct, frozen=True):
+class TrafficCounts(Struct, frozen=True):
     """Total traffic with one address; `buckets` has the calls since the counts were last taken."""
 
     calls: dict[str, int] = {}  # by kind
@@ -45,7 +45,7 @@
     buckets: dict[int, int] = {}
 
 
-class Tally:
+class TrafficCounter:
     """Counts the traffic with one address."""
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
         self.bytes_out = self.bytes_in = self.entries = self.opened = self.open = 0
         self._buckets: Counter[int] = Counter()
 
-    def went(self, data: bytes) -> None:
+    def count_sent(self, data: bytes) -> None:
         """Counts sent bytes, and a call if they begin with a request line."""
         self.bytes_out += len(data)
         if data[:4] in (b"GET ", b"POST"):
@@ -61,7 +61,7 @@
             self.calls[CALL_KINDS.get(path, OTHER)] += 1
             self._buckets[int(time.monotonic() * BUCKETS_PER_S)] += 1
 
-    def came(self, data: bytes, tail: bytes) -> bytes:
+    def count_received(self, data: bytes, tail: bytes) -> bytes:
         """Counts received bytes and list entries; returns the tail to pass with the next bytes.
 
         `tail` is the return value for the previous bytes of the same connection, as an entry's marker may be
@@ -72,18 +72,18 @@
         self.entries += searched.count(ENTRY_MARKER)
         return searched[-len(ENTRY_MARKER) + 1 :]
 
-    def told(self) -> Told:
+    def take_counts(self) -> TrafficCounts:
         """Returns all counts and clears the buckets."""
         buckets, self._buckets = dict(self._buckets), Counter()
-        return Told(
+        return TrafficCounts(
             dict(self.calls), self.bytes_out, self.bytes_in, self.entries, self.opened, self.open, buckets
         )
 
 
-def since(after: Told, before: Told) -> Told:
+def counts_between(after: TrafficCounts, before: TrafficCounts) -> TrafficCounts:
     """Returns the traffic between two counts; `open` and `buckets` are those of the later."""
     kinds = {kind: count - before.calls.get(kind, 0) for kind, count in after.calls.items()}
-    return Told(
+    return TrafficCounts(
         {kind: count for kind, count in kinds.items() if count},
         after.bytes_out - before.bytes_out,
         after.bytes_in - before.bytes_in,
@@ -94,14 +94,14 @@
     )
 
 
-def together(counts: list[Told]) -> Told:
+def sum_counts(counts: list[TrafficCounts]) -> TrafficCounts:
     """Returns the sums over several addresses or processes."""
     kinds: Counter[str] = Counter()
     buckets: Counter[int] = Counter()
     for each in counts:
         kinds.update(each.calls)
         buckets.update(each.buckets)
-    return Told(
+    return TrafficCounts(
         dict(kinds),
         sum(each.bytes_out for each in counts),
         sum(each.bytes_in for each in counts),
@@ -112,7 +112,7 @@
     )
 
 
-def peak(buckets: dict[int, int], since_s: float = 0.0) -> int:
+def peak_calls(buckets: dict[int, int], since_s: float = 0.0) -> int:
     """Returns the maximum number of calls in one bucket at or after this time of the monotonic clock."""
     return max(
         (count for bucket, count in buckets.items() if bucket >= int(since_s * BUCKETS_PER_S)), default=0
@@ -122,7 +122,7 @@
 class _CountingTransport:
     """Counts written bytes; all other members are those of the wrapped transport."""
 
-    def __init__(self, transport: asyncio.Transport, counter: Tally) -> None:
+    def __init__(self, transport: asyncio.Transport, counter: TrafficCounter) -> None:
         self._transport = transport
         self._counter = counter
 
@@ -130,14 +130,14 @@
         return getattr(self._transport, name)
 
     def write(self, data: bytes) -> None:
-        self._counter.went(data)
+        self._counter.count_sent(data)
         self._transport.write(data)
 
 
 class _CountingProtocol(asyncio.Protocol):
     """Counts received bytes and connections, and passes all events to the inner protocol."""
 
-    def __init__(self, inner: asyncio.Protocol, counter: Tally) -> None:
+    def __init__(self, inner: asyncio.Protocol, counter: TrafficCounter) -> None:
         self._inner = inner
         self._counter = counter
         self._tail = b""
@@ -149,7 +149,7 @@
         self._inner.connection_made(cast(asyncio.BaseTransport, counted))
 
     def data_received(self, data: bytes) -> None:
-        self._tail = self._counter.came(data, self._tail)
+        self._tail = self._counter.count_received(data, self._tail)
         self._inner.data_received(data)
 
     def eof_received(self) -> bool | None:
@@ -171,22 +171,22 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.counters: dict[str, Tally] = {}
+        self.counters: dict[str, TrafficCounter] = {}
 
     async def create_connection(
         self, protocol_factory: Callable[[], Any], host: Any = None, port: Any = None, **options: Any
     ) -> Any:
-        counter = self.counters.setdefault(f"{host}:{port}", Tally())
+        counter = self.counters.setdefault(f"{host}:{port}", TrafficCounter())
         return await super().create_connection(
             lambda: _CountingProtocol(protocol_factory(), counter), host, port, **options
         )
 
-    def told(self) -> dict[str, Told]:
+    def take_counts(self) -> dict[str, TrafficCounts]:
         """Returns the counts by remote address and clears their buckets."""
-        return {address: counter.told() for address, counter in self.counters.items()}
+        return {address: counter.take_counts() for address, counter in self.counters.items()}
 
 
-def counting() -> CountingLoop:
+def running_counting_loop() -> CountingLoop:
     """Returns the running loop.
 
     Raises:
@@ -201,7 +201,7 @@
 # --- processes ---
 
 
-def cost(pid: int) -> tuple[float, float]:
+def process_usage(pid: int) -> tuple[float, float]:
     """Returns a process's processor time in seconds, over all threads, and its resident memory in MB.
 
     Both are 0 if the process has ended. The scheduler's statistics are in nanoseconds; on systems without
@@ -219,7 +219,7 @@
         return 0.0, 0.0
 
 
-def machine() -> Machine:
+def machine_description() -> Machine:
     """Describes this machine: usable cores, memory, versions of Python and of the system."""
     pages = os.sysconf("SC_PHYS_PAGES")
     return Machine(
--- a/eiderhub/scale/decisions.py
+++ b/eiderhub/scale/decisions.py
@@ -19,7 +19,7 @@
 
 from eiderhub.address import Address
 from eiderhub.balancer import Balancer
-from eiderhub.emulator.processes import Process, claim, new_folder
+from eiderhub.emulator.processes import Process, create_temporary_folder, reserve_port
 from eiderhub.interface import Endpoint, ListForm, Outcome, Readiness
 from eiderhub.scale.path import (
     DEADLINE_MS,
@@ -38,7 +38,7 @@
 REPEATS = 3
 WARM_UP_S, MEASURED_S = 2, 5  # of the simulated clock
 INSTANTS_PER_S = 20  # the first call of each instant also pays for timed work due since the previous one
-CALLS = 6  # in each instant, one after another
+CALLS_PER_INSTANT = 6  # in each instant, one after another
 SERVICE_US = 1000
 FULL_LIST_REPEATS = 5
 SETTLE_S = 2.0  # after the sidecar listens; its first watch has been answered by then
@@ -175,9 +175,9 @@
             next_us = host.now_us + 1_000_000 // INSTANTS_PER_S
             timers_ns += self._run_timers()
             first_calls_ns += self._run_call()
-            other_calls_ns += sum(self._run_call() for _ in range(CALLS - 1))
+            other_calls_ns += sum(self._run_call() for _ in range(CALLS_PER_INSTANT - 1))
             host.now_us = max(host.now_us, next_us)
-        mean_call_ns = other_calls_ns / (INSTANTS_PER_S * (CALLS - 1))
+        mean_call_ns = other_calls_ns / (INSTANTS_PER_S * (CALLS_PER_INSTANT - 1))
         return mean_call_ns, max(0.0, timers_ns + first_calls_ns - INSTANTS_PER_S * mean_call_ns)
 
     def apply_delta(self, number: int) -> float:
@@ -267,7 +267,7 @@
     return sorted(samples, key=lambda each: each.size)
 
 
-async def memory(sizes: Sequence[int], seed: int, report_progress: ReportProgress) -> list[Memory]:
+async def measure_memory(sizes: Sequence[int], seed: int, report_progress: ReportProgress) -> list[Memory]:
     """Measures the memory of real sidecars, one process after another, SETTLE_S after each listens.
 
     Raises:
@@ -276,8 +276,8 @@
     results = []
     for number, size in enumerate(sizes):
         report_progress(number / len(sizes), f"a sidecar with {size} endpoints")
-        folder = new_folder()
-        reserved_socket = claim("127.0.0.1")
+        folder = create_temporary_folder()
+        reserved_socket = reserve_port("127.0.0.1")
         processes: list[Process] = []
         try:
             process, backends = await start_backends(folder, "discovery", "endpoints", "1", "1", "0")
@@ -304,8 +304,10 @@
         try:
             _, writer = await asyncio.open_connection(*address)
         except OSError:
-            if process.ended.is_set() or time.monotonic() - started_s > READY_TIMEOUT_S:
-                raise PathError("\n".join(["the sidecar did not start to listen", *process.tail()])) from None
+            if process.exited.is_set() or time.monotonic() - started_s > READY_TIMEOUT_S:
+                raise PathError(
+                    "\n".join(["the sidecar did not start to listen", *process.read_log_tail()])
+                ) from None
             await asyncio.sleep(0.02)
         else:
             writer.close()
--- a/eiderhub/scale/faults.py
+++ b/eiderhub/scale/faults.py
@@ -9,14 +9,22 @@
 
 from msgspec import structs
 
-from eiderhub.emulator.wires import How
+from eiderhub.emulator.wires import ProxyMode
 from eiderhub.http1 import NoReplyError
 from eiderhub.registry.client import RequestRefusedError
 from eiderhub.scale.changes import Writer
-from eiderhub.scale.counts import peak, together
-from eiderhub.scale.hollow import EMPTIED, LOST, UNRENEWED, WENT_BACK, Nothing, Replace, Which
-from eiderhub.scale.looks import Look
-from eiderhub.scale.plan import Plan, Seat
+from eiderhub.scale.counts import peak_calls, sum_counts
+from eiderhub.scale.hollow import (
+    LIST_EMPTIED,
+    LIST_REVERTED,
+    RECORD_LOST,
+    RENEWAL_UNANSWERED,
+    Empty,
+    ReplaceRequest,
+    SidecarIds,
+)
+from eiderhub.scale.looks import Measurement
+from eiderhub.scale.plan import Plan, SidecarSpec
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, Fault
 from eiderhub.scale.topology import Topology
 
@@ -25,12 +33,12 @@
 # Leases to wait for the expiry of a lost zone's records; the service delays a mass expiry by one lease.
 EXPIRY_WAIT_LEASES = 6
 EXPIRY_MARGIN_S = 10.0
-RETURN_S = 180.0  # for all lists to agree again; after that the result reports that they do not
+RECOVERY_TIMEOUT_S = 180.0  # for all lists to agree again; after that the result reports that they do not
 RETURNED_SHARE = 0.98  # of a follower's sidecars; some are between two watch calls at any time
 DRAINS_PER_S = 2.0  # during a fault, for each writer
 
 
-class Course:
+class FaultRun:
     """The state of one fault: its affected sidecars, writers, times and notes."""
 
     def __init__(self, topology: Topology, plan: Plan, seconds: float, seed: int) -> None:
@@ -38,14 +46,14 @@
         self.plan = plan
         self.seconds = seconds
         self.seed = seed
-        self.affected: list[Seat] = []
+        self.affected: list[SidecarSpec] = []
         self.writers: list[Writer] = []
         self.least_records = len(plan.seats)
         self.ended_s = 0.0  # end of the fault, on the monotonic clock
         self.return_s = 0.0
         self.notes: list[str] = []
 
-    async def watch_records(self) -> None:
+    async def poll_records(self) -> None:
         """Polls the main service's number of records and updates its minimum, until cancelled."""
         while True:
             try:
@@ -54,13 +62,13 @@
                 self.notes.append("the main service did not answer a status call")
             await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def records_are(self, count: int, wait_s: float) -> bool:
+    async def wait_for_records(self, count: int, wait_s: float) -> bool:
         """Waits up to `wait_s` for the main service to have this number of records; returns if it has."""
         deadline_s = time.monotonic() + wait_s
         while (await self.topology.main.status(30.0)).records != count:
             if time.monotonic() >= deadline_s:
                 return False
-            self.topology.check()
+            self.topology.check_processes()
             await asyncio.sleep(POLL_INTERVAL_S)
         return True
 
@@ -75,7 +83,7 @@
             writer.close()
 
 
-async def release(fault_run: Course) -> None:
+async def release(fault_run: FaultRun) -> None:
     """Replaces the largest service's hollow sidecars by sidecars with new ids, in RELEASE_STEPS steps."""
     plan, topology = fault_run.plan, fault_run.topology
     service = max(plan.sizes, key=lambda name: plan.sizes[name])
@@ -91,28 +99,28 @@
             )
             step_seats = fault_run.affected[step::RELEASE_STEPS]
             pairs = [(seat.id, structs.replace(seat, id=f"{seat.id}.new")) for seat in step_seats]
-            await topology.each("/replace", Replace(pairs), Nothing)
+            await topology.call_each("/replace", ReplaceRequest(pairs), Empty)
         fault_run.ended_s = time.monotonic()
         await writing
     finally:
         writing.cancel()
 
 
-async def zone_lost(fault_run: Course) -> None:
+async def zone_lost(fault_run: FaultRun) -> None:
     """Stops all hollow sidecars of one zone at once and starts them again once their leases have expired."""
     plan, topology = fault_run.plan, fault_run.topology
     zones = [seat.zone for seat in plan.hollow]
     zone = max(sorted(set(zones)), key=zones.count)
     fault_run.affected = [seat for seat in plan.hollow if seat.zone == zone]
     others = [seat for seat in plan.hollow if seat.zone != zone]
-    ids = Which([seat.id for seat in fault_run.affected])
+    ids = SidecarIds([seat.id for seat in fault_run.affected])
     writer = fault_run.add_writer(Writer(topology.main.address, others, fault_run.seed))
     writing = asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
     start_s = time.monotonic()
     try:
-        await topology.each("/abandon", ids, Nothing)
+        await topology.call_each("/abandon", ids, Empty)
         remaining = len(plan.seats) - len(fault_run.affected)
-        if await fault_run.records_are(
+        if await fault_run.wait_for_records(
             remaining, EXPIRY_WAIT_LEASES * plan.lease_ms / 1000 + EXPIRY_MARGIN_S
         ):
             fault_run.notes.append(
@@ -122,12 +130,12 @@
             fault_run.notes.append(f"zone {zone}: not all of its leases had expired when it was restarted")
         await writing
         fault_run.ended_s = time.monotonic()
-        await topology.each("/return", ids, Nothing)
+        await topology.call_each("/return", ids, Empty)
     finally:
         writing.cancel()
 
 
-async def region_cut(fault_run: Course) -> None:
+async def region_cut(fault_run: FaultRun) -> None:
     """Cuts one region off from the others for a time; records on both sides are drained during the cut."""
     plan, topology = fault_run.plan, fault_run.topology
     region = cut_region(plan)
@@ -136,24 +144,24 @@
     outside = [seat for seat in plan.hollow if seat.region != region]
     inside_writer = fault_run.add_writer(Writer(topology.wires["out main"].address, inside, fault_run.seed))
     outside_writer = fault_run.add_writer(Writer(topology.main.address, outside, fault_run.seed + 1))
-    await topology.turn(region, How.CUT)
+    await topology.set_region_wires(region, ProxyMode.CUT)
     writing = [
         asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
         for writer in (inside_writer, outside_writer)
     ]
     try:
         await asyncio.sleep(fault_run.seconds)
-        await topology.turn(region, How.OPEN)
+        await topology.set_region_wires(region, ProxyMode.OPEN)
         fault_run.ended_s = time.monotonic()
         await asyncio.gather(*writing)
     finally:
         for task in writing:
             task.cancel()
     for side, writer in ((f"within region {region}", inside_writer), ("outside the region", outside_writer)):
-        fault_run.notes.append(f"{side}: {writer.written.failed} of {writer.written.attempted} writes failed")
+        fault_run.notes.append(f"{side}: {writer.results.failed} of {writer.results.attempted} writes failed")
 
 
-async def follower_killed(fault_run: Course) -> None:
+async def follower_killed(fault_run: FaultRun) -> None:
     """Kills the follower with the most sidecars, and starts it again at the end of the fault."""
     plan, topology = fault_run.plan, fault_run.topology
     home_regions = [plan.followers_of(seat.region)[0] for seat in plan.seats]
@@ -169,7 +177,7 @@
         fault_run.ended_s = time.monotonic()
         await writing
         # Sidecars return after a time away from their follower; nothing notifies them of its restart.
-        deadline_s = fault_run.ended_s + RETURN_S
+        deadline_s = fault_run.ended_s + RECOVERY_TIMEOUT_S
         while (await follower.status()).watches < RETURNED_SHARE * len(fault_run.affected):
             if time.monotonic() >= deadline_s:
                 fault_run.notes.append(f"follower {region}: not all of its sidecars returned to it")
@@ -180,7 +188,7 @@
         writing.cancel()
 
 
-async def main_killed(fault_run: Course) -> None:
+async def main_killed(fault_run: FaultRun) -> None:
     """Kills the main service, and starts it again from its store at the end of the fault."""
     plan, topology = fault_run.plan, fault_run.topology
     fault_run.affected = plan.seats
@@ -204,7 +212,7 @@
     return next(iter(plan.regions))
 
 
-COURSES: dict[str, Callable[[Course], Coroutine[Any, Any, None]]] = {
+FAULTS: dict[str, Callable[[FaultRun], Coroutine[Any, Any, None]]] = {
     "release": release,
     "zone-lost": zone_lost,
     "region-cut": region_cut,
@@ -213,29 +221,31 @@
 }
 
 
-def told(name: str, fault_run: Course, before: Look, after: Look, agreed: bool, last_s: float) -> Fault:
+def fault_result(
+    name: str, fault_run: FaultRun, before: Measurement, after: Measurement, agreed: bool, last_s: float
+) -> Fault:
     """Computes the result from measurements before the fault and after the recovery."""
 
     def warning_count(warning: str) -> int:
-        return after.said.get(warning, 0) - before.said.get(warning, 0)
+        return after.warnings.get(warning, 0) - before.warnings.get(warning, 0)
 
-    peaks = {role: peak(counts.buckets, fault_run.ended_s) for role, counts in after.services.items()}
-    peaks[HOLLOW] = peak(together(list(after.hollow.values())).buckets, fault_run.ended_s)
-    if fault_run.topology.reals:
-        peaks[REAL] = peak(together(list(after.real.values())).buckets, fault_run.ended_s)
+    peaks = {role: peak_calls(counts.buckets, fault_run.ended_s) for role, counts in after.services.items()}
+    peaks[HOLLOW] = peak_calls(sum_counts(list(after.hollow.values())).buckets, fault_run.ended_s)
+    if fault_run.topology.real_sidecars:
+        peaks[REAL] = peak_calls(sum_counts(list(after.real.values())).buckets, fault_run.ended_s)
     notes = list(fault_run.notes)
     notes += [
         f"{warning}: {warning_count(warning)} times"
-        for warning in (EMPTIED, WENT_BACK)
+        for warning in (LIST_EMPTIED, LIST_REVERTED)
         if warning_count(warning)
     ]
     return Fault(
         name=name,
         touched=len(fault_run.affected),
-        writes_tried=sum(writer.written.attempted for writer in fault_run.writers),
-        writes_failed=sum(writer.written.failed for writer in fault_run.writers),
-        renewals_failed=warning_count(UNRENEWED),
-        lost_wrongly=warning_count(LOST),
+        writes_tried=sum(writer.results.attempted for writer in fault_run.writers),
+        writes_failed=sum(writer.results.failed for writer in fault_run.writers),
+        renewals_failed=warning_count(RENEWAL_UNANSWERED),
+        lost_wrongly=warning_count(RECORD_LOST),
         agree_s=round(max(0.0, last_s - fault_run.ended_s), 2),
         agreed=agreed,
         back_s=round(fault_run.return_s, 2),
--- a/eiderhub/scale/hollow.py
+++ b/eiderhub/scale/hollow.py
@@ -36,8 +36,8 @@
 from eiderhub.registry.client import Registration, build_record, now_us
 from eiderhub.registry.records import Entry
 from eiderhub.registry.settings import FollowSettings, RegisterSettings
-from eiderhub.scale.counts import CountingLoop, Told, counting
-from eiderhub.scale.plan import Seat
+from eiderhub.scale.counts import CountingLoop, TrafficCounts, running_counting_loop
+from eiderhub.scale.plan import SidecarSpec
 from eiderhub.settings import Setup
 from eiderhub.sidecar.clock import Alarm
 from eiderhub.sidecar.discovery import ListedEndpoint
@@ -50,11 +50,11 @@
 INITIAL_UPTIME_MS = 3_600_000
 log = structlog.get_logger()
 # Warnings that are counted by their text; the registry client logs the first two itself.
-LOST = "the list service has no record of this endpoint; registering again"
+RECORD_LOST = "the list service has no record of this endpoint; registering again"
 SERVICE_UNANSWERED = "the list service does not answer"
-UNRENEWED = f"{SERVICE_UNANSWERED} a registration"
-EMPTIED = "a list became empty"
-WENT_BACK = "a list went back"
+RENEWAL_UNANSWERED = f"{SERVICE_UNANSWERED} a registration"
+LIST_EMPTIED = "a list became empty"
+LIST_REVERTED = "a list went back"
 
 
 class SidecarState(enum.Enum):
@@ -69,7 +69,7 @@
     """Configuration of one process of hollow sidecars."""
 
     control: str  # address of the control server
-    seats: list[Seat]
+    seats: list[SidecarSpec]
     main: dict[str, list[str]]  # by region: addresses at which sidecars register
     followers: dict[str, list[str]]  # by region: addresses from which lists are fetched, the nearest first
     endpoint: str  # address shared by the endpoints of all sidecars
@@ -81,7 +81,7 @@
     seed: int
 
 
-class Nothing(Struct, frozen=True):
+class Empty(Struct, frozen=True):
     """A request or response without content."""
 
 
@@ -93,13 +93,13 @@
     acknowledged_s: float  # time of the acknowledgement on the machine's monotonic clock
 
 
-class Settle(Struct, frozen=True):
+class DelaysRequest(Struct, frozen=True):
     """Request for the delays after which changes were in force."""
 
     changes: list[Change]
 
 
-class Settled(Struct, frozen=True):
+class DelaysResponse(Struct, frozen=True):
     """For each change, the delay until it was in force at each sidecar that follows that list."""
 
     delays_ms: list[list[float]]
@@ -120,22 +120,22 @@
     last_change_s: float  # time of the last list update of any sidecar, on the monotonic clock
 
 
-class Which(Struct, frozen=True):
+class SidecarIds(Struct, frozen=True):
     """Sidecars that a request applies to."""
 
     ids: list[str]
 
 
-class Replace(Struct, frozen=True):
+class ReplaceRequest(Struct, frozen=True):
     """Sidecars to shut down gracefully, each with its replacement."""
 
-    pairs: list[tuple[str, Seat]]
+    pairs: list[tuple[str, SidecarSpec]]
 
 
 class Snapshot(Struct, frozen=True):
     """Counts since the start of the process; `late_ms` and buckets: since the previous snapshot."""
 
-    connections: dict[str, Told]  # traffic by address
+    connections: dict[str, TrafficCounts]  # traffic by address
     said: dict[str, int]  # number of warnings by text
     held: int  # sidecars that are alive and registered
     listed: int  # sidecars that are alive and have received a list
@@ -185,7 +185,7 @@
 class HollowSidecar:
     """One hollow sidecar: renews its record's lease and passes the list that it follows to its decisions."""
 
-    def __init__(self, config: ProcessConfig, spec: Seat, settings: Settings) -> None:
+    def __init__(self, config: ProcessConfig, spec: SidecarSpec, settings: Settings) -> None:
         self.spec = spec
         self.state = SidecarState.NEW
         self._config = config
@@ -259,10 +259,10 @@
             return
         self.list_updates += 1
         if not self.watcher.watch.adopted_list.entries:
-            log.warning(EMPTIED, id=self.spec.id)
+            log.warning(LIST_EMPTIED, id=self.spec.id)
         version = self.watcher.watch.adopted_list.version
         if self.adoptions and version < self.adoptions[-1][1]:
-            log.warning(WENT_BACK, id=self.spec.id)
+            log.warning(LIST_REVERTED, id=self.spec.id)
         self.adoptions.append((time.monotonic(), version))
         self.list_received.set()
 
@@ -291,17 +291,17 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self._connections: set[ServerConnection] = set()
         self._handlers: dict[str, tuple[type[Struct], Callable[[Any], Awaitable[Struct]]]] = {
-            "/register": (Nothing, self._register),
-            "/follow": (Nothing, self._follow),
-            "/snapshot": (Nothing, self._snapshot),
-            "/settle": (Settle, self._settle),
+            "/register": (Empty, self._register),
+            "/follow": (Empty, self._follow),
+            "/snapshot": (Empty, self._snapshot),
+            "/settle": (DelaysRequest, self._settle),
             "/compare": (CompareRequest, self._compare),
-            "/abandon": (Which, self._abandon),
-            "/return": (Which, self._return),
-            "/replace": (Replace, self._replace),
+            "/abandon": (SidecarIds, self._abandon),
+            "/return": (SidecarIds, self._return),
+            "/replace": (ReplaceRequest, self._replace),
         }
 
-    def _create(self, spec: Seat) -> HollowSidecar:
+    def _create(self, spec: SidecarSpec) -> HollowSidecar:
         return HollowSidecar(self.config, spec, self._settings)
 
     async def serve(self) -> None:
@@ -350,30 +350,30 @@
 
     # --- control requests ---
 
-    async def _register(self, _: Nothing) -> Nothing:
+    async def _register(self, _: Empty) -> Empty:
         await _run_bounded(self._register_one(sidecar) for sidecar in self.sidecars.values())
-        return Nothing()
+        return Empty()
 
     async def _register_one(self, sidecar: HollowSidecar) -> None:
         await sidecar.register(time.time_ns() // 1_000_000 - INITIAL_UPTIME_MS).registered.wait()
 
-    async def _follow(self, _: Nothing) -> Nothing:
+    async def _follow(self, _: Empty) -> Empty:
         await _run_bounded(self._follow_one(sidecar) for sidecar in self.sidecars.values())
         # Exclude all objects created so far from collections: a full collection would delay every timer.
         gc.collect()
         gc.freeze()
-        return Nothing()
+        return Empty()
 
     @staticmethod
     async def _follow_one(sidecar: HollowSidecar) -> None:
         sidecar.follow()
         await sidecar.list_received.wait()
 
-    async def _snapshot(self, _: Nothing) -> Snapshot:
+    async def _snapshot(self, _: Empty) -> Snapshot:
         lateness_ms, self._lateness_ms = self._lateness_ms, []
         alive = [sidecar for sidecar in self.sidecars.values() if sidecar.state is SidecarState.ALIVE]
         return Snapshot(
-            connections=counting().told(),
+            connections=running_counting_loop().take_counts(),
             said=dict(self._warnings),
             held=sum(s.registration is not None and s.registration.registered.is_set() for s in alive),
             listed=sum(sidecar.list_received.is_set() for sidecar in alive),
@@ -383,7 +383,7 @@
             lists=sum(sidecar.list_updates for sidecar in self.sidecars.values()),
         )
 
-    async def _settle(self, request: Settle) -> Settled:
+    async def _settle(self, request: DelaysRequest) -> DelaysResponse:
         by_service: dict[str, list[np.ndarray[Any, Any]]] = {}
         for sidecar in self.sidecars.values():
             if sidecar.state is SidecarState.ALIVE:
@@ -401,7 +401,7 @@
                 else:
                     delays.append(delay)
             delays_by_change.append(delays)
-        return Settled(delays_by_change, missing)
+        return DelaysResponse(delays_by_change, missing)
 
     async def _compare(self, request: CompareRequest) -> CompareResponse:
         alive = [sidecar for sidecar in self.sidecars.values() if sidecar.state is SidecarState.ALIVE]
@@ -414,22 +414,22 @@
         last_change_s = max((s.adoptions[-1][0] for s in alive if s.adoptions), default=0.0)
         return CompareResponse(differ, len(alive), last_change_s)
 
-    async def _abandon(self, request: Which) -> Nothing:
+    async def _abandon(self, request: SidecarIds) -> Empty:
         for name in request.ids:
             if name in self.sidecars:
                 self.sidecars[name].abandon()
-        return Nothing()
+        return Empty()
 
-    async def _return(self, request: Which) -> Nothing:
+    async def _return(self, request: SidecarIds) -> Empty:
         """Start new sidecars with the same specifications, all at once; doesn't wait until they register."""
         for name in request.ids:
             if name in self.sidecars:
                 sidecar = self.sidecars[name] = self._create(self.sidecars[name].spec)
                 sidecar.register(time.time_ns() // 1_000_000)
                 sidecar.follow()
-        return Nothing()
+        return Empty()
 
-    async def _replace(self, request: Replace) -> Nothing:
+    async def _replace(self, request: ReplaceRequest) -> Empty:
         for name, spec in request.pairs:
             if name in self.sidecars:
                 await self.sidecars[name].shut_down()
@@ -437,7 +437,7 @@
                 sidecar = self.sidecars[spec.id] = self._create(spec)
                 sidecar.follow()
                 await sidecar.register(time.time_ns() // 1_000_000).registered.wait()
-        return Nothing()
+        return Empty()
 
 
 def delay_ms(adoptions: np.ndarray[Any, Any], change: Change) -> float | None:
@@ -467,7 +467,7 @@
         if method in ("warning", "error"):
             text = str(event.get("event"))
             # Watches and registrations log the same text; only a registration adds the id of its record.
-            warnings[UNRENEWED if text == SERVICE_UNANSWERED and "id" in event else text] += 1
+            warnings[RENEWAL_UNANSWERED if text == SERVICE_UNANSWERED and "id" in event else text] += 1
         if method == "error":
             print(event, file=sys.stderr, flush=True)
         raise structlog.DropEvent
--- a/eiderhub/scale/looks.py
+++ b/eiderhub/scale/looks.py
@@ -11,8 +11,8 @@
 from msgspec import structs
 
 from eiderhub.registry import api
-from eiderhub.scale.counts import WRITES, Told, cost, peak, since, together
-from eiderhub.scale.hollow import Nothing, Snapshot
+from eiderhub.scale.counts import WRITES, TrafficCounts, counts_between, peak_calls, process_usage, sum_counts
+from eiderhub.scale.hollow import Empty, Snapshot
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, RUN, Phase, Role
 from eiderhub.scale.topology import Topology, read_own_traffic, sum_by_role
 
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class Measurement:
     """State of a run at one moment.
 
     Counts start with the run; buckets and lateness start at the previous measurement.
@@ -28,19 +28,19 @@
 
     at_s: float  # on the monotonic clock
     costs: dict[str, tuple[float, float]]  # by role: seconds of processor time, MB
-    services: dict[str, Told]  # traffic that reached each service, by its role
-    hollow: dict[str, Told]  # traffic of the hollow sidecars, by the service's role
-    real: dict[str, Told]  # traffic of the real sidecars, by the service's role
-    feed: Told  # traffic of the followers with the main service
-    own: Told  # traffic of this process with the main service, without relayed connections
+    services: dict[str, TrafficCounts]  # traffic that reached each service, by its role
+    hollow: dict[str, TrafficCounts]  # traffic of the hollow sidecars, by the service's role
+    real: dict[str, TrafficCounts]  # traffic of the real sidecars, by the service's role
+    feed: TrafficCounts  # traffic of the followers with the main service
+    own: TrafficCounts  # traffic of this process with the main service, without relayed connections
     statuses: dict[str, api.StatusResponse]  # by role
     registered: int  # hollow sidecars that are alive and registered
-    said: dict[str, int]  # number of the hollow sidecars' warnings, by text
+    warnings: dict[str, int]  # number of the hollow sidecars' warnings, by text
     late_ms: float  # of the hollow processes' timers: 99th percentile of the worst process
     pids: dict[str, tuple[int, ...]]  # by role
 
 
-async def measure_run(topology: Topology) -> Look:
+async def measure_run(topology: Topology) -> Measurement:
     """Measure all processes of a run.
 
     Raises:
@@ -48,24 +48,24 @@
         RequestRefusedError: a process refuses the request.
         Ended: a process has ended.
     """
-    topology.check()
+    topology.check_processes()
     statuses, snapshots = await asyncio.gather(
-        topology.statuses(), topology.each("/snapshot", Nothing(), Snapshot)
+        topology.statuses(), topology.call_each("/snapshot", Empty(), Snapshot)
     )
     direct_roles, all_roles = topology.roles_by_address()
     hollow_traffic = [snapshot.connections for snapshot in snapshots]
     warnings = sum((Counter(snapshot.said) for snapshot in snapshots), Counter[str]())
     processes_by_role = topology.processes_by_role()
     costs = {role: role_processes.cost() for role, role_processes in processes_by_role.items()} | {
-        RUN: cost(os.getpid())
+        RUN: process_usage(os.getpid())
     }
     own_process_traffic = read_own_traffic()
-    main_traffic = own_process_traffic.get(str(topology.main.address), Told())
-    real_traffic = [real.read_traffic() for real in topology.reals]
+    main_traffic = own_process_traffic.get(str(topology.main.address), TrafficCounts())
+    real_traffic = [real.read_traffic() for real in topology.real_sidecars]
     wired_roles = {address: role for address, role in all_roles.items() if address not in direct_roles}
     relayed_traffic = [*real_traffic, sum_by_role(hollow_traffic, wired_roles)]
-    feed_traffic = Told({"feed": main_traffic.calls.get("feed", 0)}, *topology.feed_bytes())
-    return Look(
+    feed_traffic = TrafficCounts({"feed": main_traffic.calls.get("feed", 0)}, *topology.feed_bytes())
+    return Measurement(
         at_s=time.monotonic(),
         costs=costs,
         services=sum_by_role([*hollow_traffic, own_process_traffic], direct_roles),
@@ -77,7 +77,7 @@
         ),
         statuses=statuses,
         registered=sum(snapshot.held for snapshot in snapshots),
-        said=dict(warnings),
+        warnings=dict(warnings),
         late_ms=max(
             (snapshot.late_ms[LATE_P99_INDEX] for snapshot in snapshots if snapshot.late_ms), default=0.0
         ),
@@ -89,32 +89,40 @@
     )
 
 
-def _own_traffic(main_traffic: Told, relayed_traffic: list[Told]) -> Told:
+def _own_traffic(main_traffic: TrafficCounts, relayed_traffic: list[TrafficCounts]) -> TrafficCounts:
     """Return the traffic of this process with the main service, without that relayed for other processes."""
-    relayed = together(relayed_traffic)
+    relayed = sum_counts(relayed_traffic)
     calls = {
         kind: max(0, count - relayed.calls.get(kind, 0))
         for kind, count in main_traffic.calls.items()
         if kind in WRITES
     }
-    return Told(
+    return TrafficCounts(
         calls,
         max(0, main_traffic.bytes_out - relayed.bytes_out),
         max(0, main_traffic.bytes_in - relayed.bytes_in),
     )
 
 
-def _traffic_since(after: dict[str, Told], before: dict[str, Told]) -> dict[str, Told]:
-    return {role: since(traffic, before.get(role, Told())) for role, traffic in after.items()}
+def _traffic_since(
+    after: dict[str, TrafficCounts], before: dict[str, TrafficCounts]
+) -> dict[str, TrafficCounts]:
+    return {
+        role: counts_between(traffic, before.get(role, TrafficCounts())) for role, traffic in after.items()
+    }
 
 
 def _sidecar_role(
-    before: Look, after: Look, role: str, traffic_by_service: dict[str, Told], records: int
+    before: Measurement,
+    after: Measurement,
+    role: str,
+    traffic_by_service: dict[str, TrafficCounts],
+    records: int,
 ) -> Role:
     """Build the role of the hollow or real sidecars from their traffic with each service."""
-    total = together(list(traffic_by_service.values()))
+    total = sum_counts(list(traffic_by_service.values()))
     built = _build_role(before, after, role, total, records, False, total.open)
-    main_traffic = traffic_by_service.get(MAIN, Told())
+    main_traffic = traffic_by_service.get(MAIN, TrafficCounts())
     main_bytes = main_traffic.bytes_in + main_traffic.bytes_out
     return structs.replace(
         built, main_bytes=main_bytes, follower_bytes=total.bytes_in + total.bytes_out - main_bytes
@@ -122,7 +130,13 @@
 
 
 def _build_role(
-    before: Look, after: Look, role: str, traffic: Told, records: int, serves: bool, connections: int
+    before: Measurement,
+    after: Measurement,
+    role: str,
+    traffic: TrafficCounts,
+    records: int,
+    serves: bool,
+    connections: int,
 ) -> Role:
     cpu_s, memory_mb = after.costs[role]
     if before.pids.get(role) == after.pids[role]:  # otherwise it was restarted in between
@@ -143,16 +157,16 @@
         answers=calls_by_kind.get("list", 0),
         entries=traffic.entries,
         renewals=calls_by_kind.get("renew", 0),
-        peak_per_100ms=peak(traffic.buckets),
+        peak_per_100ms=peak_calls(traffic.buckets),
     )
 
 
-def build_phase(name: str, before: Look, after: Look) -> Phase:
+def build_phase(name: str, before: Measurement, after: Measurement) -> Phase:
     """Build a phase from the measurements at its start and end."""
     services = _traffic_since(after.services, before.services)
     roles = {}
     for role, status in after.statuses.items():
-        traffic = services.get(role, Told())
+        traffic = services.get(role, TrafficCounts())
         roles[role] = _build_role(before, after, role, traffic, status.records, True, status.callers)
     hollow_traffic, real_traffic = (
         _traffic_since(after.hollow, before.hollow),
@@ -161,10 +175,10 @@
     roles[HOLLOW] = _sidecar_role(before, after, HOLLOW, hollow_traffic, after.registered)
     if REAL in after.costs:
         roles[REAL] = _sidecar_role(before, after, REAL, real_traffic, len(after.pids[REAL]))
-    roles[RUN] = _build_role(before, after, RUN, since(after.own, before.own), 0, False, 0)
-    main_traffic = services.get(MAIN, Told())
+    roles[RUN] = _build_role(before, after, RUN, counts_between(after.own, before.own), 0, False, 0)
+    main_traffic = services.get(MAIN, TrafficCounts())
     follower_traffic = [traffic for role, traffic in services.items() if role != MAIN]
-    feed = since(after.feed, before.feed)
+    feed = counts_between(after.feed, before.feed)
     return Phase(
         name=name,
         seconds=round(after.at_s - before.at_s, 3),
--- a/eiderhub/scale/path.py
+++ b/eiderhub/scale/path.py
@@ -23,14 +23,20 @@
 import numpy as np
 
 from eiderhub.address import Address
-from eiderhub.emulator.asking import Asking, end_of, render
+from eiderhub.emulator.asking import OutgoingRequest, classify_status, render_request
 from eiderhub.emulator.clock import Clock
-from eiderhub.emulator.load import Pattern, loopback, schedule
-from eiderhub.emulator.processes import Process, Usage, claim, environment, new_folder
+from eiderhub.emulator.load import Pattern, require_loopback, schedule
+from eiderhub.emulator.processes import (
+    Process,
+    Usage,
+    child_environment,
+    create_temporary_folder,
+    reserve_port,
+)
 from eiderhub.http1 import ConnectionPool, NoReplyError, Reply, fetch
 from eiderhub.interface import Effect
 from eiderhub.scale.alarms import NS_PER_S, PreciseTimers
-from eiderhub.scale.backends import EndpointCounts, Places, full_list
+from eiderhub.scale.backends import EndpointCounts, ListenAddresses, full_list
 from eiderhub.world.clients import End
 
 REQUEST_CLASS = "look"
@@ -153,7 +159,7 @@
     """Connection pools and call outcomes of one leg."""
 
     def __init__(self, targets: Sequence[tuple[str, int]]) -> None:
-        self.pools = [ConnectionPool(loopback(host), port) for host, port in targets]
+        self.pools = [ConnectionPool(require_loopback(host), port) for host, port in targets]
         self.request_count = 0
         self.outcomes: Counter[End] = Counter()
         self.latencies_ns: list[int] = []
@@ -172,7 +178,7 @@
         self.latencies_ns = []
 
 
-class _Call(Asking):
+class _Call(OutgoingRequest):
     """One call; counts its outcome in its leg."""
 
     def __init__(self, callers: Callers, leg: _LegCalls, number: int, due_ns: int) -> None:
@@ -180,16 +186,16 @@
         self._leg = leg
         self._due_ns = due_ns
         name = f"{callers.run_id:08x}{number:08x}"
-        data = render(name, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
+        data = render_request(name, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
         super().__init__(callers.clock, leg.next_pool(), data, callers.clock.now_us() + DEADLINE_MS * 1000)
 
-    def meaning(self, reply: Reply) -> End:
-        return end_of(reply.status)
+    def classify_reply(self, reply: Reply) -> End:
+        return classify_status(reply.status)
 
-    def crossed(self, first: bool) -> bool:
+    def should_resend(self, first: bool) -> bool:
         return not first  # a reused connection may have been closed before it read the request
 
-    def ended(self, end: End, reply: Reply | None) -> None:
+    def on_finished(self, end: End, reply: Reply | None) -> None:
         if end is End.SERVED:
             self._leg.latencies_ns.append(time.monotonic_ns() - self._due_ns)
         self._leg.outcomes[end] += 1
@@ -333,7 +339,9 @@
     path.write_bytes(msgspec.json.encode(document))
     temporary = folder / "tmp"
     temporary.mkdir(exist_ok=True)
-    sidecar_environment = {key: value for key, value in environment().items() if not key.startswith("GW_")}
+    sidecar_environment = {
+        key: value for key, value in child_environment().items() if not key.startswith("GW_")
+    }
     sidecar_environment |= {"GW_CONFIG": str(path), "TMPDIR": str(temporary)}
     if root is not None:
         sidecar_environment["PYTHONPATH"] = str(root)
@@ -345,7 +353,7 @@
     )
 
 
-async def start_backends(folder: Path, name: str, *arguments: str) -> tuple[Process, Places]:
+async def start_backends(folder: Path, name: str, *arguments: str) -> tuple[Process, ListenAddresses]:
     """Starts a process of eiderhub.scale.backends and waits until it listens.
 
     `arguments` are those of the module without FILE.
@@ -356,14 +364,16 @@
     file = folder / f"{name}.places"
     command = [sys.executable, "-B", "-m", "eiderhub.scale.backends", arguments[0], str(file), *arguments[1:]]
     log = folder / f"{name}.log"
-    process = Process(name, command, environment(), log, DESCRIPTOR_LIMIT, None, Usage(), lambda *_: None)
+    process = Process(
+        name, command, child_environment(), log, DESCRIPTOR_LIMIT, None, Usage(), lambda *_: None
+    )
     started_s = time.monotonic()
     while not file.exists():
-        if process.ended.is_set() or time.monotonic() - started_s > READY_TIMEOUT_S:
+        if process.exited.is_set() or time.monotonic() - started_s > READY_TIMEOUT_S:
             await stop_processes([process])
-            raise PathError("\n".join([f"{name} did not start to listen", *process.tail()]))
+            raise PathError("\n".join([f"{name} did not start to listen", *process.read_log_tail()]))
         await asyncio.sleep(0.01)
-    return process, msgspec.json.decode(file.read_bytes(), type=Places)
+    return process, msgspec.json.decode(file.read_bytes(), type=ListenAddresses)
 
 
 async def stop_processes(processes: Sequence[Process]) -> None:
@@ -373,10 +383,10 @@
     for process in processes:
         try:
             async with asyncio.timeout(TERMINATE_TIMEOUT_S):
-                await process.ended.wait()
+                await process.exited.wait()
         except TimeoutError:
             process.kill()
-            await process.ended.wait()
+            await process.exited.wait()
 
 
 @contextlib.contextmanager
@@ -420,8 +430,8 @@
         Raises:
             PathError: a process did not start, or has ended.
         """
-        self._folder = new_folder()
-        reserved_socket = claim("127.0.0.1")
+        self._folder = create_temporary_folder()
+        reserved_socket = reserve_port("127.0.0.1")
         callers: Callers | None = None
         try:
             report_progress(0.0, "starting")
@@ -517,12 +527,12 @@
 
     # --- processes ---
 
-    async def _start_backends(self, name: str, *arguments: str) -> Places:
+    async def _start_backends(self, name: str, *arguments: str) -> ListenAddresses:
         process, addresses = await start_backends(self._folder, name, *arguments)
         self._processes.append(process)
         return addresses
 
-    async def _start_sidecar(self, address: Address, backends: Places) -> Process:
+    async def _start_sidecar(self, address: Address, backends: ListenAddresses) -> Process:
         assert backends.discovery is not None
         process = start_sidecar(
             self._folder, address, backends.discovery, backends.sets[0], self._seed, self._sidecar_root
@@ -534,7 +544,9 @@
                 for number in range(1_000_000):
                     self._check_process(process)
                     name = f"{number:016x}"
-                    request = render(name, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
+                    request = render_request(
+                        name, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b""
+                    )
                     with contextlib.suppress(NoReplyError):
                         if (await fetch(pool, request, 1.0)).status == 200:
                             return process
@@ -544,12 +556,14 @@
         finally:
             pool.close()
         raise PathError(
-            "\n".join([f"the sidecar served no request within {READY_TIMEOUT_S:g} s", *process.tail()])
+            "\n".join(
+                [f"the sidecar served no request within {READY_TIMEOUT_S:g} s", *process.read_log_tail()]
+            )
         )
 
     def _check_process(self, process: Process) -> None:
-        if process.ended.is_set():
-            raise PathError("\n".join([f"{process.name} has ended", *process.tail()]))
+        if process.exited.is_set():
+            raise PathError("\n".join([f"{process.name} has ended", *process.read_log_tail()]))
 
     def _check_processes(self) -> None:
         for process in self._processes:
--- a/eiderhub/scale/plan.py
+++ b/eiderhub/scale/plan.py
@@ -52,7 +52,7 @@
     followers: int | None = None  # instead of one for each region
 
 
-class Seat(Struct, frozen=True):
+class SidecarSpec(Struct, frozen=True):
     """Specification of one sidecar: the record that it registers and the list that it follows."""
 
     id: str
@@ -68,7 +68,7 @@
 class Plan(Struct, frozen=True, kw_only=True):
     """Complete plan of a run."""
 
-    seats: list[Seat]  # all sidecars, hollow and real
+    seats: list[SidecarSpec]  # all sidecars, hollow and real
     sizes: dict[str, int]  # endpoints by service, the largest first
     regions: dict[str, list[str]]  # zones by region
     followers: list[str]  # regions that have a follower of their own
@@ -79,12 +79,12 @@
     changes_per_s: float = CHANGES_PER_S
 
     @property
-    def hollow(self) -> list[Seat]:
+    def hollow(self) -> list[SidecarSpec]:
         """The hollow sidecars."""
         return [spec for spec in self.seats if not spec.real]
 
     @property
-    def real(self) -> list[Seat]:
+    def real(self) -> list[SidecarSpec]:
         """The real sidecars."""
         return [spec for spec in self.seats if spec.real]
 
@@ -171,7 +171,7 @@
         rank = ranks[follows] = ranks.get(follows, -1) + 1
         zone = zones[index % len(zones)]
         seats.append(
-            Seat(
+            SidecarSpec(
                 f"e{index}",
                 service,
                 zone,
--- a/eiderhub/scale/registry_bench.py
+++ b/eiderhub/scale/registry_bench.py
@@ -14,7 +14,7 @@
 import msgspec
 import numpy as np
 
-from eiderhub.emulator.processes import Process, new_folder
+from eiderhub.emulator.processes import Process, create_temporary_folder
 from eiderhub.http1 import NoReplyError
 from eiderhub.interface import Readiness
 from eiderhub.registry import api
@@ -23,7 +23,7 @@
 from eiderhub.registry.records import Branch, Entry, Opened, Put, Record
 from eiderhub.registry.settings import FollowSettings
 from eiderhub.registry.store import Folder, Store
-from eiderhub.scale.counts import cost
+from eiderhub.scale.counts import process_usage
 from eiderhub.scale.services import READY_TIMEOUT_S, ListService, spawn
 from eiderhub.scale.watchers import WATCH_WAIT_MS, History, WatchClient, fetch_first_lists
 
@@ -80,7 +80,7 @@
 
     async def run(self, report_progress: ReportProgress) -> Figures:
         """Run all measurements. Always ends its processes and removes its files."""
-        folder = new_folder()
+        folder = create_temporary_folder()
         self._folder = folder
         limits = {
             "callers": 2 * self._watcher_count + 100,
@@ -109,7 +109,7 @@
                 watcher.client.close()
             for process in self._watcher_processes:
                 process.kill()
-                await process.ended.wait()
+                await process.exited.wait()
             await self._service.stop()
             self._service.close()
             shutil.rmtree(folder, ignore_errors=True)
@@ -192,8 +192,8 @@
         """Wait until every watcher has a watch open at the service."""
         while (await self._status()).watches < self._watcher_count:
             for process in self._watcher_processes:
-                if process.ended.is_set():
-                    raise RuntimeError(f"{process.name} has ended: {process.tail()}")
+                if process.exited.is_set():
+                    raise RuntimeError(f"{process.name} has ended: {process.read_log_tail()}")
             await asyncio.sleep(0.05)
 
     async def _collect_histories(self, version: int) -> list[History]:
@@ -204,7 +204,7 @@
             process.terminate()
         histories = []
         for number, process in enumerate(self._watcher_processes):
-            await process.ended.wait()
+            await process.exited.wait()
             histories.append(msgspec.json.decode(self._watcher_file(number).read_bytes(), type=History))
         behind = sum(
             versions[-1][1] < version if versions else True
@@ -219,7 +219,7 @@
         """Write changes at a steady rate, and measure the delay until the last watcher has received each."""
         await self._start_watchers()
         acknowledged: list[tuple[int, float]] = []  # version, time
-        cpu_before_s = cost(self._service.running_process.pid)[0]
+        cpu_before_s = process_usage(self._service.running_process.pid)[0]
         started_s = time.monotonic()
         toggle_counts: dict[int, int] = {}
         change_count = int(self._changes_per_s * self._seconds)
@@ -242,9 +242,9 @@
         await asyncio.gather(*pending)
         elapsed_s = time.monotonic() - started_s
         self.figures.service_cpu_share = round(
-            (cost(self._service.running_process.pid)[0] - cpu_before_s) / elapsed_s, 3
+            (process_usage(self._service.running_process.pid)[0] - cpu_before_s) / elapsed_s, 3
         )
-        self.figures.service_memory_mb = round(cost(self._service.running_process.pid)[1], 1)
+        self.figures.service_memory_mb = round(process_usage(self._service.running_process.pid)[1], 1)
         histories = await self._collect_histories(max(version for version, _ in acknowledged))
         received = [watcher for history in histories for watcher in history.told]
         answers = sum(
--- a/eiderhub/scale/run.py
+++ b/eiderhub/scale/run.py
@@ -13,11 +13,11 @@
 from eiderhub.emulator.processes import cancel_on_signals
 from eiderhub.registry.client import fetch_list
 from eiderhub.registry.settings import FollowSettings
-from eiderhub.scale.changes import Writer, settled, spread
-from eiderhub.scale.counts import machine
-from eiderhub.scale.faults import COURSES, RETURN_S, Course, cut_region, told
-from eiderhub.scale.hollow import CompareRequest, CompareResponse, Nothing, list_digest
-from eiderhub.scale.looks import Look, build_phase, measure_run
+from eiderhub.scale.changes import Writer, delay_percentiles, propagation_delays
+from eiderhub.scale.counts import machine_description
+from eiderhub.scale.faults import FAULTS, RECOVERY_TIMEOUT_S, FaultRun, cut_region, fault_result
+from eiderhub.scale.hollow import CompareRequest, CompareResponse, Empty, list_digest
+from eiderhub.scale.looks import Measurement, build_phase, measure_run
 from eiderhub.scale.path import PathFigures, measure
 from eiderhub.scale.plan import MachineCapacity, Plan
 from eiderhub.scale.result import Added, Fault, Phase, Result, Settings
@@ -36,7 +36,7 @@
 def machine_capacity() -> MachineCapacity:
     """Determine the capacity of this machine."""
     low, high = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
-    return MachineCapacity(machine().memory_mb, max_descriptors(), int(high) - int(low) + 1)
+    return MachineCapacity(machine_description().memory_mb, max_descriptors(), int(high) - int(low) + 1)
 
 
 class Run:
@@ -91,14 +91,14 @@
             report_progress(0.5, "changes")
             await self._changes(before)
             agreed = (await self.wait_until_agreed(AGREEMENT_TIMEOUT_S))[0]
-            if self._fault_name in COURSES:
+            if self._fault_name in FAULTS:
                 report_progress(0.6, self._fault_name)
                 agreed = await self._run_fault()
             last = await measure_run(self.topology)
             report_progress(1.0, "done")
             return self._build_result(fleet, revision, agreed, last)
 
-    async def _record_phase(self, name: str, before: Look) -> Look:
+    async def _record_phase(self, name: str, before: Measurement) -> Measurement:
         after = await measure_run(self.topology)
         self.phases.append(build_phase(name, before, after))
         return await measure_run(self.topology)  # the cost of measuring belongs to no phase
@@ -107,7 +107,7 @@
         end_s = time.monotonic() + seconds
         while (remaining_s := end_s - time.monotonic()) > 0:
             await asyncio.sleep(min(CHECK_INTERVAL_S, remaining_s))
-            self.topology.check()
+            self.topology.check_processes()
 
     async def _fill(self) -> None:
         """Register all sidecars, then start all watches.
@@ -117,29 +117,29 @@
         started_s = time.monotonic()
         topology = self.topology
         async with asyncio.timeout(FILL_TIMEOUT_S):
-            await topology.each("/register", Nothing(), Nothing)
-            for real in topology.reals:
+            await topology.call_each("/register", Empty(), Empty)
+            for real in topology.real_sidecars:
                 await topology.start_real(real)
             while True:
                 statuses = await topology.statuses()
                 all_registered = statuses["main"].records == len(self.plan.seats)
                 if all_registered and len({status.version for status in statuses.values()}) == 1:
                     break
-                topology.check()
+                topology.check_processes()
                 await asyncio.sleep(0.05)
-            await topology.each("/follow", Nothing(), Nothing)
-            while not all(real.in_force for real in topology.reals):
-                topology.check()
+            await topology.call_each("/follow", Empty(), Empty)
+            while not all(real.adoptions for real in topology.real_sidecars):
+                topology.check_processes()
                 await asyncio.sleep(0.05)
         self.fill_s = round(time.monotonic() - started_s, 2)
 
-    async def _changes(self, before: Look) -> None:
+    async def _changes(self, before: Measurement) -> None:
         """Write changes, with calls through real sidecars meanwhile, and measure when they are in force."""
         writer = Writer(self.topology.main.address, self.plan.hollow, self.seed)
         writing = asyncio.create_task(writer.write(self.plan.changes_per_s, self.seconds))
         try:
-            if self.topology.reals:
-                called_sidecars = self.topology.reals[:MAX_CALLED_SIDECARS]
+            if self.topology.real_sidecars:
+                called_sidecars = self.topology.real_sidecars[:MAX_CALLED_SIDECARS]
                 self._path_figures = await measure(
                     [real.listen for real in called_sidecars],
                     [real.endpoint for real in called_sidecars],
@@ -154,29 +154,31 @@
             writer.close()
         await self._record_phase("changes", before)
         await self.wait_until_agreed(AGREEMENT_TIMEOUT_S)
-        delays, missing = await settled(self.topology, writer.written.made)
+        delays, missing = await propagation_delays(self.topology, writer.results.acknowledged)
         self.missing_pairs += missing
         phase = self.phases.pop()
-        self.phases.append(structs.replace(phase, in_force_ms=spread(delays), in_force_pairs=len(delays)))
+        self.phases.append(
+            structs.replace(phase, in_force_ms=delay_percentiles(delays), in_force_pairs=len(delays))
+        )
 
     async def _run_fault(self) -> bool:
         """Run the fault and the recovery from it. Returns whether all lists agree at the end."""
         before = await measure_run(self.topology)
-        course = Course(self.topology, self.plan, self._fault_s, self.seed)
-        watching = asyncio.create_task(course.watch_records())
+        course = FaultRun(self.topology, self.plan, self._fault_s, self.seed)
+        watching = asyncio.create_task(course.poll_records())
         try:
-            await COURSES[self._fault_name](course)
+            await FAULTS[self._fault_name](course)
             record_count = len(self.plan.seats)
-            records_complete = await course.records_are(record_count, RETURN_S)
-            agreed, last_s = await self.wait_until_agreed(RETURN_S)
+            records_complete = await course.wait_for_records(record_count, RECOVERY_TIMEOUT_S)
+            agreed, last_s = await self.wait_until_agreed(RECOVERY_TIMEOUT_S)
             # A record may be dropped again while the lists are compared.
-            agreed = agreed and records_complete and await course.records_are(record_count, 0.0)
+            agreed = agreed and records_complete and await course.wait_for_records(record_count, 0.0)
         finally:
             watching.cancel()
             course.close()
         after = await measure_run(self.topology)
         self.phases.append(build_phase(self._fault_name, before, after))
-        self._fault = told(self._fault_name, course, before, after, agreed, last_s)
+        self._fault = fault_result(self._fault_name, course, before, after, agreed, last_s)
         return agreed
 
     async def wait_until_agreed(self, wait_s: float) -> tuple[bool, float]:
@@ -187,7 +189,7 @@
         deadline_s = time.monotonic() + wait_s
         while True:
             digests = await self._fetch_main_digests()
-            responses = await self.topology.each("/compare", CompareRequest(digests), CompareResponse)
+            responses = await self.topology.call_each("/compare", CompareRequest(digests), CompareResponse)
             last_change_s = max(response.last_change_s for response in responses)
             if not sum(response.differ for response in responses):
                 return True, last_change_s
@@ -203,7 +205,9 @@
             digests[service] = list_digest({entry.instance_id: entry for entry in reply.list_answer.entries})
         return digests
 
-    def _build_result(self, fleet: str, revision: str, agreed: bool, final_measurement: Look) -> Result:
+    def _build_result(
+        self, fleet: str, revision: str, agreed: bool, final_measurement: Measurement
+    ) -> Result:
         plan = self.plan
         late_ms = max(phase.late_ms for phase in self.phases if phase.name != FILL)
         doubts = []
@@ -217,7 +221,7 @@
             doubts.append("at the end not all sidecars had the same lists")
         return Result(
             revision=revision,
-            machine=machine(),
+            machine=machine_description(),
             settings=Settings(
                 fleet=fleet,
                 hollow=len(plan.hollow),
@@ -244,7 +248,7 @@
             agreed=agreed,
             fault=self._fault,
             added=self._added_latency(),
-            odd=final_measurement.said,
+            odd=final_measurement.warnings,
             in_doubt=doubts,
         )
 
--- a/eiderhub/scale/services.py
+++ b/eiderhub/scale/services.py
@@ -13,7 +13,7 @@
 import tomli_w
 
 from eiderhub.address import Address
-from eiderhub.emulator.processes import Process, Usage, claim, environment
+from eiderhub.emulator.processes import Process, Usage, child_environment, reserve_port
 from eiderhub.http1 import NoReplyError
 from eiderhub.registry import api
 from eiderhub.registry.client import RegistryClient, RequestRefusedError, decode_reply
@@ -32,14 +32,14 @@
     """A process that the run needs has ended. The message has the last line of its log."""
 
     def __init__(self, process: Process) -> None:
-        tail = process.tail()
+        tail = process.read_log_tail()
         super().__init__(f"{process.name} has ended: {tail[-1] if tail else 'its log is empty'}")
 
 
 def spawn(name: str, command: list[str], folder: Path, extra: dict[str, str] | None = None) -> Process:
     """Start a process of the run, with its log in `folder`. `extra`: additional environment variables."""
     log = folder / f"{name}.log"
-    environ = environment() | (extra or {})
+    environ = child_environment() | (extra or {})
     return Process(name, command, environ, log, max_descriptors(), None, Usage(), lambda *_: None)
 
 
@@ -49,7 +49,7 @@
     def __init__(self, name: str, folder: Path, settings: dict[str, Any]) -> None:
         """`settings`: its configuration without `listen`. Without `follow` it is a main service."""
         self.name = name
-        self._reserved_socket = claim(HOST)
+        self._reserved_socket = reserve_port(HOST)
         self.address = Address(*self._reserved_socket.getsockname())
         self.client = RegistryClient(self.address)
         self.process: Process | None = None
@@ -81,7 +81,7 @@
                         return time.monotonic() - started_s
                 except (NoReplyError, RequestRefusedError):
                     pass
-                if process.ended.is_set():
+                if process.exited.is_set():
                     raise ProcessEndedError(process)
                 await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -100,7 +100,7 @@
         """Kill the process; it may be started again."""
         if self.process is not None:
             self.process.kill()
-            await self.process.ended.wait()
+            await self.process.exited.wait()
 
     def close(self) -> None:
         """Close the client and release the address."""
@@ -115,8 +115,8 @@
         process.terminate()
     try:
         async with asyncio.timeout(wait_s):
-            await asyncio.gather(*(process.ended.wait() for process in processes))
+            await asyncio.gather(*(process.exited.wait() for process in processes))
     except TimeoutError:
         for process in processes:
             process.kill()
-        await asyncio.gather(*(process.ended.wait() for process in processes))
+        await asyncio.gather(*(process.exited.wait() for process in processes))
--- a/eiderhub/scale/topology.py
+++ b/eiderhub/scale/topology.py
@@ -16,17 +16,23 @@
 
 from eiderhub.address import Address
 from eiderhub.documents import convert, to_human_format
-from eiderhub.emulator.processes import Process, claim, new_folder
-from eiderhub.emulator.wires import How, Wire
+from eiderhub.emulator.processes import Process, create_temporary_folder, reserve_port
+from eiderhub.emulator.wires import FaultProxy, ProxyMode
 from eiderhub.http1 import NoReplyError
 from eiderhub.registry import api
 from eiderhub.registry.client import RegistryClient
 from eiderhub.registry.settings import FollowSettings, RegisterSettings
-from eiderhub.scale.backends import Places
-from eiderhub.scale.counts import Tally, Told, cost, counting, together
-from eiderhub.scale.hollow import Nothing, ProcessConfig, Snapshot
+from eiderhub.scale.backends import ListenAddresses
+from eiderhub.scale.counts import (
+    TrafficCounter,
+    TrafficCounts,
+    process_usage,
+    running_counting_loop,
+    sum_counts,
+)
+from eiderhub.scale.hollow import Empty, ProcessConfig, Snapshot
 from eiderhub.scale.path import sidecar_settings
-from eiderhub.scale.plan import Plan, Seat
+from eiderhub.scale.plan import Plan, SidecarSpec
 from eiderhub.scale.services import (
     HOST,
     READY_TIMEOUT_S,
@@ -51,7 +57,7 @@
 
     def cost(self) -> tuple[float, float]:
         """Return the processor seconds and the resident MB of those that are running."""
-        costs = [cost(process.pid) for process in self.processes if not process.ended.is_set()]
+        costs = [process_usage(process.pid) for process in self.processes if not process.exited.is_set()]
         return sum(cpu_s for cpu_s, _ in costs), sum(memory_mb for _, memory_mb in costs)
 
 
@@ -81,7 +87,7 @@
             Ended: the process has ended.
         """
         response = asyncio.ensure_future(self.client.post(path, request, response_type, wait_s))
-        process_end = asyncio.ensure_future(self.process.ended.wait())
+        process_end = asyncio.ensure_future(self.process.exited.wait())
         try:
             await asyncio.wait([response, process_end], return_when=asyncio.FIRST_COMPLETED)
             if not response.done():
@@ -100,13 +106,13 @@
 class RealSidecar:
     """One real sidecar. Its traffic with the list service goes over wires, where it is counted."""
 
-    def __init__(self, spec: Seat, endpoint: Address) -> None:
-        self.seat = spec
+    def __init__(self, spec: SidecarSpec, endpoint: Address) -> None:
+        self.spec = spec
         self.endpoint = endpoint
-        self.tallies: dict[str, Tally] = {}  # by the target's name
-        self.in_force: list[tuple[float, int]] = []  # time, version that the next watch names
-        self.wires: dict[str, Wire] = {}  # by the target's name
-        self.reserved_sockets = [claim(HOST), claim(HOST)]
+        self.tallies: dict[str, TrafficCounter] = {}  # by the target's name
+        self.adoptions: list[tuple[float, int]] = []  # time, version that the next watch names
+        self.wires: dict[str, FaultProxy] = {}  # by the target's name
+        self.reserved_sockets = [reserve_port(HOST), reserve_port(HOST)]
         self.listen, self.management = (
             Address(*reserved_socket.getsockname()) for reserved_socket in self.reserved_sockets
         )
@@ -115,24 +121,24 @@
 
     async def open_wire(self, name: str, target: Address) -> None:
         """Open the wire to a service; `name` is `main` or the follower's region."""
-        tally = self.tallies[name] = Tally()
+        tally = self.tallies[name] = TrafficCounter()
 
         def watch(link: object, outgoing: bool, data: bytes) -> None:
             if outgoing:
-                tally.went(data)
+                tally.count_sent(data)
                 if match := AFTER_PATTERN.match(data):
-                    self.in_force.append((time.monotonic(), int(match[1])))
+                    self.adoptions.append((time.monotonic(), int(match[1])))
             else:
                 key = (link, name)
-                self._answer_tails[key] = tally.came(data, self._answer_tails.get(key, b""))
+                self._answer_tails[key] = tally.count_received(data, self._answer_tails.get(key, b""))
 
-        self.wires[name] = Wire(HOST, lambda: target, watch)
+        self.wires[name] = FaultProxy(HOST, lambda: target, watch)
         await self.wires[name].open()
 
-    def read_traffic(self) -> dict[str, Told]:
+    def read_traffic(self) -> dict[str, TrafficCounts]:
         """Return the sidecar's traffic by the role of the service, and reset the buckets."""
         traffic_by_target = {
-            name: msgspec.structs.replace(tally.told(), open=len(self.wires[name].links))
+            name: msgspec.structs.replace(tally.take_counts(), open=len(self.wires[name].connections))
             for name, tally in self.tallies.items()
         }
         return {
@@ -154,12 +160,12 @@
     def __init__(self, plan: Plan, seed: int) -> None:
         self.plan = plan
         self._seed = seed
-        self.folder = new_folder()
+        self.folder = create_temporary_folder()
         self.followers: dict[str, ListService] = {}
         self.hollow_processes: list[HollowProcess] = []
-        self.reals: list[RealSidecar] = []
+        self.real_sidecars: list[RealSidecar] = []
         # `feed REGION`; also `in` and `out NAME` for a region that may be cut off.
-        self.wires: dict[str, Wire] = {}
+        self.wires: dict[str, FaultProxy] = {}
         self._processes: list[Process] = []
         self._feed_bytes_out = self._feed_bytes_in = 0
 
@@ -168,7 +174,7 @@
 
     async def __aexit__(self, *_: object) -> None:
         # Clients first: they would otherwise call services that have ended.
-        real_processes = [real.process for real in self.reals if real.process is not None]
+        real_processes = [real.process for real in self.real_sidecars if real.process is not None]
         for process in [
             *real_processes,
             *(hollow.process for hollow in self.hollow_processes),
@@ -178,14 +184,14 @@
             *real_processes,
             *(hollow.process for hollow in self.hollow_processes),
         ]:
-            await process.ended.wait()
+            await process.exited.wait()
         service_processes = [service.process for service in self.services if service.process is not None]
         await end_processes([*service_processes, *self._processes])
         for wire in self.wires.values():
             wire.close()
         for hollow in self.hollow_processes:
             hollow.close()
-        for real in self.reals:
+        for real in self.real_sidecars:
             real.close()
         for service in self.services:
             service.close()
@@ -210,7 +216,7 @@
             await self._open_region_wires(cut)
         await self._start_hollow(cut)
         for number, spec in enumerate(self.plan.real):
-            self.reals.append(RealSidecar(spec, self.endpoints[1 + number]))
+            self.real_sidecars.append(RealSidecar(spec, self.endpoints[1 + number]))
 
     async def _start_services(self) -> None:
         sidecars = len(self.plan.seats)
@@ -223,7 +229,7 @@
         self.main = ListService("main", self.folder, {"limits": limits})
         await self.main.start()
         for region in self.plan.followers:
-            wire = self.wires[f"feed {region}"] = Wire(
+            wire = self.wires[f"feed {region}"] = FaultProxy(
                 HOST, lambda: self.main.address, self._count_feed_bytes
             )
             await wire.open()
@@ -250,10 +256,10 @@
         self._processes.append(process)
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not path.exists():
-                if process.ended.is_set():
+                if process.exited.is_set():
                     raise ProcessEndedError(process)
                 await asyncio.sleep(0.02)
-        self.endpoints = msgspec.json.decode(path.read_bytes(), type=Places).sets[0]
+        self.endpoints = msgspec.json.decode(path.read_bytes(), type=ListenAddresses).sets[0]
 
     async def _open_region_wires(self, region: str) -> None:
         """Open wires from the region's sidecars to services outside, and from outside to its follower."""
@@ -264,7 +270,7 @@
         await self._open_wire("in", self.followers[self._home_follower(region)])
 
     async def _open_wire(self, name: str, service: ListService) -> None:
-        wire = self.wires[name] = Wire(HOST, lambda: service.address)
+        wire = self.wires[name] = FaultProxy(HOST, lambda: service.address)
         await wire.open()
 
     def _home_follower(self, region: str) -> str:
@@ -287,7 +293,7 @@
         addresses = {region: self._addresses_from(region, cut) for region in self.plan.regions}
         hollow = self.plan.hollow
         for index in range(self.plan.processes):
-            reserved_socket = claim(HOST)
+            reserved_socket = reserve_port(HOST)
             config = ProcessConfig(
                 control=str(Address(*reserved_socket.getsockname())),
                 seats=hollow[index :: self.plan.processes],
@@ -309,17 +315,17 @@
 
     @staticmethod
     async def _is_listening(hollow_process: HollowProcess) -> bool:
-        if hollow_process.process.ended.is_set():
+        if hollow_process.process.exited.is_set():
             raise ProcessEndedError(hollow_process.process)
         try:
-            await hollow_process.call("/snapshot", Nothing(), Snapshot, 10.0)
+            await hollow_process.call("/snapshot", Empty(), Snapshot, 10.0)
         except NoReplyError:
             return False
         return True
 
     async def start_real(self, real: RealSidecar) -> None:
         """Write the configuration of a real sidecar and start it."""
-        spec = real.seat
+        spec = real.spec
         await real.open_wire("main", self.main.address)
         followers = self.plan.followers_of(spec.region)
         for name in followers:
@@ -368,7 +374,7 @@
 
     # --- calls and measurements ---
 
-    async def each(self, path: str, request: msgspec.Struct, response_type: type[T]) -> list[T]:
+    async def call_each(self, path: str, request: msgspec.Struct, response_type: type[T]) -> list[T]:
         """Send the same request to all hollow processes. Raises like `HollowProcess.call`."""
         return list(
             await asyncio.gather(
@@ -383,7 +389,7 @@
             service.name: RoleProcesses([service.running_process]) for service in self.followers.values()
         }
         by_role["hollow"] = RoleProcesses([hollow.process for hollow in self.hollow_processes])
-        real_processes = [real.process for real in self.reals if real.process is not None]
+        real_processes = [real.process for real in self.real_sidecars if real.process is not None]
         if real_processes:
             by_role["real"] = RoleProcesses(real_processes)
         return by_role
@@ -400,7 +406,7 @@
         wired = {str(wire.address): direct[str(wire.target())] for wire in self.wires.values()}
         return direct, direct | wired
 
-    def check(self) -> None:
+    def check_processes(self) -> None:
         """Raise Ended if a process has ended that should be running."""
         processes = [
             process
@@ -408,35 +414,35 @@
             for process in role_processes.processes
         ]
         for process in [*processes, *self._processes]:
-            if process.ended.is_set() and not process.stop_requested:
+            if process.exited.is_set() and not process.stop_requested:
                 raise ProcessEndedError(process)
 
-    async def turn(self, region: str, state: How) -> None:
+    async def set_region_wires(self, region: str, state: ProxyMode) -> None:
         """Set the state of all wires between the region and the others."""
         feed_wires = [f"feed {name}" for name in [self._home_follower(region)]]
         for name, wire in self.wires.items():
             if name in feed_wires or not name.startswith("feed "):
                 await wire.set_mode(state)
-        for real in self.reals:
+        for real in self.real_sidecars:
             for name, wire in real.wires.items():
                 from_region, to_home_follower = (
-                    real.seat.region == region,
+                    real.spec.region == region,
                     name == self._home_follower(region),
                 )
                 if from_region != to_home_follower:
                     await wire.set_mode(state)
 
 
-def read_own_traffic() -> dict[str, Told]:
+def read_own_traffic() -> dict[str, TrafficCounts]:
     """Return the traffic of this process by address: its own calls, and those relayed by its wires."""
-    return counting().told()
+    return running_counting_loop().take_counts()
 
 
-def sum_by_role(traffic: list[dict[str, Told]], roles: dict[str, str]) -> dict[str, Told]:
+def sum_by_role(traffic: list[dict[str, TrafficCounts]], roles: dict[str, str]) -> dict[str, TrafficCounts]:
     """Sum traffic by the role of its address. Addresses without a role are left out."""
-    by_role: dict[str, list[Told]] = {}
+    by_role: dict[str, list[TrafficCounts]] = {}
     for by_address in traffic:
         for address, address_traffic in by_address.items():
             if address in roles:
                 by_role.setdefault(roles[address], []).append(address_traffic)
-    return {role: together(role_traffic) for role, role_traffic in by_role.items()}
+    return {role: sum_counts(role_traffic) for role, role_traffic in by_role.items()}
--- a/tests/registry_support.py
+++ b/tests/registry_support.py
@@ -13,8 +13,8 @@
 import tomli_w
 
 from eiderhub.address import Address
-from eiderhub.emulator.processes import Process, Usage, claim, environment
-from eiderhub.emulator.wires import Wire
+from eiderhub.emulator.processes import Process, Usage, child_environment, reserve_port
+from eiderhub.emulator.wires import FaultProxy
 from eiderhub.http1 import NoReplyError
 from eiderhub.registry import api
 from eiderhub.registry.adoption import AdoptionResult
@@ -54,7 +54,7 @@
         self.folder = folder / name
         self.folder.mkdir()
         self.name = name
-        self._reserved_port = claim("127.0.0.1")
+        self._reserved_port = reserve_port("127.0.0.1")
         self.address = Address(*self._reserved_port.getsockname())
         self.client = RegistryClient(self.address)
         self.process: Process | None = None
@@ -77,7 +77,7 @@
             str(self.config),
         ]
         log = self.folder / "log"
-        return Process(self.name, command, environment(), log, 4096, None, Usage(), self._ended)
+        return Process(self.name, command, child_environment(), log, 4096, None, Usage(), self._ended)
 
     def _ended(self, process: Process, status: int) -> None:
         self.exit_status = status
@@ -102,7 +102,7 @@
     async def kill(self) -> None:
         if self.process is not None:
             self.process.kill()
-            await self.process.ended.wait()
+            await self.process.exited.wait()
 
     async def put(self, record: Record, **condition: int) -> int:
         call = api.PutRequest(record=record, **condition)
@@ -133,7 +133,7 @@
     def __init__(self) -> None:
         self.folder = Path(tempfile.mkdtemp(prefix="registry-test-"))
         self.nodes: list[RegistryNode] = []
-        self.proxies: list[Wire] = []
+        self.proxies: list[FaultProxy] = []
         self.watchers: list[Watcher] = []
 
     async def __aenter__(self) -> Fleet:
@@ -153,8 +153,8 @@
         self.nodes.append(RegistryNode(self.folder, name, follow, **limits))
         return await self.nodes[-1].start()
 
-    async def add_proxy(self, node: RegistryNode) -> Wire:
-        proxy = Wire("127.0.0.1", lambda: node.address)
+    async def add_proxy(self, node: RegistryNode) -> FaultProxy:
+        proxy = FaultProxy("127.0.0.1", lambda: node.address)
         self.proxies.append(proxy)
         await proxy.open()
         return proxy
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -23,7 +23,7 @@
 from eiderhub.cli import costs
 from eiderhub.cli.bench import command as bench
 from eiderhub.documents import DocumentError
-from eiderhub.emulator.processes import claim, new_folder
+from eiderhub.emulator.processes import create_temporary_folder, reserve_port
 from eiderhub.http1 import ConnectionPool, fetch
 from eiderhub.scale import backends, decisions, fit, path, result
 from eiderhub.scale.alarms import PreciseTimers
@@ -580,16 +580,16 @@
             opened
         )  # all connections are still open, and each was counted once
         assert counts_again.answered[0] == legs["direct"].sent + legs_again["direct"].sent
-        assert process.ended.is_set() and relay.ended.is_set()
+        assert process.exited.is_set() and relay.exited.is_set()
 
-    async def fetch_counts(addresses: backends.Places) -> backends.EndpointCounts:
+    async def fetch_counts(addresses: backends.ListenAddresses) -> backends.EndpointCounts:
         assert addresses.figures is not None
         pool = ConnectionPool(*addresses.figures)
         reply = await fetch(pool, b"GET / HTTP/1.1\r\nHost: figures\r\n\r\n", 10.0)
         pool.close()
         return msgspec.json.decode(reply.body, type=backends.EndpointCounts)
 
-    folder = new_folder()
+    folder = create_temporary_folder()
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(check(folder))
@@ -600,7 +600,7 @@
 def test_measure_separates_target_and_direct_calls_and_counts_failures() -> None:
     async def check(folder: Path) -> path.PathFigures:
         process, addresses = await path.start_backends(folder, "endpoints", "endpoints", "1", "2", "0")
-        reserved_socket = claim("127.0.0.1")  # bound, but not listening
+        reserved_socket = reserve_port("127.0.0.1")  # bound, but not listening
         try:
             async with asyncio.timeout(30):
                 return await path.measure([reserved_socket.getsockname()], addresses.sets[0], 50.0, 0.5, 1)
@@ -608,7 +608,7 @@
             reserved_socket.close()
             await path.stop_processes([process])
 
-    folder = new_folder()
+    folder = create_temporary_folder()
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             found = runner.run(check(folder))
@@ -677,7 +677,7 @@
     for _ in range(3):
         driver.run_second()
     assert driver.refused == 0
-    assert driver.attempts == 3 * decisions.INSTANTS_PER_S * decisions.CALLS
+    assert driver.attempts == 3 * decisions.INSTANTS_PER_S * decisions.CALLS_PER_INSTANT
     assert not driver.open_calls
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -27,12 +27,12 @@
     Pattern,
     RequestClass,
     RequestMix,
-    loopback,
     read_due_times,
+    require_loopback,
     schedule,
 )
-from eiderhub.emulator.processes import environment
-from eiderhub.emulator.wires import How, Wire
+from eiderhub.emulator.processes import child_environment
+from eiderhub.emulator.wires import FaultProxy, ProxyMode
 from eiderhub.interface import Effect
 from eiderhub.world.clients import End
 from eiderhub.world.day import draw_day
@@ -148,10 +148,10 @@
     assert not folder.exists()
 
 
-@given(st.lists(st.binary(max_size=5000), max_size=6), st.lists(st.sampled_from(list(How)), max_size=4))
+@given(st.lists(st.binary(max_size=5000), max_size=6), st.lists(st.sampled_from(list(ProxyMode)), max_size=4))
 @settings(max_examples=25)
 def test_wire_delivers_data_in_order_and_completely_once_reopened(
-    pieces: list[bytes], states: list[How]
+    pieces: list[bytes], states: list[ProxyMode]
 ) -> None:
     async def test() -> None:
         received = bytearray()
@@ -163,21 +163,21 @@
         loop = asyncio.get_running_loop()
         server = await loop.create_server(Sink, "127.0.0.1", 0)
         target = Address(*server.sockets[0].getsockname())
-        wire = Wire("127.0.0.1", lambda: target)
+        wire = FaultProxy("127.0.0.1", lambda: target)
         await wire.open()
         _, writer = await asyncio.open_connection(*wire.address)
         broken = False
         sent = b""
         for i, data in enumerate(pieces):
-            how = states[i % len(states)] if states else How.OPEN
+            how = states[i % len(states)] if states else ProxyMode.OPEN
             await wire.set_mode(how)
-            if how is How.RESET:
+            if how is ProxyMode.RESET:
                 broken = True
                 break
             writer.write(data)
             sent += data
             await asyncio.sleep(0)
-        await wire.set_mode(How.OPEN)
+        await wire.set_mode(ProxyMode.OPEN)
         if not broken:
             while len(received) < len(sent):
                 await asyncio.sleep(0.001)
@@ -245,7 +245,9 @@
         "try:\n    runpy.run_module('eiderhub.sidecar', run_name='__main__')\n"
         "except SystemExit:\n    print(*(name for name, module in sys.modules.items() if module))"
     )
-    sidecar_environment = {name: value for name, value in environment().items() if not name.startswith("GW_")}
+    sidecar_environment = {
+        name: value for name, value in child_environment().items() if not name.startswith("GW_")
+    }
     completed = subprocess.run(
         [sys.executable, "-c", program], env=sidecar_environment, capture_output=True, text=True, check=True
     )
@@ -281,7 +283,7 @@
             "--seconds",
             "60",
         ],
-        env=environment() | {"TMPDIR": str(temporary)},
+        env=child_environment() | {"TMPDIR": str(temporary)},
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
         text=True,
@@ -349,8 +351,8 @@
 @pytest.mark.parametrize("host", ["10.0.0.1", "example.com", "0.0.0.0", "::", "192.168.1.1"])
 def test_load_is_sent_only_to_loopback_addresses(host: str) -> None:
     with pytest.raises(ValueError, match="loopback"):
-        loopback(host)
-    assert [loopback(each) for each in ("localhost", "127.8.0.1", "[::1]")] == [
+        require_loopback(host)
+    assert [require_loopback(each) for each in ("localhost", "127.8.0.1", "[::1]")] == [
         "127.0.0.1",
         "127.8.0.1",
         "::1",
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -23,8 +23,8 @@
 
 from eiderhub.address import parse_host_port
 from eiderhub.emulator import operators
-from eiderhub.emulator.processes import Process, Usage, claim, environment
-from eiderhub.emulator.wires import How
+from eiderhub.emulator.processes import Process, Usage, child_environment, reserve_port
+from eiderhub.emulator.wires import ProxyMode
 from eiderhub.http1 import ConnectionPool, NoReplyError, fetch
 from eiderhub.registry import api, stored_list
 from eiderhub.registry.adoption import (
@@ -216,16 +216,18 @@
         async with Fleet() as fleet:
             main = await fleet.add_node("main")
             second = main.spawn()
-            await second.ended.wait()
+            await second.exited.wait()
             assert main.exit_status == 1
-            assert second.tail()[-1] == f"ottercleat: {main.store}: another process has this store open"
+            assert (
+                second.read_log_tail()[-1] == f"ottercleat: {main.store}: another process has this store open"
+            )
             other = RegistryNode(fleet.folder, "other")
             fleet.nodes.append(other)
             text = other.config.read_text(encoding="utf-8")
             other.config.write_text(text.replace(str(other.address), str(main.address)), encoding="utf-8")
             process = other.spawn()
-            await process.ended.wait()
-            assert other.exit_status == 1 and "address already in use" in process.tail()[-1]
+            await process.exited.wait()
+            assert other.exit_status == 1 and "address already in use" in process.read_log_tail()[-1]
             assert "Traceback" not in other.read_log()
 
     run_async(test())
@@ -278,11 +280,11 @@
             data[60] ^= 1
             log.write_bytes(data)
             process = main.spawn()
-            await process.ended.wait()
-            assert main.exit_status == 1 and f"{log}: offset 18: damaged" in process.tail()[-1]
+            await process.exited.wait()
+            assert main.exit_status == 1 and f"{log}: offset 18: damaged" in process.read_log_tail()[-1]
             check = [sys.executable, "-m", "eiderhub.cli", "registry", "store", "check", str(main.store)]
             found = await asyncio.to_thread(
-                subprocess.run, check, capture_output=True, text=True, env=environment()
+                subprocess.run, check, capture_output=True, text=True, env=child_environment()
             )
             assert found.returncode == 1 and f"{log}: offset 18: damaged" in found.stderr
             # A truncated last entry, as a crash leaves it, is dropped with one log line.
@@ -308,13 +310,13 @@
             watcher = fleet.add_watcher(near.address, main.address, wait_s=0.5)
             watcher.watch.start()
             await wait_until(lambda: "e0" in watcher.lifecycles)
-            for how in (How.CUT_DOWN, How.CUT_UP, How.TRUNCATED, How.RESET):
+            for how in (ProxyMode.CUT_DOWN, ProxyMode.CUT_UP, ProxyMode.TRUNCATED, ProxyMode.RESET):
                 await near.set_mode(how)  # the long poll stalls or fails; the client gets no other signal
                 name = f"after-{how.value}"
                 await main.put(make_record(name))
                 await wait_until(lambda n=name: n in watcher.lifecycles)  # type: ignore[misc]
-            await near.set_mode(How.OPEN)
-            await feed.set_mode(How.CUT)  # the follower no longer receives changes
+            await near.set_mode(ProxyMode.OPEN)
+            await feed.set_mode(ProxyMode.CUT)  # the follower no longer receives changes
             version = await main.put(make_record("unheard"))
             await wait_until(lambda: "unheard" in watcher.lifecycles)
             state = await follower.fetch_status()
@@ -329,7 +331,7 @@
             )
             lagging.stop()
             assert "unheard" in watcher.lifecycles
-            await feed.set_mode(How.OPEN)
+            await feed.set_mode(ProxyMode.OPEN)
 
             async def caught_up() -> bool:
                 return await follower.fetch_version() >= version
@@ -446,7 +448,7 @@
     body: str, expected_error: str
 ) -> None:
     async def test() -> None:
-        held_port = claim("127.0.0.1")
+        held_port = reserve_port("127.0.0.1")
         port = held_port.getsockname()[1]
         config = RegistryConfig(listen=f"127.0.0.1:{port}", store="none")
         service = RegistryServer(config, create_core(config), Store(MemoryDisk(1 << 40)))
@@ -591,7 +593,7 @@
             watcher.watch.start()
             endpoint = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
             port = endpoint.sockets[0].getsockname()[1]
-            ports = [claim("127.0.0.1") for _ in range(2)]
+            ports = [reserve_port("127.0.0.1") for _ in range(2)]
             listen, management = (f"127.0.0.1:{sock.getsockname()[1]}" for sock in ports)
             example = Path(__file__).parent.parent / "deploy" / "sidecar.toml"
             sections = f'registry = {{ addresses = ["{main.address}"] }}\n'
@@ -601,7 +603,7 @@
             sections += f"register = {{ {register_settings} }}\n"
             config = fleet.folder / "sidecar.toml"
             config.write_text(sections + example.read_text(encoding="utf-8"), encoding="utf-8")
-            environ = environment() | {
+            environ = child_environment() | {
                 "GW_CONFIG": str(config),
                 "GW_LISTEN": listen,
                 "GW_MANAGEMENT": management,
@@ -658,13 +660,13 @@
                     return (await main.fetch_status()).draining == 1
 
                 await wait_until_true(drains)  # while the sidecar is still running
-                assert not process.ended.is_set()
-                await process.ended.wait()
+                assert not process.exited.is_set()
+                await process.exited.wait()
                 state = await main.fetch_status()
                 assert (state.records, state.tombstones) == (0, 1)
             finally:
                 process.kill()
-                await process.ended.wait()
+                await process.exited.wait()
                 endpoint.close()
                 for sock in ports:
                     sock.close()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,9 +17,16 @@
 from eiderhub.cli.capacity import read_fleet
 from eiderhub.registry.records import Entry
 from eiderhub.scale import result as results
-from eiderhub.scale.changes import spread
-from eiderhub.scale.counts import CountingLoop, Tally, Told, peak, since, together
-from eiderhub.scale.hollow import EMPTIED, WENT_BACK, Change, delay_ms, list_digest
+from eiderhub.scale.changes import delay_percentiles
+from eiderhub.scale.counts import (
+    CountingLoop,
+    TrafficCounter,
+    TrafficCounts,
+    counts_between,
+    peak_calls,
+    sum_counts,
+)
+from eiderhub.scale.hollow import LIST_EMPTIED, LIST_REVERTED, Change, delay_ms, list_digest
 from eiderhub.scale.plan import (
     MachineCapacity,
     Plan,
@@ -119,30 +126,30 @@
 
 
 def test_calls_bytes_and_entries_are_counted_across_chunks() -> None:
-    tally = Tally()
-    tally.went(b"GET /discovery/hosts?after=7&wait_ms=9 HTTP/1.1\r\nHost: a:1\r\n\r\n")
-    tally.went(b"POST /registry/renew HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}")
-    tally.went(b"more of a body")
+    tally = TrafficCounter()
+    tally.count_sent(b"GET /discovery/hosts?after=7&wait_ms=9 HTTP/1.1\r\nHost: a:1\r\n\r\n")
+    tally.count_sent(b"POST /registry/renew HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}")
+    tally.count_sent(b"more of a body")
     body = b'[{"instanceId":"a"},{"instanceId":"b"}]'
     for split in range(len(body)):
-        tail = tally.came(body[:split], b"")
-        tally.came(body[split:], tail)
-    traffic = tally.told()
+        tail = tally.count_received(body[:split], b"")
+        tally.count_received(body[split:], tail)
+    traffic = tally.take_counts()
     assert traffic.calls == {"list": 1, "renew": 1}
     assert traffic.bytes_in == len(body) ** 2
     assert traffic.entries == 2 * len(body)
     assert sum(traffic.buckets.values()) == 2
-    assert tally.told().buckets == {}, "buckets are reset when they are read"
+    assert tally.take_counts().buckets == {}, "buckets are reset when they are read"
 
 
 def test_counts_can_be_added_and_subtracted() -> None:
-    first = Told({"list": 3}, 10, 20, 1, 2, 1, {5: 2, 6: 1})
-    second = Told({"list": 1, "renew": 4}, 1, 2, 0, 1, 1, {6: 4})
-    total = together([first, second])
-    assert total == Told({"list": 4, "renew": 4}, 11, 22, 1, 3, 2, {5: 2, 6: 5})
-    assert since(total, first).calls == {"list": 1, "renew": 4}
-    assert peak(total.buckets) == 5
-    assert peak(total.buckets, since_s=0.7) == 0
+    first = TrafficCounts({"list": 3}, 10, 20, 1, 2, 1, {5: 2, 6: 1})
+    second = TrafficCounts({"list": 1, "renew": 4}, 1, 2, 0, 1, 1, {6: 4})
+    total = sum_counts([first, second])
+    assert total == TrafficCounts({"list": 4, "renew": 4}, 11, 22, 1, 3, 2, {5: 2, 6: 5})
+    assert counts_between(total, first).calls == {"list": 1, "renew": 4}
+    assert peak_calls(total.buckets) == 5
+    assert peak_calls(total.buckets, since_s=0.7) == 0
 
 
 def test_change_is_in_force_once_its_version_or_a_later_one_is_adopted() -> None:
@@ -155,8 +162,8 @@
 
 
 def test_percentiles_without_changes_are_empty() -> None:
-    assert spread([]) == {}
-    assert spread([3.0, 1.0, 2.0]) == {"p50": 2.0, "p99": 2.98, "last": 3.0}
+    assert delay_percentiles([]) == {}
+    assert delay_percentiles([3.0, 1.0, 2.0]) == {"p50": 2.0, "p99": 2.98, "last": 3.0}
 
 
 def test_list_digest_does_not_depend_on_the_order() -> None:
@@ -293,7 +300,7 @@
     assert result.fault.touched > 0
     assert result.fault.writes_tried > 0
     assert counts_are_not_negative(result.phase(fault))
-    assert not [note for note in result.fault.notes if EMPTIED in note or WENT_BACK in note]
+    assert not [note for note in result.fault.notes if LIST_EMPTIED in note or LIST_REVERTED in note]
     if fault == "zone-lost":
         assert result.fault.least_records == 90 - result.fault.touched
         assert result.fault.lost_wrongly == 0
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from eiderhub.address import Address
-from eiderhub.emulator.processes import claim
-from eiderhub.emulator.wires import Wire
+from eiderhub.emulator.processes import reserve_port
+from eiderhub.emulator.wires import FaultProxy
 from tests.sidecar_support import SETUP, Client, instance_entry, read_message, run, start_process
 
 CALLERS, CALLS = 4, 300
@@ -58,13 +58,14 @@
     async def test() -> None:
         servers = [await EchoServer().start() for _ in range(2)]
         wires = [
-            Wire("127.0.0.1", partial(Address, "127.0.0.1", echo_server.port)) for echo_server in servers
+            FaultProxy("127.0.0.1", partial(Address, "127.0.0.1", echo_server.port))
+            for echo_server in servers
         ]
         for wire in wires:
             await wire.open()
         entries = [instance_entry(f"e{i}", str(wire.address)) for i, wire in enumerate(wires)]
         known = {"generation": 1, "reset": True, "instances": entries}
-        reserved_port = claim("127.0.0.1")
+        reserved_port = reserve_port("127.0.0.1")
         port = reserved_port.getsockname()[1]
         process = start_process(tmp_path, {"listen": f"127.0.0.1:{port}", "settings": SETUP, "known": known})
         assert process.stderr is not None
@@ -90,7 +91,7 @@
                 if answer.status == 200:
                     bodies.append((name, answer.body.decode()))
                 if number == 0 and index % RESET_INTERVAL == RESET_INTERVAL - 1:
-                    next(iter(wires[index // RESET_INTERVAL % 2].links)).abort()
+                    next(iter(wires[index // RESET_INTERVAL % 2].connections)).abort()
 
         bodies: list[tuple[str, str]] = []
         try:
--- a/tests/test_zone_orders.py
+++ b/tests/test_zone_orders.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 
 from eiderhub.address import Address
-from eiderhub.emulator.processes import Process, Usage, claim, environment
-from eiderhub.emulator.wires import How, Wire
+from eiderhub.emulator.processes import Process, Usage, child_environment, reserve_port
+from eiderhub.emulator.wires import FaultProxy, ProxyMode
 from eiderhub.http1 import ConnectionPool, Exchange, NoReplyError, ServerConnection, fetch
 from eiderhub.registry import api
 from eiderhub.registry.core import Core, Decision
@@ -130,10 +130,10 @@
 class SidecarProcess:
     """A real sidecar in zone west that gets its lists from the service through proxies."""
 
-    def __init__(self, fleet: Fleet, name: str, wires: list[Wire]) -> None:
+    def __init__(self, fleet: Fleet, name: str, wires: list[FaultProxy]) -> None:
         self.folder = fleet.folder / name
         self.folder.mkdir()
-        self._reserved_sockets = [claim("127.0.0.1") for _ in range(2)]
+        self._reserved_sockets = [reserve_port("127.0.0.1") for _ in range(2)]
         listen, management = (Address(*sock.getsockname()) for sock in self._reserved_sockets)
         addresses = ", ".join(f'"{wire.address}"' for wire in wires)
         storage_options = f'keep = "{self.folder}/list.json", wait_s = 1.0'
@@ -141,7 +141,7 @@
         self._config = self.folder / "sidecar.toml"
         self._config.write_text(registry_line + EXAMPLE.read_text(encoding="utf-8"), encoding="utf-8")
         variables = {"GW_CONFIG": self._config, "GW_LISTEN": listen, "GW_MANAGEMENT": management}
-        self._environment = environment() | {name: str(value) for name, value in variables.items()}
+        self._environment = child_environment() | {name: str(value) for name, value in variables.items()}
         self._pool = ConnectionPool(listen.host, listen.port)
         self.process: Process | None = None
 
@@ -155,7 +155,7 @@
     async def kill(self) -> None:
         if self.process is not None:
             self.process.kill()
-            await self.process.ended.wait()
+            await self.process.exited.wait()
 
     async def served_by(self) -> str:
         """Name of the endpoint that answers a call now; empty if none does."""
@@ -184,7 +184,7 @@
 async def run_ottercleat(*words: str) -> tuple[int, str]:
     arguments = [sys.executable, "-m", "eiderhub.cli", *words]
     completed = await asyncio.to_thread(
-        subprocess.run, arguments, env=environment(), capture_output=True, text=True
+        subprocess.run, arguments, env=child_environment(), capture_output=True, text=True
     )
     return completed.returncode, completed.stdout + completed.stderr
 
@@ -224,13 +224,13 @@
                 # With the service down and one sidecar restarted, both still apply the order.
                 await main.kill()
                 for wire in fleet.proxies:
-                    await wire.set_mode(How.RESET)
+                    await wire.set_mode(ProxyMode.RESET)
                 await one.kill()
                 one.start()
                 await asyncio.gather(one.wait_until_served_by("north"), two.wait_until_served_by("north"))
                 await main.start()
                 for wire in fleet.proxies:
-                    await wire.set_mode(How.OPEN)
+                    await wire.set_mode(ProxyMode.OPEN)
                 stored_order = (await orders_by_zone(main))["west"]
                 assert stored_order is not None and stored_order.share == 0.0
                 status, output = await run_ottercleat("zone", "return", main_address, "west")
@@ -242,7 +242,7 @@
                 await asyncio.gather(one.wait_until_served_by("north"), two.wait_until_served_by("north"))
                 await main.kill()
                 for wire in fleet.proxies:
-                    await wire.set_mode(How.CUT)
+                    await wire.set_mode(ProxyMode.CUT)
                 await asyncio.gather(one.wait_until_served_by("west"), two.wait_until_served_by("west"))
                 await main.start()
 
@@ -274,6 +274,6 @@
     path = tmp_path / "sidecar.toml"
     path.write_text(EXAMPLE.read_text(encoding="utf-8") + "\n" + text + "\n", encoding="utf-8")
     arguments = [sys.executable, "-m", "eiderhub.cli", "config", "check", str(path)]
-    completed = subprocess.run(arguments, env=environment(), capture_output=True, text=True)
+    completed = subprocess.run(arguments, env=child_environment(), capture_output=True, text=True)
     assert completed.returncode == 2 and message in completed.stdout + completed.stderr
     assert len((completed.stdout + completed.stderr).splitlines()) == 1
