--- a/eiderhub/cli/bench.py
+++ b/eiderhub/cli/bench.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from eiderhub.cli import costs, screen
+from eiderhub.cli import console_output, costs
 from eiderhub.cli.options import MAX_SEED
 
 if TYPE_CHECKING:
@@ -66,15 +66,15 @@
     """Measure the list service: changes to many watchers, synced writes, a burst of callers, a restart."""
     from eiderhub.scale.registry_bench import Bench
 
-    screen.check_writable(json_file)
+    console_output.check_writable(json_file)
     bench = Bench(watchers, records, rate, seconds, entries, processes)
     with (
-        screen.progress("registry") as report_progress,
+        console_output.progress("registry") as report_progress,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
         result = runner.run(bench.run(report_progress))
     document: dict[str, Any] = dataclasses.asdict(result)
-    screen.write_json(json_file, document)
+    console_output.write_json(json_file, document)
     table = Table(box=None, show_header=False, pad_edge=False)
     for name, value in document.items():
         table.add_row(name.replace("_", " "), f"{value:g}" if isinstance(value, float) else str(value))
@@ -129,12 +129,12 @@
     from eiderhub.cli.capacity import read_fleet
     from eiderhub.http1 import NoReplyError
     from eiderhub.registry.client import RequestRefusedError
-    from eiderhub.scale.counts import CountingLoop
     from eiderhub.scale.plan import RunRequest, RunTooLargeError, make_admitted_plan
     from eiderhub.scale.run import Run, machine_capacity
     from eiderhub.scale.services import ProcessEndedError
+    from eiderhub.scale.traffic import CountingLoop
 
-    screen.check_writable(json_file)
+    console_output.check_writable(json_file)
     path = Path(fleet_file) if fleet_file else DEFAULT_FLEET
     fleet = read_fleet(path)
     try:
@@ -144,14 +144,17 @@
         raise click.ClickException(str(error)) from None
     run = Run(plan, seconds, seed, fleet.calls_per_s / fleet.endpoints, fault, fault_seconds)
     try:
-        with screen.progress("scale") as report_progress, asyncio.Runner(loop_factory=CountingLoop) as runner:
+        with (
+            console_output.progress("scale") as report_progress,
+            asyncio.Runner(loop_factory=CountingLoop) as runner,
+        ):
             result = runner.run(run.run(report_progress, path.name, costs.revision(costs.own_checkout())))
     except asyncio.CancelledError:
         raise KeyboardInterrupt from None
     except (ProcessEndedError, NoReplyError, RequestRefusedError, TimeoutError) as error:
         print(f"ottercleat: the run ended early: {str(error) or type(error).__name__}", file=sys.stderr)
         return 1
-    screen.write_json(json_file, msgspec.to_builtins(result))
+    console_output.write_json(json_file, msgspec.to_builtins(result))
     _print_scale_result(result, Console(stderr=json_file == "-"))
     return 0
 
--- a/eiderhub/cli/capacity.py
+++ b/eiderhub/cli/capacity.py
@@ -9,7 +9,7 @@
 from eiderhub.capacity import model, table, tier
 from eiderhub.capacity.fleet import Fleet
 from eiderhub.capacity.slopes import Slope, Slopes
-from eiderhub.cli import screen
+from eiderhub.cli import console_output
 from eiderhub.documents import DocumentError, Fault, convert, load_document
 
 REPOSITORY = Path(__file__).parents[2]
@@ -72,7 +72,7 @@
 
     Exit status: 0 if every budget holds, 1 if one is exceeded.
     """
-    screen.check_writable(json_file)
+    console_output.check_writable(json_file)
     if of_tier:
         return _report_tier(
             _resolve_file(fleet, DEFAULT_TIER_FLEET), _resolve_file(slopes, DEFAULT_TIER_SLOPES), json_file
@@ -80,7 +80,7 @@
     fleet_settings = read_fleet(_resolve_file(fleet, DEFAULT_FLEET))
     measured = read_slopes(_resolve_file(slopes, DEFAULT_SLOPES))
     requirements = model.compute_capacity(fleet_settings, measured)
-    screen.write_json(json_file, table.json_document(fleet_settings, measured, requirements))
+    console_output.write_json(json_file, table.json_document(fleet_settings, measured, requirements))
     if json_file != "-":
         click.echo(table.render_page(fleet_settings, measured, requirements), nl=False)
     return 1 if any(one.holds is False for one in requirements.figures) else 0
@@ -90,7 +90,7 @@
     fleet = convert(load_document(fleet_file)[0], tier.TierFleet, str(fleet_file), human_format=True)
     measured = convert(load_document(slopes_file)[0], tier.TierSlopes, str(slopes_file), human_format=True)
     rows = tier.compute_rows(fleet, measured)
-    screen.write_json(json_file, {"rows": [row._asdict() | {"holds": row.holds} for row in rows]})
+    console_output.write_json(json_file, {"rows": [row._asdict() | {"holds": row.holds} for row in rows]})
     if json_file != "-":
         click.echo(tier.render_page(fleet, measured), nl=False)
     return 1 if any(row.holds is False for row in rows) else 0
--- a/eiderhub/cli/screen.py
+++ b/eiderhub/cli/console_output.py
@@ -17,7 +17,7 @@
 
 from eiderhub.emulator.clock import MAX_LATENESS_P99_MS
 from eiderhub.emulator.deployment import Result
-from eiderhub.world.judge import Evaluation, OutcomeCounts
+from eiderhub.world.evaluation import Evaluation, OutcomeCounts
 
 PLAIN_PROGRESS_INTERVAL_S = 5.0  # between progress lines when standard error is not a terminal
 NARROW_COLUMNS, WIDE_COLUMNS = 54, 72  # terminal widths
--- a/eiderhub/cli/costs.py
+++ b/eiderhub/cli/costs.py
@@ -15,7 +15,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from eiderhub.cli import playing, screen
+from eiderhub.cli import console_output, runner
 
 MAX_SEED = 2**32 - 1
 MAX_SECONDS = 600.0
@@ -102,24 +102,24 @@
 
     Exit status 1 if a call through the sidecar was not served.
     """
-    from eiderhub.scale.path import PathError, RelayBench
+    from eiderhub.scale.data_path_bench import PathError, RelayBench
 
-    screen.check_writable(json_file)
+    console_output.check_writable(json_file)
     if sidecar is not None and not (sidecar / "eiderhub" / "sidecar" / "__main__.py").is_file():
         raise click.UsageError(f"--sidecar {sidecar}: not a checkout; name the folder that holds eiderhub/")
     root = (sidecar or own_checkout()).resolve()
     bench = RelayBench(
         rates or (116.0, 400.0), seconds, seed, endpoints, service_us, root if sidecar else None
     )
-    with screen.progress("relay") as report_progress:
+    with console_output.progress("relay") as report_progress:
         try:
-            result = playing.run_cancellable(
+            result = runner.run_cancellable(
                 lambda: bench.run(report_progress, named or revision(root), machine_description())
             )
         except PathError as error:
             raise click.ClickException(str(error)) from None
     document: dict[str, Any] = msgspec.to_builtins(result)
-    screen.write_json(json_file, document)
+    console_output.write_json(json_file, document)
     console = Console(stderr=json_file == "-")
     console.print(_relay_table(document), highlight=False)
     console.print(
@@ -207,16 +207,16 @@
 
     Exit status 1 if a call found no room: the figures then do not measure normal decisions.
     """
-    from eiderhub.scale import decisions as decision_costs
-    from eiderhub.scale.path import PathError
+    from eiderhub.scale import decisions_bench as decision_costs
+    from eiderhub.scale.data_path_bench import PathError
 
-    screen.check_writable(json_file)
-    with screen.progress("decisions") as report_progress:
+    console_output.check_writable(json_file)
+    with console_output.progress("decisions") as report_progress:
         samples = decision_costs.run(
             sizes, repeats, callers, seed, lambda fraction, text: report_progress(fraction / 2, text)
         )
         try:
-            memory_samples = playing.run_cancellable(
+            memory_samples = runner.run_cancellable(
                 lambda: decision_costs.measure_memory(
                     sizes, seed, lambda fraction, text: report_progress(0.5 + fraction / 2, text)
                 )
@@ -238,7 +238,7 @@
         samples=samples,
         memory=memory_samples,
     )
-    screen.write_json(json_file, msgspec.to_builtins(result))
+    console_output.write_json(json_file, msgspec.to_builtins(result))
     table = Table(box=None, pad_edge=False)
     names = ("endpoints", "order us", "delta us", "whole list us", "timers us/s", "bytes each", "sidecar MB")
     for name in names:
@@ -292,14 +292,14 @@
     outcome: Path | None,
 ) -> int:
     """Fit lines to results of `bench scale`, `relay` and `decisions`, for `ottercleat capacity`."""
-    from eiderhub.scale import fit
+    from eiderhub.scale import slope_fit
 
-    screen.check_writable(output)
-    fitted = fit.Fit(fit.read(results), rate)
+    console_output.check_writable(output)
+    fitted = slope_fit.Fit(slope_fit.read(results), rate)
     console = Console(stderr=output == "-")
     try:
         if outcome is not None:
-            outcome_runs = fit.read([outcome]).scale
+            outcome_runs = slope_fit.read([outcome]).scale
             if not outcome_runs:
                 raise click.UsageError(f"--outcome {outcome}: no result of `ottercleat bench scale`")
             run = next(iter(outcome_runs.values()))
@@ -309,15 +309,15 @@
             if any(path.resolve() == outcome.resolve() for path in results):
                 reason = "it is one of the results; leave it out of them"
                 raise click.UsageError(f"--outcome {outcome}: {reason}")
-            _print_prediction(console, fitted.predict(run.watchers), run.watchers, fit.outcome(run))
+            _print_prediction(console, fitted.predict(run.watchers), run.watchers, slope_fit.outcome(run))
         elif predict is not None:
             _print_prediction(console, fitted.predict(predict), predict, {})
         if output is not None or (predict is None and outcome is None):
             document = fitted.slopes()
-            screen.write_json(output, msgspec.to_builtins(document))
+            console_output.write_json(output, msgspec.to_builtins(document))
             if output != "-":
                 console.print(_slopes_table(msgspec.to_builtins(document)), highlight=False)
-    except fit.FitError as error:
+    except slope_fit.FitError as error:
         raise click.UsageError(str(error)) from None
     for note in fitted.notes:
         click.echo(f"ottercleat: {note}", err=True)
--- a/eiderhub/cli/ctl.py
+++ b/eiderhub/cli/ctl.py
@@ -7,7 +7,7 @@
 import click
 
 from eiderhub.cli.options import AddressType
-from eiderhub.emulator import operators
+from eiderhub.emulator import management_client
 
 OPERATOR_CALLS = ("status", "stats", "standby", "active")
 
@@ -30,8 +30,8 @@
     """
     host, port = address
     try:
-        answer = asyncio.run(operators.call(host, port, call, wait_s))
-    except operators.ManagementCallError as error:
+        answer = asyncio.run(management_client.call(host, port, call, wait_s))
+    except management_client.ManagementCallError as error:
         click.echo(f"ottercleat: {host}:{port}: {error}", err=True)
         return 1
     click.echo(answer)
--- a/eiderhub/cli/demo.py
+++ b/eiderhub/cli/demo.py
@@ -8,7 +8,7 @@
 import click
 from rich.console import Console
 
-from eiderhub.cli import playing, screen
+from eiderhub.cli import console_output, runner
 from eiderhub.cli.options import MAX_SECONDS, deployment_options
 from eiderhub.emulator.deployment import DeploymentError
 from eiderhub.world import scenario as scenarios
@@ -45,20 +45,20 @@
         for name in scenarios.shipped():
             click.echo(f"{name:16} {scenarios.load(name).about}")
         return 0
-    screen.check_writable(json_file)
+    console_output.check_writable(json_file)
     day = draw_day(scenarios.load(scenario), seed, Path(scenario).stem)
     if seconds is not None:
         day = dataclasses.replace(day, length_us=int(seconds * 1e6))
     console = Console(stderr=json_file == "-")
     try:
-        result, interrupted = playing.run_cancellable(
-            lambda: playing.run_scenario(day, playing.split_command(command), logs, real_lists)
+        result, interrupted = runner.run_cancellable(
+            lambda: runner.run_scenario(day, runner.split_command(command), logs, real_lists)
         )
     except DeploymentError as error:  # the run did not start
-        screen.print_crash(str(error), error.log_tail, Console(stderr=True))
+        console_output.print_crash(str(error), error.log_tail, Console(stderr=True))
         return 1
-    screen.write_json(json_file, result.document())
-    screen.print_result(result, console)
+    console_output.write_json(json_file, result.document())
+    console_output.print_result(result, console)
     if interrupted:
         click.echo("ottercleat: interrupted; the figures cover only what had ended by then", err=True)
     return 0 if result.passed and not interrupted else 1
--- a/eiderhub/cli/emulate.py
+++ b/eiderhub/cli/emulate.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from eiderhub.cli import playing, screen
+from eiderhub.cli import console_output, runner
 from eiderhub.cli.options import deployment_options
 from eiderhub.emulator.deployment import Deployment, DeploymentError, Result
 from eiderhub.world import scenario as scenarios
@@ -35,21 +35,19 @@
     The scenario's faults happen at their times; Ctrl-C ends everything. Point `ottercleat load` at a
     front sidecar, and `ottercleat ctl` at its management address.
     """
-    screen.check_writable(json_file)
+    console_output.check_writable(json_file)
     day = draw_day(scenarios.load(scenario), seed, Path(scenario).stem)
     console = Console(stderr=json_file == "-")
     try:
-        result = playing.run_cancellable(
-            lambda: _run_until_stopped(
-                day, playing.split_command(command), logs, traffic, real_lists, console
-            )
+        result = runner.run_cancellable(
+            lambda: _run_until_stopped(day, runner.split_command(command), logs, traffic, real_lists, console)
         )
     except DeploymentError as error:
-        screen.print_crash(str(error), error.log_tail, Console(stderr=True))
+        console_output.print_crash(str(error), error.log_tail, Console(stderr=True))
         return 1
-    screen.write_json(json_file, result.document())
+    console_output.write_json(json_file, result.document())
     if traffic or result.crash is not None or not result.verdict.rules_kept:
-        screen.print_result(result, console)
+        console_output.print_result(result, console)
     return 0 if result.passed else 1
 
 
@@ -71,11 +69,9 @@
         with contextlib.suppress(asyncio.CancelledError):
             try:
                 if traffic:
-                    with screen.progress(day.name) as report_progress:
+                    with console_output.progress(day.name) as report_progress:
                         await deployment.play(
-                            lambda fraction, outside: report_progress(
-                                fraction, playing.progress_text(outside)
-                            )
+                            lambda fraction, outside: report_progress(fraction, runner.progress_text(outside))
                         )
                 else:
                     deployment.start_troubles()
--- a/eiderhub/cli/load.py
+++ b/eiderhub/cli/load.py
@@ -10,7 +10,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from eiderhub.cli import playing, screen
+from eiderhub.cli import console_output, runner
 from eiderhub.cli.options import MAX_SECONDS, MAX_SEED, AddressType
 from eiderhub.emulator import load as loads
 from eiderhub.emulator.clock import MAX_LATENESS_P99_MS
@@ -122,7 +122,7 @@
     Latency is measured from the time at which a request was due. Exit status 1 if nothing was served.
     """
     for path in (json_file, hgrm_file):
-        screen.check_writable(path)
+        console_output.check_writable(path)
     request_mix = _build_request_mix(shapes, tenants, config, deadline_ms, body)
     due_times = _due_times(rate, seconds, arrivals, steps, times, seed)
     for host, _ in targets:
@@ -134,7 +134,7 @@
     async def send() -> tuple[loads.LoadRun, bool]:
         run = loads.LoadRun(targets, due_times, request_mix, seed)
         try:
-            with screen.progress("load") as report_progress:
+            with console_output.progress("load") as report_progress:
                 await run.run(lambda fraction: report_progress(fraction, _progress_text(run)))
         except asyncio.CancelledError:
             run.stop()
@@ -143,8 +143,8 @@
             run.close()
         return run, False
 
-    run, interrupted = playing.run_cancellable(send)
-    screen.write_json(json_file, run.document())
+    run, interrupted = runner.run_cancellable(send)
+    console_output.write_json(json_file, run.document())
     if hgrm_file is not None:
         with open(hgrm_file, "wb") as file:
             run.write_hgrm(file)
--- a/eiderhub/cli/playing.py
+++ b/eiderhub/cli/runner.py
@@ -10,8 +10,8 @@
 
 import uvloop
 
-from eiderhub.cli.screen import progress
-from eiderhub.emulator.callers import OutsideClients
+from eiderhub.cli.console_output import progress
+from eiderhub.emulator.clients import OutsideClients
 from eiderhub.emulator.deployment import Deployment, DeploymentError, Result
 from eiderhub.emulator.processes import cancel_on_signals
 from eiderhub.world.day import Day
--- a/eiderhub/emulator/callers.py
+++ b/eiderhub/emulator/clients.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from eiderhub.emulator.asking import OutgoingRequest, classify_status, render_request
 from eiderhub.emulator.clock import Clock
-from eiderhub.emulator.machines import RequestInfo, RequestTable
+from eiderhub.emulator.endpoint_servers import RequestInfo, RequestTable
+from eiderhub.emulator.outgoing_request import OutgoingRequest, classify_status, render_request
 from eiderhub.http1 import ConnectionPool, Reply
 from eiderhub.world.clients import ClientRequest, End, next_try_us, try_timeout_us
 from eiderhub.world.day import Day, SidecarPlan
-from eiderhub.world.front import FrontBalancer
-from eiderhub.world.judge import Evaluator, InterruptedOutcome
+from eiderhub.world.evaluation import Evaluator, InterruptedOutcome
+from eiderhub.world.front_balancer import FrontBalancer
 
 REQUEST_BODY = b"x" * 200
 
--- a/eiderhub/emulator/deployment.py
+++ b/eiderhub/emulator/deployment.py
@@ -12,10 +12,12 @@
 from pathlib import Path
 from typing import Any
 
-from eiderhub.emulator.callers import OutsideClients, Target, Try
+from eiderhub.emulator.clients import OutsideClients, Target, Try
 from eiderhub.emulator.clock import MAX_LATENESS_P99_MS, Clock
-from eiderhub.emulator.lists import DiscoveryBackend, SimulatedDiscovery
-from eiderhub.emulator.machines import EndpointServer, RequestInfo, RequestTable
+from eiderhub.emulator.discovery import DiscoveryBackend, SimulatedDiscovery
+from eiderhub.emulator.endpoint_servers import EndpointServer, RequestInfo, RequestTable
+from eiderhub.emulator.fault_injection import FaultInjector
+from eiderhub.emulator.list_service import RealListService
 from eiderhub.emulator.processes import DeploymentError as DeploymentError
 from eiderhub.emulator.processes import (
     Process,
@@ -25,18 +27,16 @@
     open_listening_socket,
     reserve_port,
 )
-from eiderhub.emulator.services import RealListService
-from eiderhub.emulator.settings import build_sidecar_settings
-from eiderhub.emulator.troubles import FaultInjector
+from eiderhub.emulator.sidecar_settings import build_sidecar_settings
 from eiderhub.http1 import DESCRIPTOR_LIMIT_ERRNOS, ConnectionPool, Exchange, NoReplyError, fetch
 from eiderhub.interface import Effect
 from eiderhub.world.clients import End, draw_requests
 from eiderhub.world.day import Day, EndpointPlan, SidecarPlan
+from eiderhub.world.discovery import Registry
 from eiderhub.world.endpoint import Endpoint, State, dedup_groups
-from eiderhub.world.front import FrontBalancer
-from eiderhub.world.judge import Evaluation, Evaluator
+from eiderhub.world.evaluation import Evaluation, Evaluator
+from eiderhub.world.front_balancer import FrontBalancer
 from eiderhub.world.network import Network, draw_lognormal
-from eiderhub.world.registry import Registry
 from eiderhub.world.scenario import TroubleKind
 
 READY_TIMEOUT_S = 30.0  # for all sidecars to be ready after their start
--- a/eiderhub/emulator/lists.py
+++ b/eiderhub/emulator/discovery.py
@@ -9,12 +9,12 @@
 from typing import Protocol
 
 from eiderhub.emulator.clock import Clock
+from eiderhub.emulator.discovery_server import DiscoveryServer
 from eiderhub.emulator.processes import SupervisedSidecar
-from eiderhub.emulator.roster import DiscoveryServer
 from eiderhub.world.day import Event, SidecarPlan
-from eiderhub.world.judge import Evaluator
+from eiderhub.world.discovery import EndpointList, Registry
+from eiderhub.world.evaluation import Evaluator
 from eiderhub.world.network import Network
-from eiderhub.world.registry import EndpointList, Registry
 
 WaitUntil = Callable[[int], Awaitable[None]]  # waits for a time of the day, in microseconds
 AddressLookup = Callable[[str, str], str]  # an endpoint's address for a sidecar, given the names of both
--- a/eiderhub/emulator/roster.py
+++ b/eiderhub/emulator/discovery_server.py
@@ -9,11 +9,11 @@
 import msgspec
 
 from eiderhub.emulator.clock import Clock
-from eiderhub.emulator.doors import Listener
+from eiderhub.emulator.listeners import Listener
 from eiderhub.http1 import Exchange, render_response
 from eiderhub.world.day import SidecarPlan
-from eiderhub.world.judge import Evaluator
-from eiderhub.world.registry import CallResult, Delivery, EndpointList, Registry
+from eiderhub.world.discovery import CallResult, Delivery, EndpointList, Registry
+from eiderhub.world.evaluation import Evaluator
 
 MAX_LONG_POLL_MS = 60_000
 OLD_ADDRESS_CLOSE_DELAY_S = 1.5  # from a move until connections to the old address are reset
--- a/eiderhub/emulator/machines.py
+++ b/eiderhub/emulator/endpoint_servers.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from eiderhub.emulator.clock import Clock
-from eiderhub.emulator.doors import Listener
+from eiderhub.emulator.listeners import Listener
 from eiderhub.http1 import Exchange
 from eiderhub.interface import Effect
 from eiderhub.world.clients import draw_call_count, draw_endpoint_work_us
@@ -22,7 +22,7 @@
     RequestEnded,
     State,
 )
-from eiderhub.world.judge import Evaluator
+from eiderhub.world.evaluation import Evaluator
 from eiderhub.world.network import Network
 
 MIN_DELAY_US = 300  # shorter delays are skipped: the lateness of a timer would exceed them
--- a/eiderhub/emulator/troubles.py
+++ b/eiderhub/emulator/fault_injection.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, Protocol
 
-from eiderhub.emulator import operators
+from eiderhub.emulator import management_client
 from eiderhub.emulator.clock import Clock
-from eiderhub.emulator.lists import DiscoveryBackend
-from eiderhub.emulator.machines import EndpointServer
+from eiderhub.emulator.discovery import DiscoveryBackend
+from eiderhub.emulator.endpoint_servers import EndpointServer
 from eiderhub.emulator.processes import Process, SupervisedSidecar
 from eiderhub.world.day import Day, Event
-from eiderhub.world.front import FrontBalancer
+from eiderhub.world.front_balancer import FrontBalancer
 from eiderhub.world.network import CutDirection, Network
 from eiderhub.world.scenario import TroubleKind
 
@@ -317,9 +317,9 @@
         deadline_s = loop.time() + timeout_s
         while loop.time() < deadline_s:
             try:
-                if (await operators.call(host, int(port), "status")).startswith("OK"):
+                if (await management_client.call(host, int(port), "status")).startswith("OK"):
                     return True
-            except operators.ManagementCallError:
+            except management_client.ManagementCallError:
                 pass  # the management port is not open yet
             await asyncio.sleep(STATUS_POLL_INTERVAL_S)
         return False
@@ -329,8 +329,8 @@
             for name in event.sidecars:
                 host, _, port = self._target.sidecars[name].management.rpartition(":")
                 try:
-                    reply = await operators.call(host, int(port), command)
-                except operators.ManagementCallError as error:
+                    reply = await management_client.call(host, int(port), command)
+                except management_client.ManagementCallError as error:
                     reply = f"ERR {error}"
                 if not reply.startswith("OK"):
                     self._target.add_note(f"{name}: {command}: {reply}")
--- a/eiderhub/emulator/wires.py
+++ b/eiderhub/emulator/fault_proxy.py
@@ -11,7 +11,7 @@
 from typing import cast
 
 from eiderhub.address import Address
-from eiderhub.emulator.doors import BACKLOG_CONNECTIONS, shut_down_listener
+from eiderhub.emulator.listeners import BACKLOG_CONNECTIONS, shut_down_listener
 from eiderhub.emulator.processes import reserve_port
 from eiderhub.http1 import ZERO_LINGER
 
--- a/eiderhub/emulator/services.py
+++ b/eiderhub/emulator/list_service.py
@@ -21,7 +21,8 @@
 
 from eiderhub.address import Address
 from eiderhub.emulator.clock import Clock
-from eiderhub.emulator.lists import AddressLookup, WaitUntil
+from eiderhub.emulator.discovery import AddressLookup, WaitUntil
+from eiderhub.emulator.fault_proxy import FaultProxy, ProxyMode
 from eiderhub.emulator.processes import (
     DeploymentError,
     Process,
@@ -30,7 +31,6 @@
     child_environment,
     reserve_port,
 )
-from eiderhub.emulator.wires import FaultProxy, ProxyMode
 from eiderhub.http1 import NoReplyError
 from eiderhub.interface import Readiness
 from eiderhub.registry import api
@@ -44,9 +44,9 @@
 )
 from eiderhub.registry.records import DiscoveryResponse, Entry, Record
 from eiderhub.registry.settings import FollowSettings
-from eiderhub.world import registry as world
+from eiderhub.world import discovery as world
 from eiderhub.world.day import Day, EndpointPlan, Event, SidecarPlan
-from eiderhub.world.judge import Evaluator
+from eiderhub.world.evaluation import Evaluator
 from eiderhub.world.network import Network
 from eiderhub.world.scenario import TroubleKind
 
--- a/eiderhub/emulator/load.py
+++ b/eiderhub/emulator/load.py
@@ -21,8 +21,8 @@
 from hdrh.histogram import HdrHistogram
 
 from eiderhub.documents import DocumentError, Fault
-from eiderhub.emulator.asking import OutgoingRequest, classify_status, render_request
 from eiderhub.emulator.clock import Clock
+from eiderhub.emulator.outgoing_request import OutgoingRequest, classify_status, render_request
 from eiderhub.http1 import ConnectionPool, Reply
 from eiderhub.interface import Effect
 from eiderhub.world.clients import End
--- a/eiderhub/scale/backends.py
+++ b/eiderhub/scale/backends.py
@@ -26,7 +26,7 @@
 
 from eiderhub.address import Address, parse_host_port
 from eiderhub.http1 import Exchange, ServerConnection
-from eiderhub.scale.alarms import PreciseTimers
+from eiderhub.scale.precise_timers import PreciseTimers
 
 HOST = "127.0.0.1"
 BACKLOG = 1024
--- a/eiderhub/scale/path.py
+++ b/eiderhub/scale/data_path_bench.py
@@ -23,9 +23,9 @@
 import numpy as np
 
 from eiderhub.address import Address
-from eiderhub.emulator.asking import OutgoingRequest, classify_status, render_request
 from eiderhub.emulator.clock import Clock
 from eiderhub.emulator.load import Pattern, require_loopback, schedule
+from eiderhub.emulator.outgoing_request import OutgoingRequest, classify_status, render_request
 from eiderhub.emulator.processes import (
     Process,
     Usage,
@@ -35,8 +35,8 @@
 )
 from eiderhub.http1 import ConnectionPool, NoReplyError, Reply, fetch
 from eiderhub.interface import Effect
-from eiderhub.scale.alarms import NS_PER_S, PreciseTimers
 from eiderhub.scale.backends import EndpointCounts, ListenAddresses, full_list
+from eiderhub.scale.precise_timers import NS_PER_S, PreciseTimers
 from eiderhub.world.clients import End
 
 REQUEST_CLASS = "look"
--- a/eiderhub/scale/decisions.py
+++ b/eiderhub/scale/decisions_bench.py
@@ -21,7 +21,7 @@
 from eiderhub.balancer import Balancer
 from eiderhub.emulator.processes import Process, create_temporary_folder, reserve_port
 from eiderhub.interface import Endpoint, ListForm, Outcome, Readiness
-from eiderhub.scale.path import (
+from eiderhub.scale.data_path_bench import (
     DEADLINE_MS,
     READY_TIMEOUT_S,
     REQUEST_CLASS,
--- a/eiderhub/scale/faults.py
+++ b/eiderhub/scale/faults.py
@@ -9,11 +9,9 @@
 
 from msgspec import structs
 
-from eiderhub.emulator.wires import ProxyMode
+from eiderhub.emulator.fault_proxy import ProxyMode
 from eiderhub.http1 import NoReplyError
 from eiderhub.registry.client import RequestRefusedError
-from eiderhub.scale.changes import Writer
-from eiderhub.scale.counts import peak_calls, sum_counts
 from eiderhub.scale.hollow import (
     LIST_EMPTIED,
     LIST_REVERTED,
@@ -23,10 +21,12 @@
     ReplaceRequest,
     SidecarIds,
 )
-from eiderhub.scale.looks import Measurement
+from eiderhub.scale.measurements import Measurement
 from eiderhub.scale.plan import Plan, SidecarSpec
+from eiderhub.scale.record_writer import Writer
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, Fault
 from eiderhub.scale.topology import Topology
+from eiderhub.scale.traffic import peak_calls, sum_counts
 
 RELEASE_STEPS = 10
 POLL_INTERVAL_S = 0.25  # between status calls to a list service
--- a/eiderhub/scale/hollow.py
+++ b/eiderhub/scale/hollow.py
@@ -36,8 +36,8 @@
 from eiderhub.registry.client import Registration, build_record, now_us
 from eiderhub.registry.records import Entry
 from eiderhub.registry.settings import FollowSettings, RegisterSettings
-from eiderhub.scale.counts import CountingLoop, TrafficCounts, running_counting_loop
 from eiderhub.scale.plan import SidecarSpec
+from eiderhub.scale.traffic import CountingLoop, TrafficCounts, running_counting_loop
 from eiderhub.settings import Setup
 from eiderhub.sidecar.clock import Alarm
 from eiderhub.sidecar.discovery import ListedEndpoint
--- a/eiderhub/scale/looks.py
+++ b/eiderhub/scale/measurements.py
@@ -11,10 +11,17 @@
 from msgspec import structs
 
 from eiderhub.registry import api
-from eiderhub.scale.counts import WRITES, TrafficCounts, counts_between, peak_calls, process_usage, sum_counts
 from eiderhub.scale.hollow import Empty, Snapshot
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, RUN, Phase, Role
 from eiderhub.scale.topology import Topology, read_own_traffic, sum_by_role
+from eiderhub.scale.traffic import (
+    WRITES,
+    TrafficCounts,
+    counts_between,
+    peak_calls,
+    process_usage,
+    sum_counts,
+)
 
 LATE_P99_INDEX = 1  # of the 99th percentile in `Snapshot.late_ms`
 
--- a/eiderhub/scale/registry_bench.py
+++ b/eiderhub/scale/registry_bench.py
@@ -23,8 +23,8 @@
 from eiderhub.registry.records import Branch, Entry, Opened, Put, Record
 from eiderhub.registry.settings import FollowSettings
 from eiderhub.registry.store import Folder, Store
-from eiderhub.scale.counts import process_usage
 from eiderhub.scale.services import READY_TIMEOUT_S, ListService, spawn
+from eiderhub.scale.traffic import process_usage
 from eiderhub.scale.watchers import WATCH_WAIT_MS, History, WatchClient, fetch_first_lists
 
 WRITERS = 64  # concurrent writes while the write rate is measured
--- a/eiderhub/scale/run.py
+++ b/eiderhub/scale/run.py
@@ -13,16 +13,16 @@
 from eiderhub.emulator.processes import cancel_on_signals
 from eiderhub.registry.client import fetch_list
 from eiderhub.registry.settings import FollowSettings
-from eiderhub.scale.changes import Writer, delay_percentiles, propagation_delays
-from eiderhub.scale.counts import machine_description
+from eiderhub.scale.data_path_bench import PathFigures, measure
 from eiderhub.scale.faults import FAULTS, RECOVERY_TIMEOUT_S, FaultRun, cut_region, fault_result
 from eiderhub.scale.hollow import CompareRequest, CompareResponse, Empty, list_digest
-from eiderhub.scale.looks import Measurement, build_phase, measure_run
-from eiderhub.scale.path import PathFigures, measure
+from eiderhub.scale.measurements import Measurement, build_phase, measure_run
 from eiderhub.scale.plan import MachineCapacity, Plan
+from eiderhub.scale.record_writer import Writer, delay_percentiles, propagation_delays
 from eiderhub.scale.result import Added, Fault, Phase, Result, Settings
 from eiderhub.scale.services import max_descriptors
 from eiderhub.scale.topology import Topology
+from eiderhub.scale.traffic import machine_description
 
 FILL = "fill"
 SETTLE_S = 1.0  # wait after the last change of a phase, until its answers have arrived
--- a/eiderhub/scale/fit.py
+++ b/eiderhub/scale/slope_fit.py
@@ -19,8 +19,8 @@
 
 from eiderhub.capacity.slopes import SLOPE_DEFINITIONS, Slope, Slopes
 from eiderhub.documents import DocumentError, Fault
-from eiderhub.scale.decisions import DecisionsResult, Sample
-from eiderhub.scale.path import RelayResult
+from eiderhub.scale.data_path_bench import RelayResult
+from eiderhub.scale.decisions_bench import DecisionsResult, Sample
 from eiderhub.scale.result import FOLLOWER, HOLLOW, MAIN, Phase, Result, Role
 
 MIN_WEIGHT_SHARE = 1e-4  # of the largest amount; smaller amounts, such as 0, get the weight of this one
--- a/eiderhub/scale/topology.py
+++ b/eiderhub/scale/topology.py
@@ -16,22 +16,15 @@
 
 from eiderhub.address import Address
 from eiderhub.documents import convert, to_human_format
+from eiderhub.emulator.fault_proxy import FaultProxy, ProxyMode
 from eiderhub.emulator.processes import Process, create_temporary_folder, reserve_port
-from eiderhub.emulator.wires import FaultProxy, ProxyMode
 from eiderhub.http1 import NoReplyError
 from eiderhub.registry import api
 from eiderhub.registry.client import RegistryClient
 from eiderhub.registry.settings import FollowSettings, RegisterSettings
 from eiderhub.scale.backends import ListenAddresses
-from eiderhub.scale.counts import (
-    TrafficCounter,
-    TrafficCounts,
-    process_usage,
-    running_counting_loop,
-    sum_counts,
-)
+from eiderhub.scale.data_path_bench import sidecar_settings
 from eiderhub.scale.hollow import Empty, ProcessConfig, Snapshot
-from eiderhub.scale.path import sidecar_settings
 from eiderhub.scale.plan import Plan, SidecarSpec
 from eiderhub.scale.services import (
     HOST,
@@ -41,6 +34,13 @@
     end_processes,
     spawn,
 )
+from eiderhub.scale.traffic import (
+    TrafficCounter,
+    TrafficCounts,
+    process_usage,
+    running_counting_loop,
+    sum_counts,
+)
 from eiderhub.sidecar.config import Bounds, Document
 
 CALL_TIMEOUT_S = 600.0  # for calls whose duration grows with the number of sidecars
--- a/eiderhub/world/judge.py
+++ b/eiderhub/world/evaluation.py
@@ -16,8 +16,8 @@
 from eiderhub.interface import Effect, Group, Readiness
 from eiderhub.world.clients import ClientRequest, End
 from eiderhub.world.day import Day, EndpointPlan, RequestClassPlan
+from eiderhub.world.discovery import EndpointList, Entry
 from eiderhub.world.endpoint import ColdOverload
-from eiderhub.world.registry import EndpointList, Entry
 
 SOCKET_SLACK_US = 50_000  # added to each time limit, because sockets delay what is observed
 # The crash of a cold endpoint is a breach when at least this share of the work that caused it came from
--- a/tests/registry_support.py
+++ b/tests/registry_support.py
@@ -13,8 +13,8 @@
 import tomli_w
 
 from eiderhub.address import Address
+from eiderhub.emulator.fault_proxy import FaultProxy
 from eiderhub.emulator.processes import Process, Usage, child_environment, reserve_port
-from eiderhub.emulator.wires import FaultProxy
 from eiderhub.http1 import NoReplyError
 from eiderhub.registry import api
 from eiderhub.registry.adoption import AdoptionResult
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,7 +12,7 @@
 import pytest
 
 from eiderhub.cli.__main__ import COMMANDS, main
-from eiderhub.emulator.operators import parse_counters
+from eiderhub.emulator.management_client import parse_counters
 
 ROOT = Path(__file__).parent.parent
 EXAMPLE = str(ROOT / "deploy" / "sidecar.toml")
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -25,9 +25,9 @@
 from eiderhub.documents import DocumentError
 from eiderhub.emulator.processes import create_temporary_folder, reserve_port
 from eiderhub.http1 import ConnectionPool, fetch
-from eiderhub.scale import backends, decisions, fit, path, result
-from eiderhub.scale.alarms import PreciseTimers
-from eiderhub.scale.fit import CONSTANT, Observation
+from eiderhub.scale import backends, data_path_bench, decisions_bench, result, slope_fit
+from eiderhub.scale.precise_timers import PreciseTimers
+from eiderhub.scale.slope_fit import CONSTANT, Observation
 
 # --- fitted lines ---
 
@@ -47,7 +47,7 @@
     rows = [
         {CONSTANT: 1.0, "endpoint": size, "entry": rng.uniform(0, 90)} for size in (15, 150, 1500, 15_000)
     ]
-    line = fit.solve(make_observations(coefficients, rows), tuple(coefficients))
+    line = slope_fit.solve(make_observations(coefficients, rows), tuple(coefficients))
     assert line.coefficients == pytest.approx(coefficients)
     assert line.spread < 1e-9
     assert line.sizes["endpoint"] == (15, 15_000)
@@ -61,7 +61,7 @@
     rows = [{CONSTANT: 1.0, "endpoint": size} for size in (15, 150, 1500, 15_000)]
     run_observations = make_observations({CONSTANT: 20.0, "endpoint": 2.0}, rows)
     run_observations[-1] = run_observations[-1]._replace(amount=run_observations[-1].amount * 1.05)
-    line = fit.solve(run_observations, (CONSTANT, "endpoint"))
+    line = slope_fit.solve(run_observations, (CONSTANT, "endpoint"))
     assert line.coefficients[CONSTANT] == pytest.approx(20.0, rel=0.15)
     assert 0.01 < line.spread < 0.05
 
@@ -69,7 +69,7 @@
 def test_negative_coefficients_are_excluded_and_the_rest_is_fitted_again() -> None:
     rows = [{CONSTANT: 1.0, "endpoint": size} for size in (10.0, 100.0, 1000.0)]
     falling = [Observation(f"run{n}", row, 100.0 - n) for n, row in enumerate(rows)]
-    line = fit.solve(falling, (CONSTANT, "endpoint"))
+    line = slope_fit.solve(falling, (CONSTANT, "endpoint"))
     assert line.coefficients["endpoint"] == 0.0
     assert line.coefficients[CONSTANT] == pytest.approx(99.0, rel=0.01)
     rng = np.random.default_rng(5)
@@ -80,14 +80,14 @@
         random_observations = [
             Observation("run", row, float(y)) for row, y in zip(rows, amounts, strict=True)
         ]
-        assert min(fit.solve(random_observations, names).coefficients.values()) >= 0
+        assert min(slope_fit.solve(random_observations, names).coefficients.values()) >= 0
 
 
 def test_spread_is_the_largest_relative_residual() -> None:
     run_observations = [
         Observation(f"run{n}", {CONSTANT: 1.0}, amount) for n, amount in enumerate((90.0, 100.0, 110.0))
     ]
-    line = fit.solve(run_observations, (CONSTANT,))
+    line = slope_fit.solve(run_observations, (CONSTANT,))
     fixed = line.coefficients[CONSTANT]
     assert line.spread == pytest.approx(max(abs(fixed - y) / y for y in (90.0, 100.0, 110.0)))
     assert line.spread > 0.08
@@ -96,7 +96,7 @@
 def test_collinear_drivers_share_a_coefficient_and_are_reported() -> None:
     rows = [{"write": n, "feed": 7 * n, "second": 10.0} for n in (20.0, 40.0, 80.0)]
     coefficients = {"write": 100.0, "feed": 10.0, "second": 5.0}
-    line = fit.solve(make_observations(coefficients, rows), tuple(coefficients))
+    line = slope_fit.solve(make_observations(coefficients, rows), tuple(coefficients))
     assert line.merged == {"feed": "write"}
     assert line.coefficients["write"] == pytest.approx(170.0)
     assert line.coefficients["feed"] == 0.0
@@ -104,11 +104,11 @@
 
 
 def test_driver_absent_from_all_runs_has_coefficient_zero() -> None:
-    line = fit.solve([Observation("run", {"second": 2.0}, 6.0)], ("second", "write"))
+    line = slope_fit.solve([Observation("run", {"second": 2.0}, 6.0)], ("second", "write"))
     assert line.coefficients == pytest.approx({"second": 3.0, "write": 0.0})
     assert line.merged == {}
-    with pytest.raises(fit.FitError):
-        fit.solve([], ("second",))
+    with pytest.raises(slope_fit.FitError):
+        slope_fit.solve([], ("second",))
 
 
 # --- complete documents ---
@@ -223,44 +223,44 @@
     )  # fmt: skip
 
 
-def leg(p99_ms: float) -> path.Leg:
-    return path.Leg(1000, 1000, 0, 0, path.LatencyPercentiles(0.5, p99_ms, p99_ms))
+def leg(p99_ms: float) -> data_path_bench.Leg:
+    return data_path_bench.Leg(1000, 1000, 0, 0, data_path_bench.LatencyPercentiles(0.5, p99_ms, p99_ms))
 
 
-def relay_run() -> path.RelayResult:
+def relay_run() -> data_path_bench.RelayResult:
     steps = [
-        path.Step(
+        data_path_bench.Step(
             rate=rate,
             seconds=10.0,
             sidecar=msgspec.structs.replace(leg(1.0 + added), sent=int(rate * 10)),
             relay=leg(1.1),
             direct=leg(1.0),
-            over_direct=path.LatencyPercentiles(0.2, added, added),
-            over_relay=path.LatencyPercentiles(0.1, added, added),
+            over_direct=data_path_bench.LatencyPercentiles(0.2, added, added),
+            over_relay=data_path_bench.LatencyPercentiles(0.1, added, added),
             sidecar_cpu_us_per_call=300.0 + 5000.0 / rate,
             relay_cpu_us_per_call=40.0,
             sidecar_cpu_share=0.1,
             connections={},
             connections_per_1000={},
-            late=path.LatencyPercentiles(0.1, 0.1, 0.1),
+            late=data_path_bench.LatencyPercentiles(0.1, 0.1, 0.1),
             endpoints_late_p99_ms=0.1,
         )
         for rate, added in ((116.0, 0.4), (400.0, 0.7))
     ]
-    return path.RelayResult(
+    return data_path_bench.RelayResult(
         revision="abc1234", machine="8 cores", measured="2030-01-01", settings={}, idle_cpu_us_per_s=2500.0,
         memory_mb=30.0, steps=steps,
     )  # fmt: skip
 
 
-def decisions_run() -> decisions.DecisionsResult:
-    return decisions.DecisionsResult(
+def decisions_run() -> decisions_bench.DecisionsResult:
+    return decisions_bench.DecisionsResult(
         revision="abc1234",
         machine="8 cores",
         measured="2030-01-02",
         settings={},
         samples=[
-            decisions.Sample(
+            decisions_bench.Sample(
                 size=size,
                 order_us=20.0 + 0.001 * size,
                 delta_us=DELTA_US[0] + DELTA_US[1] * size,
@@ -271,7 +271,7 @@
             )
             for size in (15, 150, 1500)
         ],
-        memory=[decisions.Memory(size, 29.0 + 0.003 * size) for size in (15, 150, 1500)],
+        memory=[decisions_bench.Memory(size, 29.0 + 0.003 * size) for size in (15, 150, 1500)],
     )
 
 
@@ -298,7 +298,7 @@
 
 
 def test_slopes_of_synthetic_runs_match_their_coefficients(tmp_path: Path) -> None:
-    fitted = fit.Fit(fit.read(write_all_runs(tmp_path)))
+    fitted = slope_fit.Fit(slope_fit.read(write_all_runs(tmp_path)))
     found = fitted.slopes().slopes
     assert fitted.notes == []
     expected: dict[str, tuple[float, dict[str, float]]] = {
@@ -354,14 +354,16 @@
             roles = {**phase.roles, "main": msgspec.structs.replace(main, cpu_s=main.cpu_s + extra_us / 1e6)}
             phases.append(msgspec.structs.replace(phase, roles=roles))
         runs.append(msgspec.structs.replace(run, phases=phases))
-    fitted = fit.Fit(fit.read(write_results(tmp_path, **{f"n{n}": run for n, run in enumerate(runs)})))
+    fitted = slope_fit.Fit(
+        slope_fit.read(write_results(tmp_path, **{f"n{n}": run for n, run in enumerate(runs)}))
+    )
     record_counts = tuple(f"{count} and record" for count in ("second", "write"))
     with monkeypatch.context() as without_records:
-        without_records.setattr(fit, "RECORD_COUNTS", ())
-        without_records.setattr(fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed"))
-        plain = fit.Fit(fit.read(list(tmp_path.glob("*.json")))).role_line("main cpu")
-    monkeypatch.setattr(fit, "RECORD_COUNTS", record_counts)
-    monkeypatch.setattr(fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed", *record_counts))
+        without_records.setattr(slope_fit, "RECORD_COUNTS", ())
+        without_records.setattr(slope_fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed"))
+        plain = slope_fit.Fit(slope_fit.read(list(tmp_path.glob("*.json")))).role_line("main cpu")
+    monkeypatch.setattr(slope_fit, "RECORD_COUNTS", record_counts)
+    monkeypatch.setattr(slope_fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed", *record_counts))
     found = fitted._service_slopes()
     assert found["main.idle"].per == pytest.approx({"record": record_second_us}, rel=0.02)
     assert found["main.write"].per == pytest.approx({"record": record_write_us}, rel=0.02)
@@ -397,11 +399,11 @@
 
 
 def test_prediction_for_a_larger_size_matches_its_run(tmp_path: Path) -> None:
-    runs = fit.read(
+    runs = slope_fit.read(
         write_results(tmp_path, **{f"n{n}": scale_run(n, 3, n, changes=300) for n in (250, 500, 1000)})
     )
-    predicted = fit.Fit(runs).predict(4000)
-    measured = fit.outcome(scale_run(4000, 3, 9, changes=300))
+    predicted = slope_fit.Fit(runs).predict(4000)
+    measured = slope_fit.outcome(scale_run(4000, 3, 9, changes=300))
     assert predicted.keys() == measured.keys()
     exact = [
         "main memory mb",
@@ -451,8 +453,8 @@
     single_rate = relay_run()
     single_rate = msgspec.structs.replace(single_rate, steps=single_rate.steps[:1])
     paths = [each for each in write_all_runs(tmp_path) if each.stem != "relay"]
-    fitted = fit.Fit(fit.read([*paths, *write_results(tmp_path, one=single_rate)]))
-    with pytest.raises(fit.FitError, match="two rates"):
+    fitted = slope_fit.Fit(slope_fit.read([*paths, *write_results(tmp_path, one=single_rate)]))
+    with pytest.raises(slope_fit.FitError, match="two rates"):
         fitted.slopes()
 
 
@@ -461,7 +463,7 @@
     file = tmp_path / "odd.json"
     file.write_text(text, encoding="utf-8")
     with pytest.raises(DocumentError) as error:
-        fit.read([file])
+        slope_fit.read([file])
     assert len(error.value.fault_lines()) == 1 and str(file) in error.value.fault_lines()[0]
     done = run_command("slopes", str(file))
     assert done.returncode == 2 and str(file) in done.stderr and "Traceback" not in done.stderr
@@ -469,7 +471,7 @@
 
 def test_missing_result_file_is_reported(tmp_path: Path) -> None:
     with pytest.raises(DocumentError, match=r"none\.json"):
-        fit.read([tmp_path / "none.json"])
+        slope_fit.read([tmp_path / "none.json"])
 
 
 def run_command(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -485,12 +487,12 @@
 
 
 def test_call_schedule_is_deterministic_for_a_seed() -> None:
-    due_ns, legs = path.due_times(3, 116.0, 5.0, 7)
-    due_again_ns, legs_again = path.due_times(3, 116.0, 5.0, 7)
+    due_ns, legs = data_path_bench.due_times(3, 116.0, 5.0, 7)
+    due_again_ns, legs_again = data_path_bench.due_times(3, 116.0, 5.0, 7)
     assert np.array_equal(due_ns, due_again_ns) and np.array_equal(legs, legs_again)
     assert np.all(np.diff(due_ns) >= 0)
     assert set(legs) == {0, 1, 2}
-    other_due_ns, _ = path.due_times(3, 116.0, 5.0, 8)
+    other_due_ns, _ = data_path_bench.due_times(3, 116.0, 5.0, 8)
     assert not np.array_equal(due_ns, other_due_ns)
     for leg_number in range(3):  # each leg has its own Poisson process with this rate
         leg_due_ns = due_ns[legs == leg_number]
@@ -539,17 +541,17 @@
         str(out),
     )
     assert done.returncode == 0, done.stderr
-    found = msgspec.json.decode(out.read_bytes(), type=path.RelayResult)
+    found = msgspec.json.decode(out.read_bytes(), type=data_path_bench.RelayResult)
     (step,) = found.steps
-    due_ns, legs = path.due_times(3, 30.0, 1.0, 1)
-    for number, leg_name in enumerate(path.LEGS):
-        counted: path.Leg = getattr(step, leg_name)
+    due_ns, legs = data_path_bench.due_times(3, 30.0, 1.0, 1)
+    for number, leg_name in enumerate(data_path_bench.LEGS):
+        counted: data_path_bench.Leg = getattr(step, leg_name)
         assert counted.sent == counted.served == int(np.sum(legs == number)) > 0, leg_name
         assert counted.refused == counted.failed == 0
         assert counted.times is not None and counted.times.p50_ms >= 0.3  # the endpoints' service time
         # Connections are reused, so that there are at most as many as calls.
         assert 0 <= step.connections[leg_name] <= counted.sent
-    assert len(due_ns) == sum(getattr(step, leg_name).sent for leg_name in path.LEGS)
+    assert len(due_ns) == sum(getattr(step, leg_name).sent for leg_name in data_path_bench.LEGS)
     assert step.sidecar_cpu_us_per_call > 0 and step.relay_cpu_us_per_call > 0
     assert step.over_direct is not None and step.over_relay is not None
     assert found.memory_mb > 5 and found.idle_cpu_us_per_s > 0
@@ -557,11 +559,13 @@
 
 def test_endpoint_connections_are_counted_per_leg() -> None:
     async def check(folder: Path) -> None:
-        process, addresses = await path.start_backends(folder, "endpoints", "endpoints", "2", "3", "0")
-        relay, relay_addresses = await path.start_backends(
+        process, addresses = await data_path_bench.start_backends(
+            folder, "endpoints", "endpoints", "2", "3", "0"
+        )
+        relay, relay_addresses = await data_path_bench.start_backends(
             folder, "relay", "relay", *map(str, addresses.sets[1])
         )
-        callers = path.Callers({"direct": addresses.sets[0], "relay": relay_addresses.sets[0]})
+        callers = data_path_bench.Callers({"direct": addresses.sets[0], "relay": relay_addresses.sets[0]})
         try:
             async with asyncio.timeout(30):
                 legs, _ = await callers.run_load(60.0, 0.5, 3)
@@ -573,7 +577,7 @@
                 counts_again = await fetch_counts(addresses)
         finally:
             callers.close()
-            await path.stop_processes([relay, process])
+            await data_path_bench.stop_processes([relay, process])
         assert legs["direct"].served == legs["direct"].sent == counts.answered[0] > 0
         assert legs["relay"].served == legs["relay"].sent == counts.answered[1] > 0
         assert counts.accepted == opened and all(
@@ -598,15 +602,19 @@
 
 
 def test_measure_separates_target_and_direct_calls_and_counts_failures() -> None:
-    async def check(folder: Path) -> path.PathFigures:
-        process, addresses = await path.start_backends(folder, "endpoints", "endpoints", "1", "2", "0")
+    async def check(folder: Path) -> data_path_bench.PathFigures:
+        process, addresses = await data_path_bench.start_backends(
+            folder, "endpoints", "endpoints", "1", "2", "0"
+        )
         reserved_socket = reserve_port("127.0.0.1")  # bound, but not listening
         try:
             async with asyncio.timeout(30):
-                return await path.measure([reserved_socket.getsockname()], addresses.sets[0], 50.0, 0.5, 1)
+                return await data_path_bench.measure(
+                    [reserved_socket.getsockname()], addresses.sets[0], 50.0, 0.5, 1
+                )
         finally:
             reserved_socket.close()
-            await path.stop_processes([process])
+            await data_path_bench.stop_processes([process])
 
     folder = create_temporary_folder()
     try:
@@ -622,7 +630,7 @@
 def test_measure_rejects_addresses_outside_loopback() -> None:
     async def check() -> None:
         with pytest.raises(ValueError, match="loopback"):
-            await path.measure([("10.0.0.1", 80)], [("127.0.0.1", 80)], 1.0, 0.1, 1)
+            await data_path_bench.measure([("10.0.0.1", 80)], [("127.0.0.1", 80)], 1.0, 0.1, 1)
 
     asyncio.run(check())
 
@@ -662,7 +670,7 @@
     out = tmp_path / "decisions.json"
     done = run_command("decisions", "--sizes", "30,3", "--repeats", "2", "--json", str(out))
     assert done.returncode == 0, done.stderr
-    found = msgspec.json.decode(out.read_bytes(), type=decisions.DecisionsResult)
+    found = msgspec.json.decode(out.read_bytes(), type=decisions_bench.DecisionsResult)
     assert [each.size for each in found.samples] == [3, 3, 30, 30]
     assert [each.size for each in found.memory] == [3, 30]
     for sample in found.samples:
@@ -673,11 +681,11 @@
 
 
 def test_decisions_driver_completes_every_call() -> None:
-    driver = decisions._Driver(12, 12, 1)
+    driver = decisions_bench._Driver(12, 12, 1)
     for _ in range(3):
         driver.run_second()
     assert driver.refused == 0
-    assert driver.attempts == 3 * decisions.INSTANTS_PER_S * decisions.CALLS_PER_INSTANT
+    assert driver.attempts == 3 * decisions_bench.INSTANTS_PER_S * decisions_bench.CALLS_PER_INSTANT
     assert not driver.open_calls
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,7 +21,8 @@
 from eiderhub.address import Address
 from eiderhub.documents import DocumentError
 from eiderhub.emulator.deployment import Deployment, DeploymentError, Result
-from eiderhub.emulator.doors import Listener
+from eiderhub.emulator.fault_proxy import FaultProxy, ProxyMode
+from eiderhub.emulator.listeners import Listener
 from eiderhub.emulator.load import (
     LoadRun,
     Pattern,
@@ -32,7 +33,6 @@
     schedule,
 )
 from eiderhub.emulator.processes import child_environment
-from eiderhub.emulator.wires import FaultProxy, ProxyMode
 from eiderhub.interface import Effect
 from eiderhub.world.clients import End
 from eiderhub.world.day import draw_day
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -22,9 +22,9 @@
 import pytest
 
 from eiderhub.address import parse_host_port
-from eiderhub.emulator import operators
+from eiderhub.emulator import management_client
+from eiderhub.emulator.fault_proxy import ProxyMode
 from eiderhub.emulator.processes import Process, Usage, child_environment, reserve_port
-from eiderhub.emulator.wires import ProxyMode
 from eiderhub.http1 import ConnectionPool, NoReplyError, fetch
 from eiderhub.registry import api, stored_list
 from eiderhub.registry.adoption import (
@@ -618,8 +618,10 @@
                 management_address = parse_host_port(management)
 
                 async def listed_hosts() -> int:
-                    answer = await operators.call(management_address.host, management_address.port, "stats")
-                    found = operators.parse_counters(answer)
+                    answer = await management_client.call(
+                        management_address.host, management_address.port, "stats"
+                    )
+                    found = management_client.parse_counters(answer)
                     assert "svc.list_age_ms" in found
                     return found["svc.hosts_listed"]
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -17,15 +17,6 @@
 from eiderhub.cli.capacity import read_fleet
 from eiderhub.registry.records import Entry
 from eiderhub.scale import result as results
-from eiderhub.scale.changes import delay_percentiles
-from eiderhub.scale.counts import (
-    CountingLoop,
-    TrafficCounter,
-    TrafficCounts,
-    counts_between,
-    peak_calls,
-    sum_counts,
-)
 from eiderhub.scale.hollow import LIST_EMPTIED, LIST_REVERTED, Change, delay_ms, list_digest
 from eiderhub.scale.plan import (
     MachineCapacity,
@@ -39,8 +30,17 @@
     memory_mb,
     scale_down,
 )
+from eiderhub.scale.record_writer import delay_percentiles
 from eiderhub.scale.result import HOLLOW, MAIN, REAL, Phase, Result
 from eiderhub.scale.run import Run
+from eiderhub.scale.traffic import (
+    CountingLoop,
+    TrafficCounter,
+    TrafficCounts,
+    counts_between,
+    peak_calls,
+    sum_counts,
+)
 
 FLEET = read_fleet(Path(__file__).resolve().parents[1] / "deploy" / "fleet.toml")
 LARGE_MACHINE = MachineCapacity(memory_mb=1e6, descriptors=1_000_000, ports=1_000_000)
--- a/tests/test_settling.py
+++ b/tests/test_settling.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 
 from eiderhub.address import Address
+from eiderhub.emulator.fault_proxy import FaultProxy
 from eiderhub.emulator.processes import reserve_port
-from eiderhub.emulator.wires import FaultProxy
 from tests.sidecar_support import SETUP, Client, instance_entry, read_message, run, start_process
 
 CALLERS, CALLS = 4, 300
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -16,6 +16,7 @@
 from eiderhub.world import scenario as scenarios
 from eiderhub.world.clients import ClientRequest, End, draw_requests, next_try_us, try_timeout_us
 from eiderhub.world.day import US_PER_S, Day, draw_day
+from eiderhub.world.discovery import Delivery, EndpointList, Registry
 from eiderhub.world.endpoint import (
     ColdOverload,
     Endpoint,
@@ -25,10 +26,9 @@
     RequestEnded,
     State,
 )
-from eiderhub.world.front import FrontBalancer
-from eiderhub.world.judge import Evaluator, InterruptedOutcome
+from eiderhub.world.evaluation import Evaluator, InterruptedOutcome
+from eiderhub.world.front_balancer import FrontBalancer
 from eiderhub.world.processor import Processor
-from eiderhub.world.registry import Delivery, EndpointList, Registry
 
 
 def day(name: str = "calm", seed: int = 3) -> Day:
--- a/tests/test_zone_orders.py
+++ b/tests/test_zone_orders.py
@@ -15,8 +15,8 @@
 from hypothesis import strategies as st
 
 from eiderhub.address import Address
+from eiderhub.emulator.fault_proxy import FaultProxy, ProxyMode
 from eiderhub.emulator.processes import Process, Usage, child_environment, reserve_port
-from eiderhub.emulator.wires import FaultProxy, ProxyMode
 from eiderhub.http1 import ConnectionPool, Exchange, NoReplyError, ServerConnection, fetch
 from eiderhub.registry import api
 from eiderhub.registry.core import Core, Decision
