--- a/eiderhub/__init__.py
+++ b/eiderhub/__init__.py
@@ -1,7 +1,7 @@
 """eiderhub: load-balancing decisions for services that call services.
 
-What is named here is imported when it is first asked for: programs that decide nothing, as the tier's control
-and storage nodes, come up sooner without the decisions.
+The public names are imported on first use. Programs that make no decisions, such as the control and storage
+nodes of the tier, start faster without the modules of the balancer.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import the module that has the name, for whoever asks for it first."""
+    """Import the module that defines a public name, on its first use."""
     if name not in __all__:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     module = import_module("eiderhub.balancer" if name == "Balancer" else "eiderhub.interface")
--- a/tests/golden/__init__.py
+++ b/tests/golden/__init__.py
@@ -1,5 +1,5 @@
-"""What earlier landings wrote: frames of each message, stores, and the messages' definitions as they were.
+"""Data recorded from older revisions: frames of each message, stores, and the definitions of messages.
 
-Each landing has a folder named after its revision. `python -m tests.golden.record REVISION` makes it, from
-the revision's own source; nothing in it is ever changed by hand.
+Each revision has a folder with its name, which `python -m tests.golden.record REVISION` creates from the
+source of that revision. The files in it are never changed by hand.
 """
--- a/tests/golden/landings.py
+++ b/tests/golden/landings.py
@@ -1,4 +1,4 @@
-"""Reads what was recorded of earlier landings: definitions, frames, stores."""
+"""Loads the data recorded from older revisions: definitions, frames, stores."""
 
 from __future__ import annotations
 
@@ -15,7 +15,8 @@
 
 from eiderhub.coordination.wire import DEFAULT_SUPPORT, WireSupport
 
-FOLDER = Path(__file__).parent
+GOLDEN_FOLDER = Path(__file__).parent
+# In the order of their imports.
 DEFINITIONS = (
     "wire",
     "forms",
@@ -23,26 +24,26 @@
     "control",
     "batch",
     "records",
-)  # in the order of their imports
-IMPORTED = re.compile(r"eiderhub\.coordination\.(wire|forms)")
+)
+VERSIONED_IMPORT = re.compile(r"eiderhub\.coordination\.(wire|forms)")
 
 
-class Landing(NamedTuple):
-    """One landing; `definitions` are its modules as they were, by name."""
+class RecordedRevision(NamedTuple):
+    """One revision; `definitions` are the modules with its definitions, by name."""
 
     name: str
     definitions: dict[str, ModuleType]
     frames: dict[str, dict[str, Any]]
 
     @property
-    def support(self) -> WireSupport:
-        """What its programs say that they speak, in today's terms."""
+    def declared_support(self) -> WireSupport:
+        """The wire support that its programs declare, as the current class."""
         wire = self.definitions.get("wire")
         return WireSupport(wire.OWN_SUPPORT.version, wire.OWN_SUPPORT.features) if wire else DEFAULT_SUPPORT
 
     @property
     def messages(self) -> Any:
-        """The union of all its messages."""
+        """The union of its message types."""
         modules = self.definitions
         return (
             modules["coordination"].ReplicaMessage
@@ -51,30 +52,30 @@
         )
 
     def decoder(self) -> msgspec.msgpack.Decoder[Any]:
-        """Its decoder of frames' bodies."""
+        """A decoder of frame bodies with its definitions."""
         return msgspec.msgpack.Decoder(self.messages)
 
     def store(self, role: str) -> bytes:
-        """The file of a store that its programs wrote."""
-        return gzip.decompress((FOLDER / self.name / f"{role}.lmdb.gz").read_bytes())
+        """The file of the store that a program of this role wrote."""
+        return gzip.decompress((GOLDEN_FOLDER / self.name / f"{role}.lmdb.gz").read_bytes())
 
 
-def _load(landing: str, name: str) -> ModuleType:
-    """Make a module of a definition's text, under a name of its own."""
-    prefix = "golden_" + landing.replace("-", "_")
+def _load_definitions(revision: str, name: str) -> ModuleType:
+    """Create a module from the recorded text of a definition, under a unique name."""
+    prefix = "golden_" + revision.replace("-", "_")
     module = ModuleType(f"{prefix}_{name}")
     sys.modules[module.__name__] = module  # msgspec looks up the names of annotations there
-    text = IMPORTED.sub(rf"{prefix}_\1", (FOLDER / landing / f"{name}.txt").read_text())
-    exec(compile(text, f"{landing}/{name}.txt", "exec"), module.__dict__)
+    text = VERSIONED_IMPORT.sub(rf"{prefix}_\1", (GOLDEN_FOLDER / revision / f"{name}.txt").read_text())
+    exec(compile(text, f"{revision}/{name}.txt", "exec"), module.__dict__)
     return module
 
 
 @cache
-def load(name: str) -> Landing:
-    """A landing by the name of its folder."""
-    present = [each for each in DEFINITIONS if (FOLDER / name / f"{each}.txt").exists()]
-    definitions = {each: _load(name, each) for each in present}
-    return Landing(name, definitions, json.loads((FOLDER / name / "frames.json").read_text()))
+def load(name: str) -> RecordedRevision:
+    """The revision with this folder name."""
+    present = [each for each in DEFINITIONS if (GOLDEN_FOLDER / name / f"{each}.txt").exists()]
+    definitions = {each: _load_definitions(name, each) for each in present}
+    return RecordedRevision(name, definitions, json.loads((GOLDEN_FOLDER / name / "frames.json").read_text()))
 
 
-NAMES = sorted(folder.name for folder in FOLDER.glob("landing-*"))
+REVISION_NAMES = sorted(folder.name for folder in GOLDEN_FOLDER.glob("landing-*"))
--- a/tests/golden/rule.py
+++ b/tests/golden/rule.py
@@ -1,4 +1,4 @@
-"""The rule of docs/upgrades.md: how a message or a record may differ from an earlier landing's."""
+"""The compatibility rule of docs/upgrades.md: how messages and records may differ between revisions."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 Struct = type[msgspec.Struct]
 
 
-def nested(kinds: list[Struct]) -> dict[str, type]:
-    """The structs and enumerations that stand in fields of these, themselves included, by name."""
+def nested_types(kinds: list[Struct]) -> dict[str, type]:
+    """These types and all structs and enumerations in their fields, by name."""
     found: dict[str, type] = {}
-    waiting: list[Any] = list(kinds)
-    while waiting:
-        kind = waiting.pop()
-        waiting += typing.get_args(kind)
+    pending: list[Any] = list(kinds)
+    while pending:
+        kind = pending.pop()
+        pending += typing.get_args(kind)
         if not isinstance(kind, type) or kind.__name__ in found:
             continue
         if issubclass(kind, Enum):
             found[kind.__name__] = kind
         elif issubclass(kind, msgspec.Struct):
             found[kind.__name__] = kind
-            waiting += typing.get_type_hints(kind).values()
+            pending += typing.get_type_hints(kind).values()
     return found
 
 
-def _name(annotation: Any) -> str:
-    """A field's type, as it reads; modules left out, so that two landings' are the same."""
+def _type_name(annotation: Any) -> str:
+    """The name of a field's type without modules, so that types of two revisions compare equal."""
     arguments = typing.get_args(annotation)
     if not arguments:
         return getattr(annotation, "__name__", str(annotation))
     origin = typing.get_origin(annotation)
-    return f"{getattr(origin, '__name__', origin)}[{', '.join(sorted(map(_name, arguments)))}]"
+    return f"{getattr(origin, '__name__', origin)}[{', '.join(sorted(map(_type_name, arguments)))}]"
 
 
 def struct_faults(older: Struct, newer: Struct) -> list[str]:
-    """How one definition breaks the rule."""
+    """The violations of the rule by one struct."""
     name = older.__name__
     if older.__struct_config__.tag != newer.__struct_config__.tag:
-        return [f"{name}: its tag has changed"]
+        return [f"{name}: the tag was changed"]
     if older.__struct_config__.array_like != newer.__struct_config__.array_like:
-        return [f"{name}: it is written in another way"]
+        return [f"{name}: the encoding (array_like) was changed"]
     faults = []
     old_fields, new_fields = msgspec.structs.fields(older), msgspec.structs.fields(newer)
     old_hints, new_hints = typing.get_type_hints(older), typing.get_type_hints(newer)
@@ -54,65 +54,70 @@
     for old in old_fields:
         new = known.get(old.name)
         if new is None:
-            faults.append(f"{name}.{old.name}: it is gone")
-        elif _name(old_hints[old.name]) != _name(new_hints[old.name]):
-            faults.append(f"{name}.{old.name}: it has another type")
+            faults.append(f"{name}.{old.name}: the field was removed")
+        elif _type_name(old_hints[old.name]) != _type_name(new_hints[old.name]):
+            faults.append(f"{name}.{old.name}: the type was changed")
         elif old.required != new.required or old.default != new.default:
-            if not _same_value(old.default, new.default):
-                faults.append(f"{name}.{old.name}: it has another default")
+            if not _is_same_default(old.default, new.default):
+                faults.append(f"{name}.{old.name}: the default was changed")
     old_names = [field.name for field in old_fields]
     faults += [
-        f"{name}.{f.name}: it has no default" for f in new_fields if f.required and f.name not in old_names
+        f"{name}.{f.name}: the new field has no default"
+        for f in new_fields
+        if f.required and f.name not in old_names
     ]
     if older.__struct_config__.array_like and [f.name for f in new_fields][: len(old_names)] != old_names:
-        faults.append(f"{name}: its fields have another order")
+        faults.append(f"{name}: the order of the fields was changed")
     return faults
 
 
-def _same_value(old: Any, new: Any) -> bool:
-    """Defaults of two landings are of different classes."""
+def _is_same_default(old: Any, new: Any) -> bool:
+    """Compare defaults by their text: the classes of two revisions differ."""
     return repr(old) == repr(new)
 
 
 def enum_faults(older: type[Enum], newer: type[Enum]) -> list[str]:
-    """How an enumeration breaks the rule."""
+    """The violations of the rule by an enumeration."""
     name = older.__name__
     values = {each.value for each in newer}
-    faults = [f"{name}.{each.name}: it is gone" for each in older if each.value not in values]
+    faults = [f"{name}.{each.name}: the value was removed" for each in older if each.value not in values]
     added = values - {each.value for each in older}
     if added and not _tolerates_unknown(older):
-        faults.append(f"{name}: {', '.join(sorted(added))} would end the session of an older program")
+        faults.append(f"{name}: {', '.join(sorted(added))} would close the session of an older program")
     return faults
 
 
 def _tolerates_unknown(kind: type[Enum]) -> bool:
     try:
-        kind("a word that no program knows")
+        kind("a value that no program knows")
     except ValueError:
         return False
     return True
 
 
 def definition_faults(older: list[Struct], newer: list[Struct]) -> list[str]:
-    """How definitions break the rule, those of their fields included."""
-    old, new = nested(older), nested(newer)
+    """The violations of the rule by definitions, including the types of their fields."""
+    old, new = nested_types(older), nested_types(newer)
     faults = []
     for name, kind in old.items():
-        now = new.get(name)
-        if now is None:
-            faults.append(f"{name}: it is gone")
+        newer_kind = new.get(name)
+        if newer_kind is None:
+            faults.append(f"{name}: the type was removed")
         elif issubclass(kind, Enum):
-            faults += enum_faults(kind, typing.cast("type[Enum]", now))
+            faults += enum_faults(kind, typing.cast("type[Enum]", newer_kind))
         else:
-            faults += struct_faults(typing.cast(Struct, kind), typing.cast(Struct, now))
+            faults += struct_faults(typing.cast(Struct, kind), typing.cast(Struct, newer_kind))
     return sorted(faults)
 
 
 def message_faults(older: Any, newer: Any, required: dict[type, Feature]) -> list[str]:
-    """How the messages of a union break the rule; `required`: what a peer must have said for each."""
+    """The violations of the rule by the messages of a union.
+
+    `required`: the feature that a peer must have declared to be sent a message type.
+    """
     old, new = union_types(older), union_types(newer)
     names = {kind.__name__ for kind in old}
     added = [kind for kind in new if kind.__name__ not in names]
-    ungated = [f"{kind.__name__}: it is new, and sent to peers that have not said they take it"
+    ungated = [f"{kind.__name__}: the new message is sent to peers that have not declared support for it"
                for kind in added if kind not in required]  # fmt: skip
     return definition_faults(old, [kind for kind in new if kind not in added]) + ungated
--- a/tests/golden/samples.py
+++ b/tests/golden/samples.py
@@ -1,6 +1,6 @@
-"""Samples of each message type of whatever source is on the path, made from the types of their fields.
+"""Creates samples of each message type of the source that is on the path, from the types of their fields.
 
-Run as a program it prints the frames of all of them: the recorder starts it on an older source.
+Run as a program, it prints the frames of all samples; the recorder runs it on the source of older revisions.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 def union_types(union: Any) -> list[type[msgspec.Struct]]:
-    """The structs of a union, without those that stand in it twice."""
+    """The structs of a union, without duplicates."""
     return list(dict.fromkeys(typing.get_args(union)))
 
 
 def sample(kind: Any, full: bool) -> Any:
-    """A value of a type; `full`: every field is given, also those that have defaults."""
+    """A value of a type; if `full`, fields with defaults are set too."""
     if kind in PLAIN:
         return PLAIN[kind]
     origin, arguments = typing.get_origin(kind), typing.get_args(kind)
@@ -44,18 +44,18 @@
 
 
 def struct_sample(kind: type[msgspec.Struct], full: bool) -> msgspec.Struct:
-    """One message or record."""
+    """A message or record of this type."""
     hints = typing.get_type_hints(kind)
-    given = {
+    values = {
         field.name: sample(hints[field.name], full)
         for field in msgspec.structs.fields(kind)
         if full or field.required
     }
-    return kind(**given)
+    return kind(**values)
 
 
-def samples(unions: list[Any]) -> Iterator[tuple[str, msgspec.Struct]]:
-    """Each type of the unions, once with all fields and once with the required ones alone."""
+def iterate_samples(unions: list[Any]) -> Iterator[tuple[str, msgspec.Struct]]:
+    """Each type of the unions, once with all fields and once with the required fields only."""
     for union in unions:
         for kind in union_types(union):
             for name, full in (("full", True), ("least", False)):
@@ -63,7 +63,7 @@
 
 
 def message_unions() -> list[Any]:
-    """Those of the source that is on the path."""
+    """The message unions of the source that is on the path."""
     from eiderhub.batch.messages import BatchMessage
     from eiderhub.control.messages import SessionMessage
     from eiderhub.coordination.messages import ReplicaMessage
@@ -71,15 +71,15 @@
     return [ReplicaMessage, SessionMessage, BatchMessage]
 
 
-def frames() -> dict[str, Any]:
-    """By name: the frame's body, and the message as plain values."""
+def sample_frames() -> dict[str, Any]:
+    """By sample name: the body of the frame, and the message as plain values."""
     encode = msgspec.msgpack.Encoder().encode
     return {
         name: {"body": encode(message).hex(), "values": msgspec.to_builtins(message)}
-        for name, message in samples(message_unions())
+        for name, message in iterate_samples(message_unions())
     }
 
 
 if __name__ == "__main__":
     sys.path.insert(0, str(Path.cwd()))
-    print(json.dumps(frames(), indent=1))
+    print(json.dumps(sample_frames(), indent=1))
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -30,12 +30,12 @@
 
 
 def test_log_line_gives_the_largest_state_that_is_repaired_in_time() -> None:
-    kept, line = check_catch_up_bound(4.7, timing_for(4.7), LINK_MBPS, 10_000_000)
-    assert kept and line == "repairs keep bounds.catch_up_s 4.7 up to a state of 270 MB"
-    kept, line = check_catch_up_bound(4.7, timing_for(4.7), LINK_MBPS, 300_000_000)
-    assert not kept and "not kept: a repair takes 5.1 s with a state of 300 MB" in line
-    kept, line = check_catch_up_bound(1.0, timing_for(1.0), LINK_MBPS, 0)
-    assert not kept and line == "bounds.catch_up_s 1 is not kept: a repair takes 1.2 s at least"
+    is_met, line = check_catch_up_bound(4.7, timing_for(4.7), LINK_MBPS, 10_000_000)
+    assert is_met and line == "repairs keep bounds.catch_up_s 4.7 up to a state of 270 MB"
+    is_met, line = check_catch_up_bound(4.7, timing_for(4.7), LINK_MBPS, 300_000_000)
+    assert not is_met and "not kept: a repair takes 5.1 s with a state of 300 MB" in line
+    is_met, line = check_catch_up_bound(1.0, timing_for(1.0), LINK_MBPS, 0)
+    assert not is_met and line == "bounds.catch_up_s 1 is not kept: a repair takes 1.2 s at least"
     assert len(line.splitlines()) == 1
 
 
