--- a/tests/soak/account.py
+++ b/tests/soak/account.py
@@ -1,18 +1,21 @@
-"""What a soak owes at its end: each request answered once, each item listed once, each change read back."""
+"""Checks at the end of a soak: each request is answered once, each item has one result, changes persist."""
 
 from __future__ import annotations
 
 from typing import Any, NamedTuple
 
-from tests.soak.clients import End, Reply
-from tests.soak.endpoints import POISON, Runs, text_of
+from tests.soak.clients import Outcome, Reply
+from tests.soak.endpoints import POISON_SUFFIX, ExecutionLog, item_text
 
-CROSSING_S = 0.25  # a close may cross a request that is sent so shortly before it
-TOUCHED_S = 6.0  # a sidecar that was killed or stood still less than this before a request is excused
+CLOSE_RACE_S = 0.25  # a request that is sent less than this before a close may cross with it
+INTERRUPTION_MARGIN_S = 6.0  # before and after an interruption, in which lost requests are excused
 
 
 class Request(NamedTuple):
-    """One live request: `once` may run once, `whole` again, `live` is a stream that may be resumed."""
+    """One live request.
+
+    Kinds are `once` (not idempotent), `whole` (idempotent) and `live` (a stream that can be resumed).
+    """
 
     id: str
     kind: str
@@ -22,38 +25,40 @@
     reply: Reply
 
 
-class Lot:
-    """One batch job as its client knows it."""
+class BatchJob:
+    """One batch job from the view of its client."""
 
-    def __init__(self, job: str, items: list[str]) -> None:
-        self.job = job
+    def __init__(self, job_id: str, items: list[str]) -> None:
+        self.id = job_id
         self.items = items
         self.accepted = False
-        self.ended = False  # its end was asked for
-        self.promised = True  # every answer so far was a promise that nothing of it runs
-        self.read: dict[int, tuple[str, str, str]] = {}  # by position
+        self.cancelled = False  # its client has requested its end
+        self.always_refused = True  # each submission got an answer that excludes execution
+        self.results: dict[int, tuple[str, str, str]] = {}  # id, state and text by position
 
 
-class Touch(NamedTuple):
-    """Something that a sidecar is excused by: it was killed, or stood still."""
+class Interruption(NamedTuple):
+    """A time in which a sidecar was killed or suspended; lost requests near it are excused."""
 
     edge: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 class Account:
-    def __init__(self, runs: Runs) -> None:
-        self._runs = runs
+    """Records the requests, jobs and changes of a soak and checks them at its end."""
+
+    def __init__(self, executions: ExecutionLog) -> None:
+        self._executions = executions
         self.requests: list[Request] = []
-        self.lots: dict[str, Lot] = {}
-        self.touches: list[Touch] = []
-        self.changes: dict[int, dict[str, Any]] = {}  # sent, by generation
-        self.acknowledged = 0  # the newest generation that was
-        self.broken: list[str] = []
+        self.jobs: dict[str, BatchJob] = {}
+        self.interruptions: list[Interruption] = []
+        self.changes: dict[int, dict[str, Any]] = {}  # documents sent, by generation
+        self.acknowledged_generation = 0  # the newest one
+        self.violations: list[str] = []
 
-    def note(self, what: str) -> None:
-        self.broken.append(what)
+    def add_violation(self, text: str) -> None:
+        self.violations.append(text)
 
     # --- requests ---
 
@@ -62,95 +67,105 @@
             self._check_request(request)
 
     def _check_request(self, request: Request) -> None:
-        ran = self._runs.count[request.id]
+        run_count = self._executions.counts[request.id]
         reply = request.reply
         name = f"{request.kind} {request.id} at {request.edge}"
-        if request.kind == "once" and ran > 1:
-            self.note(f"TWICE: {name} ran {ran} times")
-        if reply.end is End.UNANSWERED and not self._excused(request):
-            self.note(f"LOST: {name} has no answer, and its connection stays")
-        elif reply.end is End.CUT:
-            self._check_cut(request, name, ran)
-        elif reply.end is End.ANSWERED:
-            self._check_answer(request, name, ran)
-
-    def _check_cut(self, request: Request, name: str, ran: int) -> None:
-        if request.id in self._runs.spoiled or self._excused(request):
+        if request.kind == "once" and run_count > 1:
+            self.add_violation(f"TWICE: {name} ran {run_count} times")
+        if reply.outcome is Outcome.UNANSWERED and not self._excused(request):
+            self.add_violation(f"LOST: {name} has no answer, its connection is still open")
+        elif reply.outcome is Outcome.CUT:
+            self._check_cut(request, name, run_count)
+        elif reply.outcome is Outcome.ANSWERED:
+            self._check_answer(request, name, run_count)
+
+    def _check_cut(self, request: Request, name: str, run_count: int) -> None:
+        if request.id in self._executions.failed or self._excused(request):
             return
-        if ran:
-            self.note(f"LOST: {name} was cut while an endpoint worked on it")
-        elif request.ended_at - request.sent_at > CROSSING_S:
-            self.note(f"LOST: {name} was cut {request.ended_at - request.sent_at:.2f} s after it was sent")
+        if run_count:
+            self.add_violation(f"LOST: {name} was cut while an endpoint worked on it")
+        elif request.ended_at - request.sent_at > CLOSE_RACE_S:
+            self.add_violation(
+                f"LOST: {name} was cut {request.ended_at - request.sent_at:.2f} s after it was sent"
+            )
 
     def _excused(self, request: Request) -> bool:
         return any(
-            touch.edge == request.edge
-            and touch.began - TOUCHED_S < request.ended_at
-            and request.sent_at < touch.ended + TOUCHED_S
-            for touch in self.touches
+            interruption.edge == request.edge
+            and interruption.started_at - INTERRUPTION_MARGIN_S < request.ended_at
+            and request.sent_at < interruption.ended_at + INTERRUPTION_MARGIN_S
+            for interruption in self.interruptions
         )
 
-    def _check_answer(self, request: Request, name: str, ran: int) -> None:
+    def _check_answer(self, request: Request, name: str, run_count: int) -> None:
         reply = request.reply
         signature = reply.headers.get("response-signature", "")
         if reply.status == 200:
-            if signature not in self._runs.signatures.get(request.id, ()):
-                self.note(f"MIXED: {name} has the signature {signature!r}")
-            if reply.body != expected(request):
-                self.note(f"MIXED: {name} got {reply.body[:60]!r}")
-        elif reply.status in (429, 503, 408, 421) and request.kind == "once" and ran:
-            self.note(f"REFUSED: {name} was answered {reply.status} and ran")
+            if signature not in self._executions.signatures.get(request.id, ()):
+                self.add_violation(f"MIXED: {name} has the signature {signature!r}")
+            if reply.body != expected_body(request):
+                self.add_violation(f"MIXED: {name} got {reply.body[:60]!r}")
+        elif reply.status in (429, 503, 408, 421) and request.kind == "once" and run_count:
+            self.add_violation(f"REFUSED: {name} was answered {reply.status} and ran")
         elif reply.status in (400, 404):
-            self.note(f"DENIED: {name} was answered {reply.status}")
+            self.add_violation(f"DENIED: {name} was answered {reply.status}")
 
-    # --- lots ---
+    # --- jobs ---
 
-    def take_page(self, lot: Lot, start: int, results: list[dict[str, str]]) -> None:
-        """A client has read results; what it read before must be the same."""
+    def record_page(self, job: BatchJob, start: int, results: list[dict[str, str]]) -> None:
+        """Record the results that a client has read; results that were read before must be the same."""
         for position, result in enumerate(results, start):
-            told = (result["id"], result["state"], result["text"])
-            before = lot.read.setdefault(position, told)
-            if before != told:
-                self.note(f"TWICE: {lot.job} {position} was {before[:2]}, is {told[:2]}")
-
-    def check_lots(self) -> None:
-        for lot in self.lots.values():
-            ran = [item for item in lot.items if self._runs.count[item]]
-            if not lot.accepted:
-                if lot.promised and ran:
-                    self.note(f"REFUSED: {lot.job} was refused at every try, and {len(ran)} items ran")
+            result_read = (result["id"], result["state"], result["text"])
+            earlier = job.results.setdefault(position, result_read)
+            if earlier != result_read:
+                self.add_violation(f"TWICE: {job.id} {position} was {earlier[:2]}, is {result_read[:2]}")
+
+    def check_jobs(self) -> None:
+        for job in self.jobs.values():
+            items_run = [item for item in job.items if self._executions.counts[item]]
+            if not job.accepted:
+                if job.always_refused and items_run:
+                    self.add_violation(
+                        f"REFUSED: {job.id} was refused at each submission, but {len(items_run)} items ran"
+                    )
                 continue
-            self._check_lot(lot)
+            self._check_job(job)
 
-    def _check_lot(self, lot: Lot) -> None:
-        listed = [item for item, _, _ in lot.read.values()]
+    def _check_job(self, job: BatchJob) -> None:
+        listed = [item for item, _, _ in job.results.values()]
         if len(set(listed)) < len(listed):
-            self.note(f"TWICE: items of {lot.job} are listed at two positions")
-        missing = set(lot.items) - set(listed)
-        if missing and not lot.ended:
-            self.note(f"LOST: {len(missing)} of {len(lot.items)} items of {lot.job}: {sorted(missing)[:3]}")
-        for item, state, text in lot.read.values():
-            if state == "succeeded" and text != text_of(item):
-                self.note(f"MIXED: {item} of {lot.job} has the text {text[:60]!r}")
-            if state == "dead_letter" and not item.endswith(POISON) and not lot.ended:
-                if item not in self._runs.spoiled:
-                    self.note(f"MIXED: {item} of {lot.job} is dead, and no endpoint failed")
+            self.add_violation(f"TWICE: items of {job.id} are listed at two positions")
+        missing = set(job.items) - set(listed)
+        if missing and not job.cancelled:
+            self.add_violation(
+                f"LOST: {len(missing)} of {len(job.items)} items of {job.id}: {sorted(missing)[:3]}"
+            )
+        for item, state, text in job.results.values():
+            if state == "succeeded" and text != item_text(item):
+                self.add_violation(f"MIXED: {item} of {job.id} has the text {text[:60]!r}")
+            if state == "dead_letter" and not item.endswith(POISON_SUFFIX) and not job.cancelled:
+                if item not in self._executions.failed:
+                    self.add_violation(f"MIXED: {item} of {job.id} is a dead letter, but no endpoint failed")
 
     # --- changes ---
 
     def check_configuration(self, found: dict[str, Any] | None) -> None:
         if found is None:
-            self.note("CONFIG: the configuration does not come")
+            self.add_violation("CONFIG: the configuration can't be read")
             return
         generation = found["generation"]
-        if generation < self.acknowledged:
-            self.note(f"LOST: generation {self.acknowledged} was acknowledged, {generation} is read back")
+        if generation < self.acknowledged_generation:
+            self.add_violation(
+                f"LOST: generation {self.acknowledged_generation} was acknowledged, "
+                f"generation {generation} is stored"
+            )
         elif found != self.changes.get(generation):
-            self.note(f"CONFIG: generation {generation} is not what was sent")
+            self.add_violation(f"CONFIG: generation {generation} differs from the document that was sent")
 
 
-def expected(request: Request) -> bytes:
+def expected_body(request: Request) -> bytes:
+    """The body of a successful response."""
     if request.kind == "live":
-        lines = text_of(request.id).split("\n")
+        lines = item_text(request.id).split("\n")
         return b"".join(f"id: {n}\ndata: {line}\n\n".encode() for n, line in enumerate(lines))
-    return text_of(request.id).encode()
+    return item_text(request.id).encode()
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: they use open connections until the process is gone, and note how each call ended."""
+"""Clients of a soak: they use a connection until the sidecar ends it, and record the outcome of each call."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from enum import Enum
 from typing import NamedTuple
 
-UNANSWERED_S = 20.0  # a call that has neither an answer nor the end of its connection by then is lost
+ANSWER_TIMEOUT_S = 20.0  # a call without an answer or the end of its connection by then counts as lost
 
 
-class End(Enum):
+class Outcome(Enum):
     """How a call ended for its client."""
 
     ANSWERED = "answered"
@@ -20,36 +20,38 @@
 
 
 class Reply(NamedTuple):
-    end: End
+    """The outcome of a call and, as far as it was received, its response."""
+
+    outcome: Outcome
     status: int = 0
     headers: dict[str, str] = {}  # noqa: RUF012
     body: bytes = b""
-    reused: bool = False  # the connection had carried a call before
+    reused: bool = False  # the connection had been used by an earlier call
 
 
 class Connection:
-    """One kept connection to a sidecar; it is opened anew once the sidecar has ended it."""
+    """A persistent connection to a sidecar; it is opened again after the sidecar has ended it."""
 
     def __init__(self, host: str, port: int) -> None:
         self._host, self._port = host, port
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def call(self, method: str, path: str, body: bytes = b"", **headers: str) -> Reply:
-        """One call on the connection that is open, or on a new one."""
+        """Send a request on the open connection, or on a new one, and wait for its outcome."""
         reused = self._streams is not None
         try:
-            async with asyncio.timeout(UNANSWERED_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 if self._streams is None:
                     try:
                         self._streams = await asyncio.open_connection(self._host, self._port)
                     except OSError:
-                        return Reply(End.REFUSED)
-                return await self._ask(*self._streams, method, path, body, headers, reused)
+                        return Reply(Outcome.REFUSED)
+                return await self._send_request(*self._streams, method, path, body, headers, reused)
         except TimeoutError:
             self.close()
-            return Reply(End.UNANSWERED)
+            return Reply(Outcome.UNANSWERED)
 
-    async def _ask(
+    async def _send_request(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -62,30 +64,30 @@
         lines = [f"{method} {path} HTTP/1.1", f"Content-Length: {len(body)}"]
         lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
         status = 0
-        told: dict[str, str] = {}
+        response_headers: dict[str, str] = {}
         try:
             writer.write("".join(f"{line}\r\n" for line in lines).encode() + b"\r\n" + body)
             head = (await reader.readuntil(b"\r\n\r\n")).decode()
             first, *rest = head.rstrip("\r\n").split("\r\n")
             status = int(first.split()[1])
-            told = {name.lower(): value for name, value in (line.split(": ", 1) for line in rest)}
-            answer = await self._body(reader, told)
+            response_headers = {name.lower(): value for name, value in (line.split(": ", 1) for line in rest)}
+            response_body = await self._read_body(reader, response_headers)
         except (asyncio.IncompleteReadError, ConnectionError):
             self.close()
-            return Reply(End.CUT, status, told, b"", reused)
-        if told.get("connection", "").lower() == "close":
+            return Reply(Outcome.CUT, status, response_headers, b"", reused)
+        if response_headers.get("connection", "").lower() == "close":
             self.close()
-        return Reply(End.ANSWERED, status, told, answer, reused)
+        return Reply(Outcome.ANSWERED, status, response_headers, response_body, reused)
 
     @staticmethod
-    async def _body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
+    async def _read_body(reader: asyncio.StreamReader, headers: dict[str, str]) -> bytes:
         if headers.get("transfer-encoding") != "chunked":
             return await reader.readexactly(int(headers.get("content-length", 0)))
-        whole = b""
+        body = b""
         while size := int((await reader.readuntil(b"\r\n")).strip(), 16):
-            whole += (await reader.readexactly(size + 2))[:-2]
+            body += (await reader.readexactly(size + 2))[:-2]
         await reader.readexactly(2)
-        return whole
+        return body
 
     def close(self) -> None:
         if self._streams is not None:
@@ -94,4 +96,5 @@
 
 
 def now() -> float:
+    """Monotonic time in seconds."""
     return time.monotonic()
--- a/tests/soak/older.py
+++ b/tests/soak/older.py
@@ -1,7 +1,7 @@
 """Run a program as one of wire version 1: `python -m tests.soak.older ROLE`.
 
-It says nothing of what it speaks, and a message or a deflated frame that only later versions have ends its
-connection, as it did in those programs.
+The program does not declare its support of the wire format, and closes a connection on a message or a
+compressed frame that only later versions have, as programs of wire version 1 did.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from eiderhub.coordination import wire
 
-# Before any other module takes them from there.
+# Must precede the import of any other module that uses these values.
 wire.OWN_SUPPORT = wire.DEFAULT_SUPPORT
 wire.WIRE_VERSION = wire.DEFAULT_WIRE_VERSION
 
@@ -23,10 +23,10 @@
 
 
 def decode_frame(buffer: bytearray, start: int, end: int) -> Message | UnknownMessage:
-    """What a program of wire version 1 would make of a frame.
+    """Decode a frame as a program of wire version 1.
 
     Raises:
-        FrameError: it knows no such frame.
+        FrameError: wire version 1 has no such frame.
     """
     if LENGTH_PREFIX.unpack_from(buffer, start)[0] & DEFLATED_FLAG:
         raise FrameError(FrameFault.OVERSIZED)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: the programs, the traffic, the troubles drawn from a seed, and the account at the end."""
+"""One soak: the programs, the traffic, random faults that depend on a seed, and the checks at the end."""
 
 from __future__ import annotations
 
@@ -12,67 +12,74 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from tests.soak.account import Account, Lot, Request, Touch
-from tests.soak.clients import Connection, End, Reply, now
-from tests.soak.endpoints import POISON, Endpoint, Runs
+from tests.soak.account import Account, BatchJob, Interruption, Request
+from tests.soak.clients import Connection, Outcome, Reply, now
+from tests.soak.endpoints import POISON_SUFFIX, Endpoint, ExecutionLog
 from tests.tier_support import HOST, Program, Tier, document, route
 
-GRACE_S = 8.0
-PAUSE_S = 0.25  # of clients that poll
-START_S = 60.0
+STOP_TIMEOUT_S = 8.0
+POLL_INTERVAL_S = 0.25
+START_TIMEOUT_S = 60.0
 
 
-WIRE_1 = "wire-1"  # the programs under test, which then speak as before the second wire version
+WIRE_1 = "wire-1"  # the programs under test, restricted to wire version 1
 
 
-class Shape(NamedTuple):
-    """How large a soak is."""
+class SoakSettings(NamedTuple):
+    """The size, load and fault rate of a soak."""
 
     edges: int = 4
     storage: int = 4
     seconds: float = 14.0
     clients: int = 10
-    troubles_per_s: float = 1.2
+    faults_per_s: float = 1.2
     changes_per_s: float = 5.0
-    finish_s: float = 10.0  # for everything to come to its end after the troubles, as operators give
-    older: str = ""  # programs that are upgraded and put back: WIRE_1, or a folder of an older source
+    finish_s: float = 10.0  # for jobs to complete after the faults; the time that operators allow
+    older: str = ""  # older programs for upgrades and downgrades: WIRE_1, or the folder of an older source
     upgrades_per_s: float = 1.5
 
 
 class Soak:
-    def __init__(self, seed: int, folder: Path, shape: Shape) -> None:
+    """A tier of real programs, its clients and the faults that are injected into it."""
+
+    def __init__(self, seed: int, folder: Path, settings: SoakSettings) -> None:
         self.seed = seed
-        self.shape = shape
+        self.settings = settings
         self.rng = random.Random(seed)
-        self.runs = Runs()
-        self.account = Account(self.runs)
+        self.executions = ExecutionLog()
+        self.account = Account(self.executions)
         self.log: list[str] = []
         self._endpoints: list[Endpoint] = []
         self._serial = itertools.count(1)
-        self.tier = Tier(folder, shape.storage, shape.edges, self._endpoints)
+        self.tier = Tier(folder, settings.storage, settings.edges, self._endpoints)
         self._generation = 1
-        self._busy: set[str] = set()  # programs in which something is under way
-        self._over = asyncio.Event()
+        self._programs_in_use: set[str] = set()  # programs with a fault or a restart in progress
+        self._traffic_ended = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     async def play(self) -> list[str]:
-        """What is broken at the end; empty where nothing is."""
+        """Run the soak and return the violations that were found."""
         try:
             for _ in range(6):
                 await self._add_endpoint()
             for program in self.tier.programs:
-                self._install(program, older=bool(self.shape.older))
+                self._set_version(program, older=bool(self.settings.older))
             self.tier.start()
             await self._configure_first()
             await self._wait_ready()
-            self._began = now()
-            works = [*[self._live] * self.shape.clients, *[self._lots] * 3, self._change, self._strike]
-            for work in works + ([self._upgrade] if self.shape.older else []):
-                self._tasks.append(asyncio.create_task(work()))
-            await asyncio.sleep(self.shape.seconds)
-            self._over.set()
+            self._started_at = now()
+            workloads = [
+                *[self._send_live_requests] * self.settings.clients,
+                *[self._send_batch_jobs] * 3,
+                self._change_configuration,
+                self._inject_faults,
+            ]
+            for workload in workloads + ([self._upgrade] if self.settings.older else []):
+                self._tasks.append(asyncio.create_task(workload()))
+            await asyncio.sleep(self.settings.seconds)
+            self._traffic_ended.set()
             await asyncio.gather(*self._tasks)
-            await self._settle()
+            await self._finish_and_check()
         finally:
             for task in self._tasks:
                 task.cancel()
@@ -82,22 +89,22 @@
             await asyncio.to_thread(self.tier.close)
             for endpoint in self._endpoints:
                 endpoint.crash()
-        return self.account.broken
+        return self.account.violations
 
-    def _say(self, what: str) -> None:
-        self.log.append(f"{now() - self._began:8.3f} {what}")
+    def _log_event(self, event: str) -> None:
+        self.log.append(f"{now() - self._started_at:8.3f} {event}")
 
     # --- calls ---
 
-    def _edge(self) -> Program:
+    def _pick_edge(self) -> Program:
         return self.rng.choice(self.tier.with_role("edge"))
 
     def _connection(self, program: Program, port: str = "frontend") -> Connection:
         return Connection(program.ip, self.tier.ports[port])
 
-    async def _operate(self, method: str, path: str, body: bytes = b"", **headers: str) -> Reply:
-        """An operator's call, to one control node after the other."""
-        reply = Reply(End.REFUSED)
+    async def _call_control(self, method: str, path: str, body: bytes = b"", **headers: str) -> Reply:
+        """Call the control API as an operator does: one control node after the other, following redirects."""
+        reply = Reply(Outcome.REFUSED)
         for program in self.rng.sample(self.tier.with_role("control"), 3):
             reply = await self._connection(program, "control").call(method, path, body, **headers)
             if reply.status == 307:
@@ -108,286 +115,294 @@
                 return reply
         return reply
 
-    async def _until(self, call: Callable[[], Coroutine[Any, Any, bool]], bound_s: float) -> bool:
-        end = now() + bound_s
+    async def _poll_until(self, call: Callable[[], Coroutine[Any, Any, bool]], timeout_s: float) -> bool:
+        end = now() + timeout_s
         while now() < end:
             if await call():
                 return True
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
     # --- the start ---
 
     async def _add_endpoint(self) -> None:
-        endpoint = Endpoint(f"i-{next(self._serial)}", self.runs, random.Random(self.rng.random()))
+        endpoint = Endpoint(f"i-{next(self._serial)}", self.executions, random.Random(self.rng.random()))
         await endpoint.start()
         self._endpoints.append(endpoint)
 
-    def _document(self, generation: int) -> dict[str, Any]:
+    def _make_document(self, generation: int) -> dict[str, Any]:
         rng = self.rng
         timeout = rng.choice([3_000, 4_000, 5_000])
         routes = [
             route("once", "non_idempotent", timeout_ms=timeout, resumable=False),
             route("whole", "idempotent", timeout_ms=timeout + rng.randrange(400), resumable=False),
         ]
-        made = document(generation, *routes)
-        live, lots = made["routes"][:2]
+        content = document(generation, *routes)
+        live, batch = content["routes"][:2]
         live["timeout_ms"] = 6_000 + rng.randrange(1_000)
-        lots["timeout_ms"] = 6_000 + rng.randrange(1_000)
-        lots["max_queued_tokens"] = rng.choice([0, 100_000, 200_000])
-        return made
+        batch["timeout_ms"] = 6_000 + rng.randrange(1_000)
+        batch["max_queued_tokens"] = rng.choice([0, 100_000, 200_000])
+        return content
 
     async def _configure_first(self) -> None:
-        made = self.account.changes[1] = self._document(1)
+        content = self.account.changes[1] = self._make_document(1)
 
         async def put() -> bool:
-            body = json.dumps(made).encode()
-            return (await self._operate("PUT", "/config", body, If_Match="0")).status == 200
+            body = json.dumps(content).encode()
+            return (await self._call_control("PUT", "/config", body, If_Match="0")).status == 200
 
-        assert await self._until(put, START_S), "the first configuration was not taken"
-        self.account.acknowledged = 1
+        assert await self._poll_until(put, START_TIMEOUT_S), "the first configuration was not accepted"
+        self.account.acknowledged_generation = 1
 
     async def _wait_ready(self) -> None:
         async def ready() -> bool:
-            asked = [
+            calls = [
                 self._connection(p, "readiness").call("GET", "/readyz", Host="h")
                 for p in self.tier.with_role("edge")
             ]
-            return all([(await each).status == 200 for each in asked])
+            return all([(await each).status == 200 for each in calls])
 
-        assert await self._until(ready, START_S), "not all sidecars are ready"
+        assert await self._poll_until(ready, START_TIMEOUT_S), "not all sidecars are ready"
 
     # --- traffic ---
 
-    async def _live(self) -> None:
-        """A client that keeps its connections until the sidecars end them."""
-        kept: dict[str, Connection] = {}
-        while not self._over.is_set():
-            edge = self._edge()
-            connection = kept.setdefault(edge.name, self._connection(edge))
+    async def _send_live_requests(self) -> None:
+        """Run a client that uses its connections until the sidecars end them."""
+        connections: dict[str, Connection] = {}
+        while not self._traffic_ended.is_set():
+            edge = self._pick_edge()
+            connection = connections.setdefault(edge.name, self._connection(edge))
             kind = self.rng.choice(["live", "once", "whole"])
             request_id = f"{kind if kind == 'live' else 'whole'}-{kind}-{next(self._serial)}"
-            sent = now()
+            sent_at = now()
             reply = await connection.call(
                 "POST", f"/{kind}/x", b"prompt", Host=HOST, Request_Id=request_id, Token_Usage="10,10",
             )  # fmt: skip
-            self.account.requests.append(Request(request_id, kind, edge.name, sent, now(), reply))
-            await asyncio.sleep(self.rng.expovariate(1 / 0.03) if reply.end is not End.REFUSED else 0.1)
-
-    async def _lots(self) -> None:
-        """A client that sends lots, reads them, and ends some."""
-        while not self._over.is_set():
+            self.account.requests.append(Request(request_id, kind, edge.name, sent_at, now(), reply))
+            await asyncio.sleep(
+                self.rng.expovariate(1 / 0.03) if reply.outcome is not Outcome.REFUSED else 0.1
+            )
+
+    async def _send_batch_jobs(self) -> None:
+        """Run a client that submits batch jobs, reads their results, and ends some of them."""
+        while not self._traffic_ended.is_set():
             number = next(self._serial)
             names = [f"i{number}-{n}" for n in range(self.rng.randint(1, 40))]
-            items = [name + POISON if self.rng.random() < 0.02 else name for name in names]
-            lot = self.account.lots[f"lot{number}"] = Lot(f"lot{number}", items)
-            if await self._submit(lot):
+            items = [name + POISON_SUFFIX if self.rng.random() < 0.02 else name for name in names]
+            job = self.account.jobs[f"lot{number}"] = BatchJob(f"lot{number}", items)
+            if await self._submit_job(job):
                 for _ in range(self.rng.randint(0, 4)):
-                    await self._read(lot, self.rng.choice([0, len(lot.read)]))
-                    await asyncio.sleep(PAUSE_S)
+                    await self._read_results(job, self.rng.choice([0, len(job.results)]))
+                    await asyncio.sleep(POLL_INTERVAL_S)
                 if self.rng.random() < 0.1:
-                    lot.ended = True
-                    await self._connection(self._edge()).call("DELETE", f"/lots/{lot.job}", Host=HOST)
+                    job.cancelled = True
+                    await self._connection(self._pick_edge()).call("DELETE", f"/lots/{job.id}", Host=HOST)
             await asyncio.sleep(self.rng.expovariate(1 / 0.2))
 
-    async def _submit(self, lot: Lot) -> bool:
+    async def _submit_job(self, job: BatchJob) -> bool:
         requests = [
             {"id": i, "path": f"/lots/{i}", "headers": {"Token-Usage": "10,10"}, "tokens": 20,
              "body": base64.b64encode(i.encode()).decode()}
-            for i in lot.items
+            for i in job.items
         ]  # fmt: skip
         body = json.dumps({"requests": requests}).encode()
         for _ in range(12):
-            connection = self._connection(self._edge())
-            reply = await connection.call("POST", "/lots/x", body, Host=HOST, Request_Id=lot.job)
+            connection = self._connection(self._pick_edge())
+            reply = await connection.call("POST", "/lots/x", body, Host=HOST, Request_Id=job.id)
             connection.close()
             if reply.status == 202:
-                lot.accepted = True
+                job.accepted = True
                 return True
-            lot.promised &= reply.status in (429, 503) or reply.end is End.REFUSED
-            await asyncio.sleep(PAUSE_S)
+            job.always_refused &= reply.status in (429, 503) or reply.outcome is Outcome.REFUSED
+            await asyncio.sleep(POLL_INTERVAL_S)
         return False
 
-    async def _read(self, lot: Lot, start: int) -> int:
-        """Read a page; how many results it had, -1 where none came."""
-        connection = self._connection(self._edge())
-        path = f"/lots/{lot.job}?start_after={start}"
+    async def _read_results(self, job: BatchJob, start: int) -> int:
+        """Read a page of results and return their number, or -1 if the read failed."""
+        connection = self._connection(self._pick_edge())
+        path = f"/lots/{job.id}?start_after={start}"
         reply = await connection.call("GET", path, Host=HOST, Wait_Ms="200")
         connection.close()
         if reply.status != 200:
             return -1
         page = json.loads(reply.body)
-        self.account.take_page(lot, start, page["results"])
+        self.account.record_page(job, start, page["results"])
         return len(page["results"])
 
     # --- changes ---
 
-    async def _change(self) -> None:
-        """An operator that changes the configuration all the time; what got no clear answer is sent again."""
-        while not self._over.is_set():
-            base = self._generation
+    async def _change_configuration(self) -> None:
+        """Run an operator that changes the configuration and repeats changes without a definite answer."""
+        while not self._traffic_ended.is_set():
+            base_generation = self._generation
             self._generation += self.rng.randint(1, 3)
-            made = self.account.changes[self._generation] = self._document(self._generation)
-            body = json.dumps(made).encode()
+            content = self.account.changes[self._generation] = self._make_document(self._generation)
+            body = json.dumps(content).encode()
             while True:
-                reply = await self._operate("PUT", "/config", body, If_Match=str(base))
+                reply = await self._call_control("PUT", "/config", body, If_Match=str(base_generation))
                 if reply.status == 200:
-                    self.account.acknowledged = self._generation
+                    self.account.acknowledged_generation = self._generation
                     break
                 if 400 <= reply.status < 500 and reply.status not in (408, 429):
-                    self.account.note(f"CONFIG: change {self._generation} on {base} got {reply.status}")
+                    self.account.add_violation(
+                        f"CONFIG: change {self._generation} on {base_generation} got {reply.status}"
+                    )
                     break
-                if self._over.is_set():
+                if self._traffic_ended.is_set():
                     return
-                await asyncio.sleep(PAUSE_S)
-            await asyncio.sleep(self.rng.expovariate(self.shape.changes_per_s))
+                await asyncio.sleep(POLL_INTERVAL_S)
+            await asyncio.sleep(self.rng.expovariate(self.settings.changes_per_s))
 
-    # --- troubles ---
+    # --- faults ---
 
-    async def _strike(self) -> None:
-        """Troubles in series that overlap: each runs in a task of its own."""
+    async def _inject_faults(self) -> None:
+        """Inject faults, up to three of one kind at once; each runs in a task of its own and may overlap."""
         kinds = [
             self._kill, self._kill, self._terminate, self._terminate, self._freeze, self._freeze,
-            self._hang_up, self._crash_endpoint, self._release,
+            self._reload, self._crash_endpoint, self._start_endpoint,
         ]  # fmt: skip
-        begun: list[asyncio.Task[None]] = []
-        while not self._over.is_set():
-            await asyncio.sleep(self.rng.expovariate(self.shape.troubles_per_s))
+        tasks: list[asyncio.Task[None]] = []
+        while not self._traffic_ended.is_set():
+            await asyncio.sleep(self.rng.expovariate(self.settings.faults_per_s))
             kind = self.rng.choice(kinds)
             series = self.rng.choice([1, 1, 1, 3])
-            begun += [asyncio.create_task(kind()) for _ in range(series)]
-        await asyncio.gather(*begun)
+            tasks += [asyncio.create_task(kind()) for _ in range(series)]
+        await asyncio.gather(*tasks)
 
-    def _victim(self) -> Program | None:
-        """A program in which nothing is under way; a sidecar, a storage or a control node alike."""
+    def _pick_program(self) -> Program | None:
+        """A random program of a random role that has no fault or restart in progress."""
         role = self.rng.choice(["edge", "storage", "control"])
-        idle = [p for p in self.tier.with_role(role) if p.name not in self._busy]
+        idle = [p for p in self.tier.with_role(role) if p.name not in self._programs_in_use]
         return self.rng.choice(idle) if idle else None
 
-    async def _restart(self, program: Program, how: signal.Signals) -> None:
+    async def _restart(self, program: Program, stop_signal: signal.Signals) -> None:
         assert program.process is not None
-        program.process.send_signal(how)
+        program.process.send_signal(stop_signal)
         try:
-            async with asyncio.timeout(GRACE_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 while program.process.poll() is None:
                     await asyncio.sleep(0.02)
         except TimeoutError:
-            self._say(f"{program.name} did not end")
-            self.account.note(f"Fault: {program.name} did not end within its grace")
+            self._log_event(f"{program.name} did not end")
+            self.account.add_violation(f"Fault: {program.name} did not end within the stop timeout")
             program.process.kill()
             await asyncio.to_thread(program.process.wait)
         await asyncio.sleep(self.rng.uniform(0.0, 1.0))
         program.start()
 
-    async def _touch(
-        self, what: str, work: Callable[[Program], Coroutine[Any, Any, None]], excuse: bool
+    async def _disturb_any(
+        self, event: str, action: Callable[[Program], Coroutine[Any, Any, None]], excused: bool
     ) -> None:
-        program = self._victim()
+        program = self._pick_program()
         if program is not None:
-            await self._work_on(program, what, work, excuse)
-
-    async def _work_on(
-        self, program: Program, what: str, work: Callable[[Program], Coroutine[Any, Any, None]], excuse: bool
+            await self._disturb(program, event, action, excused)
+
+    async def _disturb(
+        self,
+        program: Program,
+        event: str,
+        action: Callable[[Program], Coroutine[Any, Any, None]],
+        excused: bool,
     ) -> None:
-        self._busy.add(program.name)
-        self._say(f"{program.name} {what}")
-        began = now()
+        self._programs_in_use.add(program.name)
+        self._log_event(f"{program.name} {event}")
+        started_at = now()
         try:
-            await work(program)
+            await action(program)
         finally:
-            if excuse:
-                self.account.touches.append(Touch(program.name, began, now()))
-            self._busy.discard(program.name)
+            if excused:
+                self.account.interruptions.append(Interruption(program.name, started_at, now()))
+            self._programs_in_use.discard(program.name)
 
     # --- upgrades ---
 
-    def _install(self, program: Program, older: bool) -> None:
-        """What the program is when it is started next."""
-        if older and self.shape.older == WIRE_1:
+    def _set_version(self, program: Program, older: bool) -> None:
+        """Set the version that runs after the next start of the program."""
+        if older and self.settings.older == WIRE_1:
             program.module = f"tests.soak.older {program.role}"
         elif older:
-            program.package_folder = Path(self.shape.older)
+            program.package_folder = Path(self.settings.older)
         else:
             program.module, program.package_folder = f"eiderhub.programs.{program.role}", None
 
     async def _upgrade(self) -> None:
-        """One process after the other is stopped and started as the other version, all the way and back."""
+        """Restart one process after the other with the other version: upgrades all, then downgrades all."""
         older = False
-        while not self._over.is_set():
+        while not self._traffic_ended.is_set():
             for program in self.rng.sample(self.tier.programs, len(self.tier.programs)):
-                await asyncio.sleep(self.rng.expovariate(self.shape.upgrades_per_s))
-                while program.name in self._busy and not self._over.is_set():
-                    await asyncio.sleep(PAUSE_S)
-                if self._over.is_set():
+                await asyncio.sleep(self.rng.expovariate(self.settings.upgrades_per_s))
+                while program.name in self._programs_in_use and not self._traffic_ended.is_set():
+                    await asyncio.sleep(POLL_INTERVAL_S)
+                if self._traffic_ended.is_set():
                     return
-                self._install(program, older)
-                what = "is put back" if older else "is upgraded"
-                await self._work_on(
-                    program, what, lambda each: self._restart(each, signal.SIGTERM), excuse=False
+                self._set_version(program, older)
+                event = "is downgraded" if older else "is upgraded"
+                await self._disturb(
+                    program, event, lambda each: self._restart(each, signal.SIGTERM), excused=False
                 )
             older = not older
 
     async def _kill(self) -> None:
-        await self._touch("is killed", lambda p: self._restart(p, signal.SIGKILL), excuse=True)
+        await self._disturb_any("is killed", lambda p: self._restart(p, signal.SIGKILL), excused=True)
 
     async def _terminate(self) -> None:
-        await self._touch("is told to stop", lambda p: self._restart(p, signal.SIGTERM), excuse=False)
+        await self._disturb_any("gets SIGTERM", lambda p: self._restart(p, signal.SIGTERM), excused=False)
 
     async def _freeze(self) -> None:
-        for_s = self.rng.uniform(0.1, 4.0)
+        duration_s = self.rng.uniform(0.1, 4.0)
 
-        async def stand_still(program: Program) -> None:
+        async def suspend(program: Program) -> None:
             assert program.process is not None
             program.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(for_s)
+            await asyncio.sleep(duration_s)
             program.process.send_signal(signal.SIGCONT)
 
-        await self._touch(f"stands still for {for_s:.1f} s", stand_still, excuse=True)
+        await self._disturb_any(f"is suspended for {duration_s:.1f} s", suspend, excused=True)
 
-    async def _hang_up(self) -> None:
-        async def hang_up(program: Program) -> None:
+    async def _reload(self) -> None:
+        async def send_hangup(program: Program) -> None:
             assert program.process is not None
             program.process.send_signal(signal.SIGHUP)
 
-        await self._touch("gets SIGHUP", hang_up, excuse=False)
+        await self._disturb_any("gets SIGHUP", send_hangup, excused=False)
 
     async def _crash_endpoint(self) -> None:
         if len(self._endpoints) > 4:
             endpoint = self._endpoints.pop(self.rng.randrange(len(self._endpoints)))
-            self._say(f"{endpoint.identity} crashes")
+            self._log_event(f"{endpoint.identity} crashes")
             endpoint.crash()
 
-    async def _release(self) -> None:
+    async def _start_endpoint(self) -> None:
         if len(self._endpoints) < 10:
             await self._add_endpoint()
-            self._say(f"{self._endpoints[-1].identity} starts")
+            self._log_event(f"{self._endpoints[-1].identity} starts")
 
-    # --- the end ---
+    # --- checks at the end ---
 
-    async def _settle(self) -> None:
-        """Wait for what is owed, and account for everything."""
+    async def _finish_and_check(self) -> None:
+        """Wait for outstanding results and check all records."""
 
-        async def done(lot: Lot) -> None:
+        async def read_all(job: BatchJob) -> None:
             async def read() -> bool:
-                while await self._read(lot, len(lot.read)) > 0:
+                while await self._read_results(job, len(job.results)) > 0:
                     pass
-                return len(lot.read) >= len(lot.items)
+                return len(job.results) >= len(job.items)
 
-            if lot.accepted and not lot.ended:
-                await self._until(read, self.shape.finish_s)
-            await self._read(lot, 0)
+            if job.accepted and not job.cancelled:
+                await self._poll_until(read, self.settings.finish_s)
+            await self._read_results(job, 0)
 
-        await asyncio.gather(*(done(lot) for lot in self.account.lots.values()))
+        await asyncio.gather(*(read_all(job) for job in self.account.jobs.values()))
 
-        found: list[dict[str, Any]] = []
+        configurations: list[dict[str, Any]] = []
 
         async def read_back() -> bool:
-            reply = await self._operate("GET", "/config")
+            reply = await self._call_control("GET", "/config")
             if reply.status == 200:
-                found.append(json.loads(reply.body))
+                configurations.append(json.loads(reply.body))
             return reply.status == 200
 
-        await self._until(read_back, self.shape.finish_s)
+        await self._poll_until(read_back, self.settings.finish_s)
         self.account.check_requests()
-        self.account.check_lots()
-        self.account.check_configuration(found[-1] if found else None)
+        self.account.check_jobs()
+        self.account.check_configuration(configurations[-1] if configurations else None)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Short soaks of the real programs: troubles in series that overlap, and an account of all that was taken."""
+"""Short soaks of the real programs under overlapping faults: no accepted request, job or change is lost."""
 
 from __future__ import annotations
 
@@ -7,32 +7,30 @@
 
 import pytest
 
-from tests.soak.run import WIRE_1, Shape, Soak
+from tests.soak.run import WIRE_1, Soak, SoakSettings
 
-SHAPE = Shape(seconds=10.0, finish_s=60.0)  # no verdict hangs on how busy the machine is
+SETTINGS = SoakSettings(seconds=10.0, finish_s=60.0)  # long enough to finish on a busy machine
 
 
-def play(seed: int, folder: Path, shape: Shape) -> Soak:
+def play(seed: int, folder: Path, settings: SoakSettings) -> Soak:
     async def test() -> Soak:
-        soak = Soak(seed, folder, shape)
+        soak = Soak(seed, folder, settings)
         await soak.play()
         return soak
 
     soak = asyncio.run(test())
-    assert soak.account.broken == [], "\n".join(soak.log)
+    assert soak.account.violations == [], "\n".join(soak.log)
     assert len(soak.account.requests) > 100
-    assert any(lot.accepted for lot in soak.account.lots.values())
+    assert any(job.accepted for job in soak.account.jobs.values())
     return soak
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_nothing_that_was_taken_is_lost(tmp_path: Path, seed: int) -> None:
-    play(seed, tmp_path, SHAPE)
+def test_nothing_accepted_is_lost_under_faults(tmp_path: Path, seed: int) -> None:
+    play(seed, tmp_path, SETTINGS)
 
 
 @pytest.mark.parametrize("seed", [11, 12])
-def test_nothing_is_lost_while_one_process_after_the_other_is_upgraded_and_put_back(
-    tmp_path: Path, seed: int
-) -> None:
-    soak = play(seed, tmp_path, SHAPE._replace(seconds=16.0, older=WIRE_1))
-    assert any("is upgraded" in line for line in soak.log)  # how many depends on the machine
+def test_nothing_accepted_is_lost_during_rolling_upgrades_and_downgrades(tmp_path: Path, seed: int) -> None:
+    soak = play(seed, tmp_path, SETTINGS._replace(seconds=16.0, older=WIRE_1))
+    assert any("is upgraded" in line for line in soak.log)  # their number depends on the machine
