--- a/tests/model/items.py
+++ b/tests/model/items.py
@@ -1,8 +1,9 @@
-"""Items of batch jobs under schedules of trouble: the product's state machines in virtual time.
+"""Simulates batch items in virtual time under random schedules of faults.
 
-The product's are the job table, the dispatcher and the ledgers. What stands in for the rest: a store that
-commits in order, after a while, or with the epoch never; ordered links that break, or fall silent, and whose
-two ends hear of it at different times; sidecars whose attempts end as chance has it.
+The job table, the dispatcher and the item trackers are those of the product. The rest is modelled: a store
+that commits in order and with a delay, and may lose uncommitted writes when the epoch ends; ordered links
+that break or stop delivering, and whose two ends detect this at different times; sidecars whose attempts end
+with random outcomes.
 """
 
 from __future__ import annotations
@@ -40,188 +41,199 @@
 from eiderhub.storage.store import MemoryStore
 from tests.model.clock import Timeline
 
-SIDECARS = 4
-ENDPOINTS, PLACES = 40, 80
-LIMITS = BatchLimits("lots", 10.0, 1_000.0, 3, 0.0)
-ACCEPT_S = 0.6
-RETRY_S = 0.1
-TEND_S = 0.25
-SILENT_ATTEMPT_S = 4.0
-QUEUE_SILENCE_S = 1.0  # an item that no endpoint takes
-READ_S = 0.5
-HELD_UP = 0.02  # share of looks at the lease that come after its end
-TROUBLE_S = 15.0  # of each schedule
-CALM_S = 30.0  # after it, in which everything must come to its end
-MOST_DELAY_S = 0.02
-MOST_NOTICE_S = 2.0  # until an end hears that its connection has broken
-# An item lies if nobody has worked on it for so long, in calm, and nothing at all has been finished lately.
-LYING_S, FINISHED_LATELY_S = 5.0, 3.0
-SETTLED_S = 5.0  # a trouble lasts no longer, so that calm begins so long after the last one
-LOOK_S = 0.25  # how often it is looked for items that lie
+SIDECAR_COUNT = 4
+ENDPOINT_COUNT, ENDPOINT_SLOTS = 40, 80
+JOB_LIMITS = BatchLimits("lots", 10.0, 1_000.0, 3, 0.0)
+ACCEPT_TIMEOUT_S = 0.6
+RECONNECT_INTERVAL_S = 0.1
+SESSION_TICK_S = 0.25
+SILENT_ATTEMPT_TIMEOUT_S = 4.0
+QUEUE_TIMEOUT_S = 1.0  # for an item that no endpoint accepts
+READ_INTERVAL_S = 0.5
+LATE_CHECK_SHARE = 0.02  # share of repeated lease checks that happen after the lease has ended
+FAULT_PERIOD_S = 15.0  # at the start of each schedule
+RECOVERY_PERIOD_S = 30.0  # after the fault period; all items must have a result at its end
+MAX_DELAY_S = 0.02
+MAX_CLOSE_NOTICE_S = 2.0  # until an end detects that its connection has broken
+# An item is left idle if, in the recovery period, no endpoint has worked on it for MAX_ITEM_IDLE_S and no
+# result at all has been committed for RECENT_RESULT_S.
+MAX_ITEM_IDLE_S, RECENT_RESULT_S = 5.0, 3.0
+MAX_FAULT_S = 5.0  # longest duration of a temporary fault; none remains this long after the fault period
+IDLE_CHECK_INTERVAL_S = 0.25
 
 
 class Broken(AssertionError):
-    """Something that must hold does not."""
+    """An invariant of the model does not hold."""
 
 
 class Link:
-    """One connection of a sidecar with the primary; each direction keeps its order."""
+    """One connection between a sidecar and the primary; messages of each direction stay in order."""
 
     def __init__(self, world: World, sidecar: SidecarProcess, group: StorageGroup) -> None:
         self._world = world
         self.sidecar = sidecar
         self.group = group
         self.session: WorkerSession | None = None
-        self.down: list[BatchMessage] = []  # on their way to the sidecar
-        self._last = {"up": 0.0, "down": 0.0}
-        self.carries = True
+        self.in_transit: list[BatchMessage] = []  # messages sent to the sidecar, not yet delivered
+        self._last_arrivals = {"up": 0.0, "down": 0.0}
+        self.delivers = True
         self.open_at_sidecar = self.open_at_group = True
 
-    def _arrival(self, way: str, receiver_free_at: float) -> float:
+    def _arrival_time(self, direction: str, receiver_free_at: float) -> float:
         now = self._world.timeline.now
-        arrival = max(self._last[way], now + self._world.rng.uniform(0.0005, MOST_DELAY_S), receiver_free_at)
-        self._last[way] = arrival
+        arrival = max(
+            self._last_arrivals[direction],
+            now + self._world.rng.uniform(0.0005, MAX_DELAY_S),
+            receiver_free_at,
+        )
+        self._last_arrivals[direction] = arrival
         return arrival
 
     def send_up(self, message: BatchMessage) -> None:
+        """Send a message of the sidecar to the primary."""
         if not self.open_at_sidecar:
             return
 
         def arrive() -> None:
-            if self.carries and self.open_at_group:
+            if self.delivers and self.open_at_group:
                 self.group.receive(self, message)
 
-        self._world.timeline.at(self._arrival("up", 0.0), arrive)
+        self._world.timeline.at(self._arrival_time("up", 0.0), arrive)
 
     def send_down(self, message: BatchMessage) -> None:
+        """Send a message of the primary to the sidecar; it waits while the sidecar is frozen."""
         if not self.open_at_group:
             return
-        self.down.append(message)
+        self.in_transit.append(message)
 
         def arrive() -> None:
-            if not self.carries:
+            if not self.delivers:
                 return
             frozen_until = self.sidecar.frozen_until
             if self._world.timeline.now < frozen_until:
-                self._last["down"] = max(self._last["down"], frozen_until)
+                self._last_arrivals["down"] = max(self._last_arrivals["down"], frozen_until)
                 self._world.timeline.at(frozen_until, arrive)
                 return
-            first = self.down.pop(0)  # not `message`: what waited for the thaw keeps its order
+            first = self.in_transit.pop(0)  # not `message`: messages delayed by the freeze keep their order
             if self.open_at_sidecar:
                 self.sidecar.receive(self, first)
 
-        self._world.timeline.at(self._arrival("down", self.sidecar.frozen_until), arrive)
+        self._world.timeline.at(self._arrival_time("down", self.sidecar.frozen_until), arrive)
 
-    def break_off(self) -> None:
-        """What is on its way is lost; the ends hear of it in their own time."""
-        self.carries = False
+    def break_connection(self) -> None:
+        """Lose the messages in transit; each end detects the break after a random delay."""
+        self.delivers = False
         for close in (self.close_at_sidecar, self.close_at_group):
-            self._world.timeline.after(self._world.rng.uniform(0.0, MOST_NOTICE_S), close)
+            self._world.timeline.after(self._world.rng.uniform(0.0, MAX_CLOSE_NOTICE_S), close)
 
     def close_at_sidecar(self) -> None:
-        """The sidecar closes it, or hears that it is closed."""
+        """Close the sidecar's end: it closes the connection itself or detects that it is closed."""
         if self.open_at_sidecar:
             self.open_at_sidecar = False
-            self.sidecar.closed(self)
-            self._world.timeline.at(self._arrival("up", 0.0), self.close_at_group)
+            self.sidecar.link_closed(self)
+            self._world.timeline.at(self._arrival_time("up", 0.0), self.close_at_group)
 
     def close_at_group(self) -> None:
-        """The same at the primary's end."""
+        """Close the primary's end."""
         if self.open_at_group:
             self.open_at_group = False
-            self.group.closed(self)
-            if self.carries:
-                self._world.timeline.at(self._arrival("down", 0.0), self.close_at_sidecar)
+            self.group.link_closed(self)
+            if self.delivers:
+                self._world.timeline.at(self._arrival_time("down", 0.0), self.close_at_sidecar)
 
 
 class PendingCommit(NamedTuple):
+    """Writes that the primary has applied and that no majority has confirmed yet."""
+
     epoch: int
     writes: list[Write]
-    done: Callable[[], None]
+    on_commit: Callable[[], None]
 
 
 class StorageGroup:
-    """Whoever leads: a job table over a store that outlives it, and its dispatcher."""
+    """The current primary of each epoch: its job table, its dispatcher and the replicated store."""
 
     def __init__(self, world: World) -> None:
         self._world = world
-        self.store = MemoryStore()  # the primary's own: what it has written, committed or not
-        self._committed = MemoryStore()  # what every later primary has
+        self.store = MemoryStore()  # the primary's own replica: committed and uncommitted writes
+        self._committed = MemoryStore()  # the writes that every later primary has
         self.table = JobTable(self.store)
         self.dispatcher = Dispatcher(self.table)
         self.epoch = 1
-        self.leading = True
+        self.has_primary = True
         self.lapsed_until = 0.0
         self._links: dict[WorkerSession, Link] = {}
         self._pending: list[PendingCommit] = []
         self._last_commit = 0.0
-        self.dispatcher.scheduler.set_endpoints(ENDPOINTS, PLACES)
+        self.dispatcher.scheduler.set_endpoints(ENDPOINT_COUNT, ENDPOINT_SLOTS)
         self.dispatcher.begin(0.0, self.epoch)
         self._tick()
-        self.read()
+        self.read_results()
 
-    def leads(self) -> bool:
-        return self.leading and self._world.timeline.now >= self.lapsed_until
+    def is_primary(self) -> bool:
+        """Whether there is a primary and its lease is valid."""
+        return self.has_primary and self._world.timeline.now >= self.lapsed_until
 
-    def leads_still(self) -> bool:
-        """A later look: the process may have been held up since the one before, and the lease have ended."""
-        return self.leads() and self._world.rng.random() >= HELD_UP
+    def is_primary_on_recheck(self) -> bool:
+        """Whether a second check of the lease succeeds; after a delay of the process it may have ended."""
+        return self.is_primary() and self._world.rng.random() >= LATE_CHECK_SHARE
 
     # --- the store ---
 
-    def commit(self, change: Callable[[], list[Write]], done: Callable[[], None]) -> None:
-        """What `GroupDriver.commit` promises: refused before the change, or written, or the epoch ends."""
-        if not self.leads_still():
+    def commit(self, change: Callable[[], list[Write]], on_commit: Callable[[], None]) -> None:
+        """Do as `GroupDriver.commit`: refuse before the change, or commit, or end with the epoch."""
+        if not self.is_primary_on_recheck():
             return
-        self.gather(change(), done)
+        self.append_writes(change(), on_commit)
 
-    def gather(self, writes: list[Write], done: Callable[[], None]) -> None:
+    def append_writes(self, writes: list[Write], on_commit: Callable[[], None]) -> None:
+        """Apply writes to the primary's replica and commit them after a random delay, in order."""
         timeline = self._world.timeline
         self._apply(self.store, writes)
-        self._pending.append(PendingCommit(self.epoch, writes, done))
-        when = max(self._last_commit, timeline.now + self._world.rng.uniform(0.002, 0.05))
-        self._last_commit = when
-        timeline.at(when, self._commit_next)
+        self._pending.append(PendingCommit(self.epoch, writes, on_commit))
+        commit_at = max(self._last_commit, timeline.now + self._world.rng.uniform(0.002, 0.05))
+        self._last_commit = commit_at
+        timeline.at(commit_at, self._commit_next)
 
     def _commit_next(self) -> None:
         if not self._pending:
             return
-        if self._world.timeline.now < self.lapsed_until:  # no majority answers just now
+        if self._world.timeline.now < self.lapsed_until:  # no majority confirms until then
             self._world.timeline.at(self.lapsed_until, self._commit_next)
             return
         first = self._pending.pop(0)
         self._apply(self._committed, first.writes)
-        first.done()
+        first.on_commit()
 
     def _apply(self, store: MemoryStore, writes: list[Write]) -> None:
         if writes:
             store.apply([Update(Position(self.epoch, store.position.version + 1), writes)])
 
     def change_epoch(self) -> None:
-        """Another primary leads after a while; some of what was not committed outlives this one."""
-        if not self.leading:
+        """End the epoch; a random number of pending writes survive, and another primary follows later."""
+        if not self.has_primary:
             return
-        self.leading = False
-        kept = self._world.rng.randint(0, len(self._pending))
-        for pending in self._pending[:kept]:
+        self.has_primary = False
+        surviving_count = self._world.rng.randint(0, len(self._pending))
+        for pending in self._pending[:surviving_count]:
             self._apply(self._committed, pending.writes)
         self._pending.clear()
         self.store.data = dict(self._committed.data)
         for link in list(self._links.values()):
             link.send_down(Redirect(""))
             link.close_at_group()
-        self._world.timeline.after(self._world.rng.uniform(0.1, 1.5), self._lead)
+        self._world.timeline.after(self._world.rng.uniform(0.1, 1.5), self._start_epoch)
 
-    def _lead(self) -> None:
+    def _start_epoch(self) -> None:
         self.epoch += 1
-        self.leading = True
+        self.has_primary = True
         self.dispatcher.begin(self._world.timeline.now, self.epoch)
 
     # --- sessions ---
 
     def receive(self, link: Link, message: BatchMessage) -> None:
         now = self._world.timeline.now
-        if not self.leads():
+        if not self.is_primary():
             link.send_down(Redirect(""))
             return
         if isinstance(message, WorkerOpen):
@@ -242,85 +254,88 @@
     def _finish(self, session: WorkerSession, message: ItemFinished) -> None:
         def done() -> None:
             self.dispatcher.result_committed(session, message.key)
-            self._world.finished_at = self._world.timeline.now
+            self._world.last_result_at = self._world.timeline.now
             self.flush()
 
         self.commit(lambda: self.dispatcher.finish_item(self._world.timeline.now, session, message), done)
 
-    def closed(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         if link.session is not None:
             self._links.pop(link.session, None)
             self.dispatcher.session_closed(self._world.timeline.now, link.session)
 
     def flush(self) -> None:
+        """Send the dispatcher's messages and check the items that it has reclaimed."""
         outbox, self.dispatcher.outbox = self.dispatcher.outbox, []
         for session, message in outbox:
             link = self._links.get(session)
             if link is not None:
                 link.send_down(message)
-        repairs, self.dispatcher.reclaimed = self.dispatcher.reclaimed, []
-        for node, why, items in repairs:
-            if why is ReclaimReason.NOT_HELD:
-                self._check_repair(node, items)
+        reclaims, self.dispatcher.reclaimed = self.dispatcher.reclaimed, []
+        for node, reason, items in reclaims:
+            if reason is ReclaimReason.NOT_HELD:
+                self._check_reclaim(node, items)
 
-    def _check_repair(self, node: str, items: list[ItemKey]) -> None:
-        """Items are taken back from a sidecar that neither has them nor is about to get them."""
+    def _check_reclaim(self, node: str, items: list[ItemKey]) -> None:
+        """Check that items are reclaimed only from a sidecar that neither has them nor will receive them."""
         link = next((each for each in self._links.values() if each.sidecar.name == node), None)
-        if link is None or not link.carries or link.sidecar.link is not link:
+        if link is None or not link.delivers or link.sidecar.link is not link:
             return
-        coming = {message.key for message in link.down if isinstance(message, RunItem)}
-        wrong = [key for key in items if key in coming or key in link.sidecar.tracker.keys]
-        if wrong:
-            raise Broken(f"{self._world.seed}: {wrong[0]} is taken back from {node}, which has it")
+        incoming = {message.key for message in link.in_transit if isinstance(message, RunItem)}
+        wrongly_reclaimed = [key for key in items if key in incoming or key in link.sidecar.tracker.keys]
+        if wrongly_reclaimed:
+            raise Broken(f"{self._world.seed}: {wrongly_reclaimed[0]} is reclaimed from {node}, which has it")
 
     def _tick(self) -> None:
         now = self._world.timeline.now
-        if self.leads():
+        if self.is_primary():
             self.dispatcher.tick(now)
             for session in self.dispatcher.timed_out_sessions(now):
                 self._links[session].close_at_group()
             self.dispatcher.assign_items(now, now)
             self.flush()
-            for item in self.table.undeliverable_items(now, {LIMITS.route}):
-                self._bury(item.key)
+            for item in self.table.undeliverable_items(now, {JOB_LIMITS.route}):
+                self._dead_letter(item.key)
         self._world.timeline.after(0.05, self._tick)
 
-    def _bury(self, key: ItemKey) -> None:
-        self.commit(partial(self.table.finish, key, False, ""), partial(self._listed, key))
+    def _dead_letter(self, key: ItemKey) -> None:
+        self.commit(partial(self.table.finish, key, False, ""), partial(self._result_listed, key))
 
-    def _listed(self, key: ItemKey) -> None:
+    def _result_listed(self, key: ItemKey) -> None:
         self.table.mark_result_committed(key)
 
     # --- clients ---
 
-    def read(self) -> None:
-        """A client looks at all jobs; what it has seen once must stay."""
-        for job in self.table.jobs if self.leads() else ():
+    def read_results(self) -> None:
+        """Read the results of all jobs as a client; a result that was read once must not change."""
+        for job in self.table.jobs if self.is_primary() else ():
             page = self.table.page(job, 0)
             if not isinstance(page, Refusal):
                 for position, result in enumerate(page.results):
-                    seen = self._world.seen.setdefault((job, position), result.id)
+                    seen = self._world.results_read.setdefault((job, position), result.id)
                     if seen != result.id:
                         raise Broken(f"{self._world.seed}: {job} {position} was {seen}, is {result.id}")
-        self._world.timeline.after(READ_S, self.read)
+        self._world.timeline.after(READ_INTERVAL_S, self.read_results)
 
-    def submit(self, job: str, items: list[str]) -> None:
-        if not self.leads() or job in self.table.jobs:
+    def submit_job(self, job: str, items: list[str]) -> None:
+        """Submit a job as a client; refused without a primary, or if the job exists."""
+        if not self.is_primary() or job in self.table.jobs:
             return
         requests = [
             {"id": item, "path": "/", "tokens": 1, "body": base64.b64encode(b"b").decode()} for item in items
         ]
         body = msgspec.json.encode({"requests": requests})
-        made = self.table.submit(self._world.timeline.now, job, LIMITS, body)
-        assert not isinstance(made, Refusal)
+        writes = self.table.submit(self._world.timeline.now, job, JOB_LIMITS, body)
+        assert not isinstance(writes, Refusal)
 
         def done() -> None:
             self.table.mark_committed(job)
-            self._world.accepted[job] = set(items)
+            self._world.accepted_jobs[job] = set(items)
 
-        self.commit(lambda: made, done)
+        self.commit(lambda: writes, done)
 
-    def end(self, job: str) -> None:
+    def end_job(self, job: str) -> None:
+        """End a committed job as a client."""
         if not self.table.is_committed(job):
             return
 
@@ -328,12 +343,12 @@
             self.dispatcher.cancel_job(job)
             self.flush()
 
-        self._world.ended.add(job)  # asked for: nothing more is owed
+        self._world.ended_jobs.add(job)  # from the request on, no further results are required
         self.commit(lambda: self.table.end(job), done)
 
 
 class SidecarProcess:
-    """One sidecar: the product's item tracker, and attempts that end as chance has it."""
+    """One sidecar: the product's item tracker, and attempts with random outcomes."""
 
     def __init__(self, world: World, group: StorageGroup, name: str) -> None:
         self._world = world
@@ -343,11 +358,11 @@
         self.frozen_until = 0.0
         self.link: Link | None = None
         self.tracker = ItemTracker(name, "z")
-        self._attempts: dict[ItemKey, int] = {}  # serial of the attempt that runs
-        self._moving: set[ItemKey] = set()  # those at an endpoint that works on them
+        self._attempts: dict[ItemKey, int] = {}  # serial number of the attempt in flight
+        self._progressing: set[ItemKey] = set()  # items that an endpoint is working on
         self._serial = 0
         self.stuck_until = 0.0
-        self._tend()
+        self._maintain_session()
 
     @property
     def frozen(self) -> bool:
@@ -355,61 +370,62 @@
 
     @property
     def stuck(self) -> bool:
-        """Whether it takes items and moves none: no endpoint can be reached, or its decisions stand still."""
+        """Whether it accepts items and makes no progress: no endpoint is reachable, or decisions stall."""
         return self._world.timeline.now < self.stuck_until
 
-    def works_on(self) -> list[ItemKey]:
-        """The items that endpoints work on for it."""
+    def items_in_progress(self) -> list[ItemKey]:
+        """The items of this sidecar that endpoints are working on."""
         if not self.alive or self.frozen:
             return []
-        return [key for key in self._moving if key in self._attempts]
+        return [key for key in self._progressing if key in self._attempts]
 
-    def _later(self, delay: float, call: Callable[[], None]) -> None:
-        """Do something in this process's time: not while it is frozen, and not after its end."""
+    def _schedule(self, delay: float, call: Callable[[], None]) -> None:
+        """Call after a delay, later if the process is then frozen, and not if it has ended by then."""
         tracker = self.tracker
 
-        def due() -> None:
+        def call_when_running() -> None:
             if self.frozen:
-                self._world.timeline.at(self.frozen_until, due)
+                self._world.timeline.at(self.frozen_until, call_when_running)
             elif self.alive and self.tracker is tracker:
                 call()
 
-        self._world.timeline.after(delay, due)
+        self._world.timeline.after(delay, call_when_running)
 
-    def crash(self, noticed: bool = True) -> None:
-        """End at once. A loss of power is not `noticed`: the primary is told nothing."""
+    def crash(self, resets_connection: bool = True) -> None:
+        """End at once; `resets_connection` is false for a loss of power, which the primary can't detect."""
         if self.alive:
             self.alive = False
             self._attempts.clear()
             if self.link is not None:
                 self.link.open_at_sidecar = False
-                if noticed:
-                    self.link.break_off()
-                self.link.carries = False
+                if resets_connection:
+                    self.link.break_connection()
+                self.link.delivers = False
                 self.link = None
 
     def start(self) -> None:
+        """Start again after a crash, without the items held before."""
         if not self.alive:
             self.alive = True
             self.tracker = ItemTracker(self.name, "z")
-            self._tend()
+            self._maintain_session()
 
     # --- the session ---
 
-    def _tend(self) -> None:
+    def _maintain_session(self) -> None:
         now = self._world.timeline.now
         if self.link is None:
             self._connect()
         elif self.tracker.is_silent(now):
             self.link.close_at_sidecar()
         else:
-            if self._world.standstills and not self.stuck:
-                self.tracker.endpoint_answered()  # its live calls
+            if self._world.stuck_sidecars and not self.stuck:
+                self.tracker.endpoint_answered()  # an answer to a live call
             self._send(self.tracker.tick(now))
-        self._later(RETRY_S if self.link is None else TEND_S, self._tend)
+        self._schedule(RECONNECT_INTERVAL_S if self.link is None else SESSION_TICK_S, self._maintain_session)
 
     def _connect(self) -> None:
-        if self._world.unreachable(self) or not self._group.leading:
+        if self._world.is_unreachable(self) or not self._group.has_primary:
             return
         link = self.link = Link(self._world, self, self._group)
         link.send_up(self.tracker.open_session())
@@ -418,9 +434,9 @@
             if self.link is link and not self.tracker.accepted:
                 link.close_at_sidecar()
 
-        self._later(ACCEPT_S, give_up)
+        self._schedule(ACCEPT_TIMEOUT_S, give_up)
 
-    def closed(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         if link is self.link:
             self.link = None
             self.tracker.end_session()
@@ -442,7 +458,7 @@
         elif isinstance(message, ItemStored):
             self.tracker.remove_item(message.key)
         elif isinstance(message, ProbeEndpoints) and not self.stuck:
-            self._later(
+            self._schedule(
                 self._world.rng.uniform(0.001, 0.3), lambda: self._send(self.tracker.probe_answered(now))
             )
 
@@ -462,186 +478,193 @@
         rng = self._world.rng
         outcome: ItemFinished | ItemReturned = ItemFinished(key, True, "text")
         delay = rng.expovariate(1 / 0.5)
-        drawn = rng.random()
-        self._moving.discard(key)
+        draw = rng.random()
+        self._progressing.discard(key)
         if self.stuck:
-            outcome, delay = self._unmoved(order)
-        elif drawn < 0.10:
+            outcome, delay = self._outcome_without_progress(order)
+        elif draw < 0.10:
             outcome = ItemReturned(key, ReturnReason.REFUSED, 0)
-        elif drawn < 0.16:
+        elif draw < 0.16:
             outcome = ItemReturned(key, ReturnReason.FAILED, 1)
-        elif drawn < 0.20 and not self._world.endpoints_are_well():
-            outcome, delay = ItemReturned(key, ReturnReason.SILENT, 0), SILENT_ATTEMPT_S
+        elif draw < 0.20 and not self._world.endpoints_are_healthy():
+            outcome, delay = ItemReturned(key, ReturnReason.SILENT, 0), SILENT_ATTEMPT_TIMEOUT_S
         else:
-            self._moving.add(key)
-            self._later(delay / 2, partial(self._begin, key, serial))
+            self._progressing.add(key)
+            self._schedule(delay / 2, partial(self._item_started, key, serial))
 
         def ended() -> None:
             if self._attempts.get(key) == serial:
                 del self._attempts[key]
-                self._moving.discard(key)
+                self._progressing.discard(key)
                 self._send(self.tracker.mark_ended(self._world.timeline.now, outcome))
 
-        self._later(delay, ended)
+        self._schedule(delay, ended)
 
-    def _unmoved(self, order: RunItem) -> tuple[ItemReturned, float]:
-        """How an item ends that does not move: no endpoint takes it, or one says nothing."""
-        if self.works_on() and self._world.rng.random() < 0.5:
-            return ItemReturned(order.key, ReturnReason.SILENT, 0), SILENT_ATTEMPT_S
-        return ItemReturned(order.key, ReturnReason.STUCK, 0), QUEUE_SILENCE_S
+    def _outcome_without_progress(self, order: RunItem) -> tuple[ItemReturned, float]:
+        """The outcome of an item without progress: no endpoint accepts it, or its endpoint sends nothing."""
+        if self.items_in_progress() and self._world.rng.random() < 0.5:
+            return ItemReturned(order.key, ReturnReason.SILENT, 0), SILENT_ATTEMPT_TIMEOUT_S
+        return ItemReturned(order.key, ReturnReason.STUCK, 0), QUEUE_TIMEOUT_S
 
-    def _begin(self, key: ItemKey, serial: int) -> None:
-        """The item's first event comes."""
+    def _item_started(self, key: ItemKey, serial: int) -> None:
+        """Report the first event of the item."""
         if self._attempts.get(key) == serial:
             self._send(self.tracker.mark_started(key))
 
 
-class Trouble(Enum):
-    """What may happen to the parts of the world."""
+class FaultKind(Enum):
+    """Faults that are injected."""
 
-    CUT = "a connection breaks"
+    DISCONNECT = "a connection breaks"
     SILENCE = "a connection carries nothing, and nobody hears of it"
     CRASH = "a sidecar ends and comes back"
-    GONE = "a sidecar ends for good"
+    REMOVAL = "a sidecar ends for good"
     FREEZE = "a sidecar stands still"
-    LAPSE = "the lease lapses for a moment, and the epoch goes on"
-    EPOCH = "another primary leads"
+    LEASE_LAPSE = "the lease lapses for a moment, and the epoch goes on"
+    EPOCH_CHANGE = "another primary leads"
     STUCK = "a sidecar moves nothing for a while, or for good"
 
 
 class World:
-    """One run, drawn from its seed alone.
+    """One run; its schedule depends on the seed alone.
 
-    `standstills`: sidecars that move nothing are among the troubles.
+    `stuck_sidecars`: the faults include sidecars that make no progress.
     """
 
-    def __init__(self, seed: int, standstills: bool = False) -> None:
+    def __init__(self, seed: int, stuck_sidecars: bool = False) -> None:
         self.seed = seed
-        self.standstills = standstills
+        self.stuck_sidecars = stuck_sidecars
         self.rng = random.Random(seed)
         self.timeline = Timeline()
-        self.accepted: dict[str, set[str]] = {}
-        self.ended: set[str] = set()
-        self.worked_on: dict[ItemKey, float] = {}  # when an endpoint last had the item
-        self.finished_at = 0.0
-        self.seen: dict[tuple[str, int], str] = {}  # items by job and position, as clients have read them
-        self._unreachable: dict[str, float] = {}
+        self.accepted_jobs: dict[str, set[str]] = {}
+        self.ended_jobs: set[str] = set()
+        self.last_worked_on: dict[ItemKey, float] = {}  # when an endpoint last worked on the item
+        self.last_result_at = 0.0
+        self.results_read: dict[tuple[str, int], str] = {}  # item ids by job and position, as read by clients
+        self._unreachable_until: dict[str, float] = {}
         self.group = StorageGroup(self)
-        self.sidecars = [SidecarProcess(self, self.group, f"s{number}") for number in range(SIDECARS)]
-        self._draw()
-        if standstills:
-            self.timeline.at(TROUBLE_S + SETTLED_S, self._look)
+        self.sidecars = [SidecarProcess(self, self.group, f"s{number}") for number in range(SIDECAR_COUNT)]
+        self._schedule_events()
+        if stuck_sidecars:
+            self.timeline.at(FAULT_PERIOD_S + MAX_FAULT_S, self._check_idle_items)
 
-    def unreachable(self, sidecar: SidecarProcess) -> bool:
-        return self.timeline.now < self._unreachable.get(sidecar.name, 0.0)
+    def is_unreachable(self, sidecar: SidecarProcess) -> bool:
+        return self.timeline.now < self._unreachable_until.get(sidecar.name, 0.0)
 
-    def _draw(self) -> None:
+    def _schedule_events(self) -> None:
         rng = self.rng
         for number in range(12):
             job, count = f"j{number}", rng.randint(1, 25)
             items = [f"{job}i{item}" for item in range(count)]
-            for _ in range(3):  # a client that is refused sends the same again
-                self.timeline.at(rng.uniform(0.5, TROUBLE_S), partial(self.group.submit, job, items))
+            for _ in range(3):  # a client repeats a refused submission
+                self.timeline.at(rng.uniform(0.5, FAULT_PERIOD_S), partial(self.group.submit_job, job, items))
             if rng.random() < 0.2:
-                self.timeline.at(rng.uniform(2.0, TROUBLE_S), partial(self.group.end, job))
-        known = [kind for kind in Trouble if kind is not Trouble.STUCK]
+                self.timeline.at(rng.uniform(2.0, FAULT_PERIOD_S), partial(self.group.end_job, job))
+        known = [kind for kind in FaultKind if kind is not FaultKind.STUCK]
         kinds = rng.sample(known, rng.randint(2, len(known)))
         for _ in range(rng.randint(8, 30)):
             kind = rng.choice(kinds)
-            self.timeline.at(rng.uniform(0.5, TROUBLE_S), partial(self._strike, kind))
-        for _ in range(rng.randint(1, 2 * SIDECARS) if self.standstills else 0):
-            self.timeline.at(rng.uniform(0.5, TROUBLE_S), partial(self._strike, Trouble.STUCK))
+            self.timeline.at(rng.uniform(0.5, FAULT_PERIOD_S), partial(self._inject, kind))
+        for _ in range(rng.randint(1, 2 * SIDECAR_COUNT) if self.stuck_sidecars else 0):
+            self.timeline.at(rng.uniform(0.5, FAULT_PERIOD_S), partial(self._inject, FaultKind.STUCK))
 
-    def _strike(self, kind: Trouble) -> None:
+    def _inject(self, kind: FaultKind) -> None:
         rng, now = self.rng, self.timeline.now
         sidecar = rng.choice(self.sidecars)
-        if kind is Trouble.CUT and sidecar.link is not None:
-            self._unreachable[sidecar.name] = now + rng.choice([0.0, 0.0, rng.uniform(0.2, 5.0)])
-            sidecar.link.break_off()
-        elif kind is Trouble.SILENCE and sidecar.link is not None:
-            sidecar.link.carries = False
-        elif kind is Trouble.CRASH:
+        if kind is FaultKind.DISCONNECT and sidecar.link is not None:
+            self._unreachable_until[sidecar.name] = now + rng.choice([0.0, 0.0, rng.uniform(0.2, 5.0)])
+            sidecar.link.break_connection()
+        elif kind is FaultKind.SILENCE and sidecar.link is not None:
+            sidecar.link.delivers = False
+        elif kind is FaultKind.CRASH:
             sidecar.crash()
             self.timeline.after(rng.uniform(0.1, 4.0), sidecar.start)
-        elif kind is Trouble.GONE and sidecar is not self.sidecars[0]:
-            sidecar.crash(noticed=rng.random() < 0.5)
-        elif kind is Trouble.FREEZE:
+        elif kind is FaultKind.REMOVAL and sidecar is not self.sidecars[0]:
+            sidecar.crash(resets_connection=rng.random() < 0.5)
+        elif kind is FaultKind.FREEZE:
             sidecar.frozen_until = now + rng.uniform(0.1, 5.0)
-        elif kind is Trouble.LAPSE:
+        elif kind is FaultKind.LEASE_LAPSE:
             self.group.lapsed_until = now + rng.uniform(0.01, 1.0)
-        elif kind is Trouble.EPOCH:
+        elif kind is FaultKind.EPOCH_CHANGE:
             self.group.change_epoch()
-        elif kind is Trouble.STUCK and sidecar is not self.sidecars[0]:
-            sidecar.stuck_until = now + rng.choice([rng.uniform(0.5, SETTLED_S), TROUBLE_S + CALM_S])
+        elif kind is FaultKind.STUCK and sidecar is not self.sidecars[0]:
+            sidecar.stuck_until = now + rng.choice(
+                [rng.uniform(0.5, MAX_FAULT_S), FAULT_PERIOD_S + RECOVERY_PERIOD_S]
+            )
 
-    def endpoints_are_well(self) -> bool:
-        """Whether none goes dark now: in calm, where it is looked for items that lie."""
-        return self.standstills and self.timeline.now >= TROUBLE_S
+    def endpoints_are_healthy(self) -> bool:
+        """Whether no endpoint falls silent: in the recovery period of runs that check for idle items."""
+        return self.stuck_sidecars and self.timeline.now >= FAULT_PERIOD_S
 
-    # --- items that lie ---
+    # --- idle items ---
 
-    def _look(self) -> None:
-        """What the operators look for: an item that nobody works on, though somebody could."""
+    def _check_idle_items(self) -> None:
+        """Check that no item stays without an endpoint while some sidecar could run it."""
         now = self.timeline.now
         able = False
         for sidecar in self.sidecars:
             able |= sidecar.alive and not sidecar.stuck and sidecar.tracker.accepted
-            self.worked_on.update((key, now) for key in sidecar.works_on())
-        idle = now - self.finished_at > FINISHED_LATELY_S
-        if able and idle and now > TROUBLE_S + SETTLED_S + LYING_S:
+            self.last_worked_on.update((key, now) for key in sidecar.items_in_progress())
+        idle = now - self.last_result_at > RECENT_RESULT_S
+        if able and idle and now > FAULT_PERIOD_S + MAX_FAULT_S + MAX_ITEM_IDLE_S:
             for key in self._open_items():
-                if now - self.worked_on.get(key, 0.0) > LYING_S:
-                    raise Broken(f"{self.seed}: {key} lies at {now:.1f} s, nobody works on it")
-        self.timeline.after(LOOK_S, self._look)
+                if now - self.last_worked_on.get(key, 0.0) > MAX_ITEM_IDLE_S:
+                    raise Broken(f"{self.seed}: {key} is idle at {now:.1f} s, no endpoint works on it")
+        self.timeline.after(IDLE_CHECK_INTERVAL_S, self._check_idle_items)
 
     def _open_items(self) -> list[ItemKey]:
         found = []
-        for job, items in self.accepted.items():
+        for job, items in self.accepted_jobs.items():
             open_job = self.group.table.jobs.get(job)
-            if open_job is not None and job not in self.ended:
+            if open_job is not None and job not in self.ended_jobs:
                 found += [
                     ItemKey(job, i) for i in sorted(items) if not open_job.items[i].has_committed_result
                 ]
         return found
 
-    # --- the end ---
+    # --- checks at the end ---
 
     def play(self) -> None:
-        """Raises:
-        Broken: names the seed and what does not hold.
+        """Run the schedule to its end and check the results.
+
+        Raises:
+            Broken: an invariant does not hold; the message has the seed.
         """
-        self.timeline.run_until(TROUBLE_S + CALM_S)
+        self.timeline.run_until(FAULT_PERIOD_S + RECOVERY_PERIOD_S)
         self._check_jobs()
         self._check_reads()
-        self._check_sides()
+        self._check_sidecars()
 
     def _check_jobs(self) -> None:
-        for job, items in self.accepted.items():
+        for job, items in self.accepted_jobs.items():
             if self.group.store.get(JOB_PREFIX + job) is None:
-                raise Broken(f"{self.seed}: {job} was accepted and is gone")
+                raise Broken(f"{self.seed}: {job} was accepted and is not in the store")
             found = list(self.group.store.scan(f"{RESULT_PREFIX}{job}/"))
             positions = [int(key.rpartition("/")[2]) for key, _ in found]
             if positions != list(range(len(found))):
-                raise Broken(f"{self.seed}: {job} has holes among its positions: {positions}")
+                raise Broken(f"{self.seed}: {job} has gaps in its positions: {positions}")
             names = [msgspec.msgpack.decode(value, type=ResultRecord).id for _, value in found]
             if len(set(names)) < len(names):
                 raise Broken(f"{self.seed}: an item of {job} is listed twice")
-            if job not in self.ended and set(names) != items:
-                raise Broken(f"{self.seed}: items of {job} are left lying: {sorted(items - set(names))}")
-            if job not in self.ended and self.group.table.jobs[job].committed_positions != len(items):
-                raise Broken(f"{self.seed}: results of {job} are not shown")
+            if job not in self.ended_jobs and set(names) != items:
+                raise Broken(f"{self.seed}: items of {job} have no result: {sorted(items - set(names))}")
+            if job not in self.ended_jobs and self.group.table.jobs[job].committed_positions != len(items):
+                raise Broken(f"{self.seed}: results of {job} are not committed")
 
     def _check_reads(self) -> None:
-        for (job, position), item in self.seen.items():
+        for (job, position), item in self.results_read.items():
             page = self.group.table.page(job, position)
             if isinstance(page, Refusal) or not page.results or page.results[0].id != item:
-                raise Broken(f"{self.seed}: {item} was read at {job} {position}, and is not there")
+                raise Broken(f"{self.seed}: {item} was read at {job} {position} and is not there any more")
 
-    def _check_sides(self) -> None:
+    def _check_sidecars(self) -> None:
         for sidecar in self.sidecars:
-            held = len(sidecar.tracker) if sidecar.alive else 0
-            if held or self.group.table.running_count(sidecar.name):
-                taken = self.group.table.running_count(sidecar.name)
-                raise Broken(f"{self.seed}: {sidecar.name} holds {held} items, and is taken to hold {taken}")
+            held_count = len(sidecar.tracker) if sidecar.alive else 0
+            if held_count or self.group.table.running_count(sidecar.name):
+                recorded_count = self.group.table.running_count(sidecar.name)
+                raise Broken(
+                    f"{self.seed}: {sidecar.name} holds {held_count} items, "
+                    f"the primary records {recorded_count}"
+                )
             if sidecar.alive and not sidecar.tracker.accepted:
                 raise Broken(f"{self.seed}: {sidecar.name} has no session")
--- a/tests/model/placement.py
+++ b/tests/model/placement.py
@@ -1,11 +1,11 @@
-"""Where items go while sidecars reach no endpoint, or refuse: the product's dispatcher in virtual time.
+"""Simulates the placement of items in virtual time while sidecars reach no endpoint or refuse items.
 
-The product's are the job table, the dispatcher and the scheduler. What stands in for the rest: sidecars that
-each reach endpoints in some spans of time and not in others, and give back what they can't move as the real
-ones do; endpoints with so many places; live calls that end before the items do. Sessions do not break here:
-`tests/model/items.py` has that.
+The job table, the dispatcher and the scheduler are those of the product. The rest is modelled: sidecars that
+reach endpoints in some spans of time only, and return items without progress as the real ones do; endpoints
+with a limited number of slots; live calls that end before the items do. Sessions do not break in this model;
+`tests/model/items.py` covers that.
 
-The bound is that of docs/control-guarantees.md, point 6; the operators' own is longer.
+The bound is that of docs/control-guarantees.md, point 6; the bound that operators require is longer.
 """
 
 from __future__ import annotations
@@ -25,25 +25,26 @@
 from eiderhub.storage.store import MemoryStore
 from tests.model.clock import Timeline
 from tests.model.items import Broken
-from tests.model.placement_plan import FOR_GOOD, NEW_ROUTE, ROUTE, Lot, Plan
+from tests.model.placement_plan import FOREVER_S, NEW_ROUTE, ROUTE, JobPlan, Plan
 from tests.model.placement_sidecar import (
-    FIRST_EVENT_S,
-    MOST_RUN_S,
-    QUEUE_SILENCE_S,
-    RUN_S,
-    SILENT_ATTEMPT_S,
+    MAX_RUN_S,
+    MEAN_FIRST_EVENT_S,
+    MEAN_RUN_S,
+    QUEUE_TIMEOUT_S,
+    SILENT_ATTEMPT_TIMEOUT_S,
     ModelSidecar,
 )
 
-DISPATCH_S, LOOK_S = 0.02, 0.1
-SETTLE_S = 1.0  # a new primary gives sidecars nearly so long to say what they hold
-WAY_S = 0.003  # of one message
-# The bound: from the moment at which a sidecar reaches endpoints, and all that was sent into the dark has
-# come back, each open lot has an item at an endpoint at least every so many seconds while these are under
-# half full; and so much later nine tenths of what fits are done.
-SERVED_S, DONE_S, DONE_SHARE = 2.0, 10.0, 0.9
-FULL_SHARE = 0.5
-USED_SHARE = 0.5  # of the room of sidecars that reach endpoints, in what "fits" within DONE_S
+DISPATCH_INTERVAL_S, CHECK_INTERVAL_S = 0.02, 0.1
+TAKEOVER_S = 1.0  # longer than a new primary waits for sidecars to announce their items
+MESSAGE_DELAY_S = 0.003
+# The bound counts from the time at which a sidecar reaches endpoints and all items that were assigned to
+# sidecars without endpoints have been returned. From then on each open job has an item at an endpoint at
+# least every MAX_UNSERVED_S while less than BUSY_SHARE of the slots is in use, and COMPLETION_S later
+# COMPLETED_SHARE of the items that fit are finished.
+MAX_UNSERVED_S, COMPLETION_S, COMPLETED_SHARE = 2.0, 10.0, 0.9
+BUSY_SHARE = 0.5
+USABLE_SHARE = 0.5  # share of the slots of able sidecars that counts in `fitting_item_count`
 
 
 class PlacementWorld:
@@ -57,49 +58,49 @@
         self._store = MemoryStore()
         self.table = JobTable(self._store)
         self.dispatcher = Dispatcher(self.table)
-        self.dispatcher.scheduler.set_endpoints(plan.endpoints, plan.places)
+        self.dispatcher.scheduler.set_endpoints(plan.endpoint_count, plan.endpoint_slots)
         self._epoch = 0
-        self._served: dict[str, float] = {}  # when a lot last had an item at an endpoint
-        self._accepted: dict[str, float] = {}
-        self.listed = 0
-        self.given = 0  # `RunItem`s sent
+        self._last_served: dict[str, float] = {}  # by job: when an item of it was last at an endpoint
+        self._accepted_at: dict[str, float] = {}
+        self.result_count = 0
+        self.orders_sent = 0  # `RunItem` messages
         self.sidecars = [ModelSidecar(self, f"s{n}", each) for n, each in enumerate(plan.sidecars)]
         self._by_name = {sidecar.name: sidecar for sidecar in self.sidecars}
-        self._lead()
-        for when in plan.new_primaries:
-            self.timeline.at(when, self._lead)
-        for lot in plan.lots:
-            self.timeline.at(lot.at, partial(self._submit, lot))
+        self._start_epoch()
+        for start in plan.new_primaries:
+            self.timeline.at(start, self._start_epoch)
+        for job in plan.jobs:
+            self.timeline.at(job.submitted_at, partial(self._submit, job))
         self._tick()
 
     # --- the primary ---
 
-    def _lead(self) -> None:
+    def _start_epoch(self) -> None:
         self._epoch += 1
         self.dispatcher.begin(self.timeline.now, self._epoch)
         for sidecar in self.sidecars:
             sidecar.open()
         self._flush()
 
-    def _submit(self, lot: Lot) -> None:
+    def _submit(self, job: JobPlan) -> None:
         requests = [
-            {"id": f"{lot.name}i{n}", "path": "/", "tokens": 1, "body": base64.b64encode(b"b").decode()}
-            for n in range(lot.items)
+            {"id": f"{job.name}i{n}", "path": "/", "tokens": 1, "body": base64.b64encode(b"b").decode()}
+            for n in range(job.item_count)
         ]
-        terms = BatchLimits(lot.route, lot.window_s, FOR_GOOD, 3, 0.0)
+        limits = BatchLimits(job.route, job.window_s, FOREVER_S, 3, 0.0)
         body = msgspec.json.encode({"requests": requests})
-        made = self.table.submit(self.timeline.now, lot.name, terms, body)
-        assert not isinstance(made, Refusal)
-        self._write(made)
-        self.table.mark_committed(lot.name)
-        self._accepted[lot.name] = self.timeline.now
+        writes = self.table.submit(self.timeline.now, job.name, limits, body)
+        assert not isinstance(writes, Refusal)
+        self._write(writes)
+        self.table.mark_committed(job.name)
+        self._accepted_at[job.name] = self.timeline.now
 
     def _write(self, writes: list[Write]) -> None:
         if writes:
             self._store.apply([Update(Position(1, self._store.position.version + 1), writes)])
 
-    def tell(self, call: Callable[..., None]) -> None:
-        """A sidecar's message reaches the primary, if that still leads its session."""
+    def send_to_primary(self, call: Callable[..., None]) -> None:
+        """Deliver a sidecar's message to the primary, unless the epoch has changed by then."""
         epoch = self._epoch
 
         def arrive() -> None:
@@ -108,122 +109,138 @@
                 self.dispatcher.assign_items(self.timeline.now, self.timeline.now)
                 self._flush()
 
-        self.timeline.after(WAY_S, arrive)
+        self.timeline.after(MESSAGE_DELAY_S, arrive)
 
-    def finish(self, sidecar: ModelSidecar, message: ItemFinished) -> None:
+    def finish_item(self, sidecar: ModelSidecar, message: ItemFinished) -> None:
+        """Send the result of an item to the primary, which stores it at once."""
         session = sidecar.session
         assert session is not None
 
-        def take(now: float) -> None:
+        def apply_result(now: float) -> None:
             self._write(self.dispatcher.finish_item(now, session, message))
-            self.listed += self.dispatcher.result_committed(session, message.key)
+            self.result_count += self.dispatcher.result_committed(session, message.key)
 
-        self.tell(take)
+        self.send_to_primary(apply_result)
 
     def _tick(self) -> None:
         now = self.timeline.now
         self.dispatcher.tick(now)
         self.dispatcher.assign_items(now, now)
         self._flush()
-        self.timeline.after(DISPATCH_S, self._tick)
+        self.timeline.after(DISPATCH_INTERVAL_S, self._tick)
 
     def _flush(self) -> None:
         outbox, self.dispatcher.outbox = self.dispatcher.outbox, []
         for session, message in outbox:
             sidecar = self._by_name[session.node]
-            self.given += isinstance(message, RunItem)
+            self.orders_sent += isinstance(message, RunItem)
             if sidecar.session is session:
-                self.timeline.after(WAY_S, partial(sidecar.receive, message))
+                self.timeline.after(MESSAGE_DELAY_S, partial(sidecar.receive, message))
 
     # --- endpoints ---
 
-    def filled(self) -> float:
-        """The share of the endpoints' places that is taken."""
+    def used_share(self) -> float:
+        """The share of the endpoints' slots that is in use."""
         items = sum(len(sidecar.at_endpoint) for sidecar in self.sidecars)
-        lives = any(self.timeline.now < sidecar.plan.live_until for sidecar in self.sidecars)
-        return items / self.plan.places + (self.plan.live_places if lives else 0.0)
+        has_live_calls = any(self.timeline.now < sidecar.plan.live_calls_until for sidecar in self.sidecars)
+        return items / self.plan.endpoint_slots + (self.plan.live_share if has_live_calls else 0.0)
 
-    def has_place(self) -> bool:
-        return self.filled() < 1.0
+    def has_free_slot(self) -> bool:
+        return self.used_share() < 1.0
 
-    def note_served(self, key: ItemKey) -> None:
-        self._served[key.job] = self.timeline.now
+    def record_served(self, key: ItemKey) -> None:
+        """Record that an item of the job is at an endpoint now."""
+        self._last_served[key.job] = self.timeline.now
 
     # --- the bound ---
 
-    def open_lots(self) -> list[str]:
+    def open_jobs(self) -> list[str]:
         return [job.record.id for job in self.table.open_jobs()]
 
-    def _note_running(self) -> None:
+    def _record_running(self) -> None:
         for sidecar in self.sidecars:
             for key in sidecar.at_endpoint:
-                self.note_served(key)
+                self.record_served(key)
 
-    def well_from(self) -> float:
-        """When the bound begins to count, at the first sidecar that can run items.
+    def bound_start(self) -> float:
+        """When the bound starts to count: when the first sidecar can run items.
 
-        What was sent into the dark, or to a sidecar that refuses since then, has come back by then, from a
-        second one too. A new primary gives sidecars a while to say what they hold.
+        Items that were assigned to sidecars that reach no endpoint, or that refuse items, have been returned
+        by then, also by a second such sidecar. A new primary waits for sidecars to announce their items.
         """
-        dark = [span.start + SILENT_ATTEMPT_S for s in self.sidecars for span in s.plan.dark]
-        refusing = [span.start for s in self.sidecars for span in s.plan.refusing]
-        ends = [start + QUEUE_SILENCE_S for start in dark + refusing]
-        ends += [when + SETTLE_S for when in (0.0, *self.plan.new_primaries)]
-        settled = max(ends, default=0.0)
-        return min(self._able_from(sidecar, settled) for sidecar in self.sidecars)
+        unreachable_ends = [
+            span.start + SILENT_ATTEMPT_TIMEOUT_S for s in self.sidecars for span in s.plan.unreachable
+        ]
+        refusal_starts = [span.start for s in self.sidecars for span in s.plan.refusing]
+        ends = [start + QUEUE_TIMEOUT_S for start in unreachable_ends + refusal_starts]
+        ends += [takeover + TAKEOVER_S for takeover in (0.0, *self.plan.new_primaries)]
+        settled_at = max(ends, default=0.0)
+        return min(self._able_since(sidecar, settled_at) for sidecar in self.sidecars)
 
     @staticmethod
-    def _able_from(sidecar: ModelSidecar, settled: float) -> float:
-        spans = (*sidecar.plan.dark, *sidecar.plan.refusing)
-        return max([settled, sidecar.plan.knows_new_route_from, *(s.end for s in spans if s.end > settled)])
+    def _able_since(sidecar: ModelSidecar, settled_at: float) -> float:
+        spans = (*sidecar.plan.unreachable, *sidecar.plan.refusing)
+        return max(
+            [settled_at, sidecar.plan.knows_new_route_from, *(s.end for s in spans if s.end > settled_at)]
+        )
 
-    def fitting(self, start: float, until: float) -> float:
-        """How many items the sidecars that reach endpoints can do in that span, by a half of their room.
+    def fitting_item_count(self, start: float, until: float) -> float:
+        """How many items able sidecars can finish in that span with USABLE_SHARE of their slots.
 
-        One that is begun so late that it may take until after its end does not count.
+        Items that start so late that they may end after `until` do not count.
         """
-        until -= FIRST_EVENT_S + MOST_RUN_S
+        until -= MEAN_FIRST_EVENT_S + MAX_RUN_S
         seconds = sum(
-            sidecar.plan.room * max(0.0, until - max(start, self._able_from(sidecar, start)))
+            sidecar.plan.slots * max(0.0, until - max(start, self._able_since(sidecar, start)))
             for sidecar in self.sidecars
         )
-        return USED_SHARE * min(seconds, self.plan.places * (until - start)) / (FIRST_EVENT_S + RUN_S)
+        return (
+            USABLE_SHARE
+            * min(seconds, self.plan.endpoint_slots * (until - start))
+            / (MEAN_FIRST_EVENT_S + MEAN_RUN_S)
+        )
 
     def play(self) -> None:
-        """Raises:
-        Broken: names the seed and what does not hold.
+        """Run the plan until the bound can be checked.
+
+        Raises:
+            Broken: the bound does not hold; the message has the seed.
         """
-        well_from = self.well_from()
-        self.timeline.run_until(well_from)
+        bound_start = self.bound_start()
+        self.timeline.run_until(bound_start)
         waiting = sum(len(job.items) - job.assigned_positions for job in self.table.open_jobs())
-        listed_before = self.listed
-        until = well_from + DONE_S
+        earlier_results = self.result_count
+        until = bound_start + COMPLETION_S
         while self.timeline.now < until:
-            self.timeline.run_until(self.timeline.now + LOOK_S)
-            self._note_running()
-            self._check_lots(well_from)
-        fits = min(waiting, self.fitting(well_from, until))
-        done = self.listed - listed_before
-        if done < DONE_SHARE * fits:
-            raise Broken(f"{self.seed}: {done} done in {DONE_S:g} s of {waiting} that wait, {fits:.0f} fit")
+            self.timeline.run_until(self.timeline.now + CHECK_INTERVAL_S)
+            self._record_running()
+            self._check_jobs(bound_start)
+        fitting = min(waiting, self.fitting_item_count(bound_start, until))
+        new_results = self.result_count - earlier_results
+        if new_results < COMPLETED_SHARE * fitting:
+            raise Broken(
+                f"{self.seed}: {new_results} finished in {COMPLETION_S:g} s of {waiting} unassigned, "
+                f"{fitting:.0f} fit"
+            )
 
     def _has_room(self, route: str) -> bool:
-        """Whether endpoints are under half full, and so are the sidecars that reach them by that route."""
-        able = [s for s in self.sidecars if s.is_able(self.timeline.now) and s.knows(route)]
-        used = sum(len(sidecar.at_endpoint) for sidecar in able)
-        room = sum(sidecar.plan.room for sidecar in able)
-        return self.filled() < FULL_SHARE and used < FULL_SHARE * room
+        """Whether endpoints, and the able sidecars that know the route, use less than BUSY_SHARE of slots."""
+        able = [s for s in self.sidecars if s.is_able(self.timeline.now) and s.knows_route(route)]
+        used_slots = sum(len(sidecar.at_endpoint) for sidecar in able)
+        slots = sum(sidecar.plan.slots for sidecar in able)
+        return self.used_share() < BUSY_SHARE and used_slots < BUSY_SHARE * slots
 
-    def _check_lots(self, well_from: float) -> None:
+    def _check_jobs(self, bound_start: float) -> None:
         now = self.timeline.now
         has_room = {route: self._has_room(route) for route in (ROUTE, NEW_ROUTE)}
-        for lot in self.open_lots():
-            if not has_room[self.table.jobs[lot].record.route]:
-                self._served[lot] = now  # the span begins anew
+        for job in self.open_jobs():
+            if not has_room[self.table.jobs[job].record.route]:
+                self._last_served[job] = now  # the time without service starts anew
                 continue
-            since = max(well_from, self._accepted[lot], self._served.get(lot, 0.0))
-            if now - since > SERVED_S:
+            idle_since = max(bound_start, self._accepted_at[job], self._last_served.get(job, 0.0))
+            if now - idle_since > MAX_UNSERVED_S:
                 raise Broken(
-                    f"{self.seed}: {lot} has had nothing at an endpoint for {now - since:.1f} s "
-                    f"at {now:.1f} s; these are {self.filled():.2f} full, well since {well_from:.1f} s"
+                    f"{self.seed}: {job} has had no item at an endpoint for {now - idle_since:.1f} s "
+                    f"at {now:.1f} s; endpoints use {self.used_share():.2f} of their slots, "
+                    f"the bound counts from {bound_start:.1f} s"
                 )
--- a/tests/model/placement_sidecar.py
+++ b/tests/model/placement_sidecar.py
@@ -1,4 +1,4 @@
-"""Sidecars of the placement model: they run items while they reach endpoints, and give the others back."""
+"""Sidecars of the placement model: they run items while endpoints are reachable and return the others."""
 
 from __future__ import annotations
 
@@ -21,22 +21,24 @@
     WorkerOpen,
     WorkerReport,
 )
-from tests.model.placement_plan import NEW_ROUTE, ROUTE, Failing, SidecarPlan
+from tests.model.placement_plan import NEW_ROUTE, ROUTE, FailureMode, SidecarPlan
 
 if TYPE_CHECKING:
     from tests.model.placement import PlacementWorld
 
-REPORT_S = 1.0
-FIRST_EVENT_S, RUN_S = 0.1, 1.5  # of an item at an endpoint, on the mean
-MOST_RUN_S = 4.0
-# What a sidecar does with an item that it can't move (dataplane/items.py).
-QUEUE_SILENCE_S, SILENT_ATTEMPT_S = 1.0, 4.25
-THREE_CONNECTS_S = 0.9
-HOLD_S = 0.3  # the decisions hold an item for which there is no room
-SILENT_FOR_S = 2.0  # kept connections to endpoints that have gone dark are used for so long
+REPORT_INTERVAL_S = 1.0
+MEAN_FIRST_EVENT_S, MEAN_RUN_S = 0.1, 1.5  # exponentially distributed
+MAX_RUN_S = 4.0
+# Times after which a sidecar returns an item that makes no progress (dataplane/items.py).
+QUEUE_TIMEOUT_S, SILENT_ATTEMPT_TIMEOUT_S = 1.0, 4.25
+CONNECT_FAILURE_S = 0.9  # until three connection attempts have failed
+ADMISSION_HOLD_S = 0.3  # time that an item waits for admission before it is refused
+CONNECTION_REUSE_S = 2.0  # open connections to unreachable endpoints are still used during this time
 
 
-class Running(NamedTuple):
+class HeldItem(NamedTuple):
+    """An item that the sidecar has; scheduled calls for it are void once its `serial` has changed."""
+
     order: RunItem
     serial: int
 
@@ -50,170 +52,180 @@
         self.plan = plan
         self.session: WorkerSession | None = None
         self._received = 0
-        self._held: dict[ItemKey, Running] = {}
+        self._held: dict[ItemKey, HeldItem] = {}
         self._queue: list[ItemKey] = []
         self.at_endpoint: set[ItemKey] = set()
-        self._begun: set[ItemKey] = set()
-        self._done: set[ItemKey] = set()  # and not stored
+        self._started_keys: set[ItemKey] = set()
+        self._unstored: set[ItemKey] = set()  # finished, and not yet confirmed as stored
         self._serial = 0
-        self._answered = False
+        self._answered_since_report = False
         self._reach = Reach.UNKNOWN
-        for span in plan.dark:
-            world.timeline.at(span.start, self._goes_dark)
-            world.timeline.at(span.end, self._sends)
+        for span in plan.unreachable:
+            world.timeline.at(span.start, self._lose_endpoints)
+            world.timeline.at(span.end, self._start_queued)
         for span in plan.refusing:
-            world.timeline.at(span.end, self._sends)
-        world.timeline.at(world.rng.random() * REPORT_S, self._report_forever)
+            world.timeline.at(span.end, self._start_queued)
+        world.timeline.at(world.rng.random() * REPORT_INTERVAL_S, self._report_forever)
         world.timeline.at(plan.knows_new_route_from, self._report)
 
-    def is_dark(self, now: float) -> bool:
-        return any(span.holds(now) for span in self.plan.dark)
+    def is_unreachable(self, now: float) -> bool:
+        return any(span.contains(now) for span in self.plan.unreachable)
 
     def is_able(self, now: float) -> bool:
         """Whether it would run an item of any route."""
-        refuses = any(span.holds(now) for span in self.plan.refusing)
-        return not self.is_dark(now) and not refuses
+        refuses = any(span.contains(now) for span in self.plan.refusing)
+        return not self.is_unreachable(now) and not refuses
 
-    def knows(self, route: str) -> bool:
+    def knows_route(self, route: str) -> bool:
         return route == ROUTE or self._world.timeline.now >= self.plan.knows_new_route_from
 
     def open(self) -> None:
+        """Open a session with a new primary and announce the items that the sidecar has."""
         self._received = 0
         now = self._world.timeline.now
         message = WorkerOpen(self.name, "z", list(self._held), self._reach)
         self.session = self._world.dispatcher.open_session(now, message)
-        for key in self._begun:
+        for key in self._started_keys:
             self._world.dispatcher.item_started(now, self.session, key)
 
     def _report_forever(self) -> None:
         now = self._world.timeline.now
-        if now < self.plan.live_until and not self.is_dark(now):
-            self._note_answer()
+        if now < self.plan.live_calls_until and not self.is_unreachable(now):
+            self._record_answer()
         self._report()
-        self._world.timeline.after(REPORT_S, self._report_forever)
+        self._world.timeline.after(REPORT_INTERVAL_S, self._report_forever)
 
-    def _note_answer(self) -> None:
-        self._answered = True
+    def _record_answer(self) -> None:
+        self._answered_since_report = True
         self._reach = Reach.ANSWERED
 
     def _report(self) -> None:
         if self.session is None:
             return
-        for key in self._done:  # told again until it is stored
-            self._world.finish(self, ItemFinished(key, True, "text"))
-        message = WorkerReport(self._received, list(self._held), self._answered, int(self.knows(NEW_ROUTE)))
-        self._answered = False
+        for key in self._unstored:  # sent again until confirmed as stored
+            self._world.finish_item(self, ItemFinished(key, True, "text"))
+        message = WorkerReport(
+            self._received, list(self._held), self._answered_since_report, int(self.knows_route(NEW_ROUTE))
+        )
+        self._answered_since_report = False
         report = partial(self._world.dispatcher.report, session=self.session, message=message)
-        self._world.tell(report)
+        self._world.send_to_primary(report)
 
     # --- orders ---
 
     def receive(self, message: BatchMessage) -> None:
+        """Handle a message of the primary."""
         if isinstance(message, RunItem):
             self._received += 1
             if message.key not in self._held:
-                self._take(message)
+                self._accept(message)
         elif isinstance(message, ProbeEndpoints):
-            if not self.is_dark(self._world.timeline.now):
-                self._note_answer()
+            if not self.is_unreachable(self._world.timeline.now):
+                self._record_answer()
                 self._report()
         elif isinstance(message, CancelItem | ItemStored):
-            self._forget(message.key)
+            self._remove_item(message.key)
 
-    def _take(self, order: RunItem) -> None:
+    def _accept(self, order: RunItem) -> None:
         self._serial += 1
-        self._held[order.key] = Running(order, self._serial)
-        if not self.knows(order.route):
-            self._give_back(order.key, ReturnReason.UNKNOWN_ROUTE)
+        self._held[order.key] = HeldItem(order, self._serial)
+        if not self.knows_route(order.route):
+            self._return_item(order.key, ReturnReason.UNKNOWN_ROUTE)
             return
         self._queue.append(order.key)
-        reason, after_s = self._patience()
-        self._later(after_s, order.key, partial(self._give_up, order.key, reason))
-        self._sends()
+        reason, after_s = self._return_reason()
+        self._schedule(after_s, order.key, partial(self._return_queued, order.key, reason))
+        self._start_queued()
 
-    def _patience(self) -> tuple[ReturnReason, float]:
-        """How an item ends that no endpoint takes, and when."""
+    def _return_reason(self) -> tuple[ReturnReason, float]:
+        """Why an item that no endpoint accepts is returned, and after how many seconds."""
         now = self._world.timeline.now
-        since = max((span.start for span in self.plan.dark if span.holds(now)), default=None)
+        since = max((span.start for span in self.plan.unreachable if span.contains(now)), default=None)
         if since is None:
-            refuses = any(span.holds(now) for span in self.plan.refusing)
-            return ReturnReason.REFUSED, self.plan.refuses_after_s if refuses else HOLD_S
-        if now - since < SILENT_FOR_S:
-            return ReturnReason.SILENT, SILENT_ATTEMPT_S
-        if self.plan.failing is Failing.FAILED:
-            return ReturnReason.FAILED, THREE_CONNECTS_S
-        if self.plan.failing is Failing.REFUSED:
+            refuses = any(span.contains(now) for span in self.plan.refusing)
+            return ReturnReason.REFUSED, self.plan.refuses_after_s if refuses else ADMISSION_HOLD_S
+        if now - since < CONNECTION_REUSE_S:
+            return ReturnReason.SILENT, SILENT_ATTEMPT_TIMEOUT_S
+        if self.plan.failure_mode is FailureMode.FAILED:
+            return ReturnReason.FAILED, CONNECT_FAILURE_S
+        if self.plan.failure_mode is FailureMode.REFUSED:
             return ReturnReason.REFUSED, self.plan.refuses_after_s
-        return ReturnReason.STUCK, QUEUE_SILENCE_S
+        return ReturnReason.STUCK, QUEUE_TIMEOUT_S
 
-    def _later(self, delay_s: float, key: ItemKey, call: Callable[[], None]) -> None:
+    def _schedule(self, delay_s: float, key: ItemKey, call: Callable[[], None]) -> None:
         serial = self._held[key].serial
 
-        def due() -> None:
+        def call_if_held() -> None:
             held = self._held.get(key)
             if held is not None and held.serial == serial:
                 call()
 
-        self._world.timeline.after(delay_s, due)
+        self._world.timeline.after(delay_s, call_if_held)
 
-    def _sends(self) -> None:
-        """Send what waits, as far as there is room."""
+    def _start_queued(self) -> None:
+        """Start queued items while endpoints are reachable and slots are free."""
         now = self._world.timeline.now
         while (
             self._queue
             and self.is_able(now)
-            and len(self.at_endpoint) < self.plan.room
-            and self._world.has_place()
+            and len(self.at_endpoint) < self.plan.slots
+            and self._world.has_free_slot()
         ):
-            self._send(self._queue.pop(0))
+            self._start_item(self._queue.pop(0))
 
-    def _send(self, key: ItemKey) -> None:
+    def _start_item(self, key: ItemKey) -> None:
         world = self._world
         self.at_endpoint.add(key)
-        world.note_served(key)
-        first_s = world.rng.expovariate(1 / FIRST_EVENT_S)
-        run_s = min(MOST_RUN_S, world.rng.expovariate(1 / RUN_S)) if world.plan.long_items else 0.2
-        self._later(first_s, key, partial(self._started, key))
-        self._later(first_s + run_s, key, partial(self._finished, key))
-
-    def _started(self, key: ItemKey) -> None:
-        self._begun.add(key)
-        self._note_answer()
+        world.record_served(key)
+        first_s = world.rng.expovariate(1 / MEAN_FIRST_EVENT_S)
+        run_s = min(MAX_RUN_S, world.rng.expovariate(1 / MEAN_RUN_S)) if world.plan.long_items else 0.2
+        self._schedule(first_s, key, partial(self._item_started, key))
+        self._schedule(first_s + run_s, key, partial(self._item_finished, key))
+
+    def _item_started(self, key: ItemKey) -> None:
+        self._started_keys.add(key)
+        self._record_answer()
         assert self.session is not None
-        self._world.tell(partial(self._world.dispatcher.item_started, session=self.session, key=key))
+        self._world.send_to_primary(
+            partial(self._world.dispatcher.item_started, session=self.session, key=key)
+        )
 
-    def _finished(self, key: ItemKey) -> None:
+    def _item_finished(self, key: ItemKey) -> None:
         self.at_endpoint.discard(key)
-        self._done.add(key)
-        self._world.finish(self, ItemFinished(key, True, "text"))
-        self._sends()
+        self._unstored.add(key)
+        self._world.finish_item(self, ItemFinished(key, True, "text"))
+        self._start_queued()
 
-    def _give_up(self, key: ItemKey, reason: ReturnReason) -> None:
+    def _return_queued(self, key: ItemKey, reason: ReturnReason) -> None:
         if key in self._queue:
             self._queue.remove(key)
-            self._give_back(key, reason)
+            self._return_item(key, reason)
 
-    def _goes_dark(self) -> None:
-        """What was at endpoints is cut off, or silent."""
+    def _lose_endpoints(self) -> None:
+        """Lose contact with all endpoints: their items are returned as silent after the timeout."""
         for key in list(self.at_endpoint):
             self.at_endpoint.discard(key)
             running = self._held[key]
             self._serial += 1
-            self._held[key] = Running(running.order, self._serial)
-            self._later(SILENT_ATTEMPT_S, key, partial(self._give_back, key, ReturnReason.SILENT))
+            self._held[key] = HeldItem(running.order, self._serial)
+            self._schedule(
+                SILENT_ATTEMPT_TIMEOUT_S, key, partial(self._return_item, key, ReturnReason.SILENT)
+            )
 
-    def _give_back(self, key: ItemKey, reason: ReturnReason) -> None:
-        self._forget(key)
+    def _return_item(self, key: ItemKey, reason: ReturnReason) -> None:
+        self._remove_item(key)
         if reason is not ReturnReason.UNKNOWN_ROUTE:
             self._reach = Reach.UNANSWERED
         assert self.session is not None
         message = ItemReturned(key, reason, 0)
-        self._world.tell(partial(self._world.dispatcher.item_returned, session=self.session, message=message))
+        self._world.send_to_primary(
+            partial(self._world.dispatcher.item_returned, session=self.session, message=message)
+        )
 
-    def _forget(self, key: ItemKey) -> None:
+    def _remove_item(self, key: ItemKey) -> None:
         self._held.pop(key, None)
-        self._begun.discard(key)
-        self._done.discard(key)
+        self._started_keys.discard(key)
+        self._unstored.discard(key)
         self.at_endpoint.discard(key)
         if key in self._queue:
             self._queue.remove(key)
--- a/tests/test_items_model.py
+++ b/tests/test_items_model.py
@@ -26,8 +26,8 @@
 MAX_FAULT_SEEDS = 150  # within which each injected fault must be detected
 
 
-def play(seed: int, standstills: bool = False) -> None:
-    World(seed, standstills).play()
+def play(seed: int, stuck_sidecars: bool = False) -> None:
+    World(seed, stuck_sidecars).play()
 
 
 def test_no_schedule_loses_an_item() -> None:
@@ -37,7 +37,7 @@
 
 def test_no_schedule_leaves_an_item_idle_while_sidecars_make_no_progress() -> None:
     """An item that some sidecar can run is run within the bound, whichever sidecars make no progress."""
-    failures = broken_by(partial(play, standstills=True), FIRST_SEED, SCHEDULES, SEEDS_PER_BLOCK)
+    failures = broken_by(partial(play, stuck_sidecars=True), FIRST_SEED, SCHEDULES, SEEDS_PER_BLOCK)
     assert not failures, "\n".join(failures[:5])
 
 
@@ -45,7 +45,7 @@
     first, second = World(3), World(3)
     first.play()
     second.play()
-    assert first.accepted == second.accepted
+    assert first.accepted_jobs == second.accepted_jobs
     assert first.group.store.data == second.group.store.data
 
 
@@ -55,15 +55,15 @@
 class Fault(NamedTuple):
     name: str
     patches: tuple[Patch, ...]
-    standstills: bool = False
+    stuck_sidecars: bool = False
 
 
 def _commit_changing_before_the_lease_check(
     self: StorageGroup, change: Callable[[], Any], done: Callable[[], None]
 ) -> None:
     writes = change()
-    if self.leads_still():
-        self.gather(writes, done)
+    if self.is_primary_on_recheck():
+        self.append_writes(writes, done)
 
 
 def _ended_dropping_unsent_outcomes(
@@ -159,7 +159,7 @@
             (Worker, "record_stall", lambda self, now: None),
             (Worker, "is_proven", lambda self, now: True),
         ),
-        standstills=True,
+        stuck_sidecars=True,
     ),
     Fault(
         "returns have no effect, placement uses free slots alone, and all sidecars count as proven",
@@ -168,14 +168,14 @@
             (AssignmentRound, "choose", _choose_by_free_slots),
             (Worker, "is_proven", lambda self, now: True),
         ),
-        standstills=True,
+        stuck_sidecars=True,
     ),
 ]
 
 
 def first_failing_seed(fault: Fault) -> int | None:
     """The first seed whose schedule detects the fault."""
-    play_fault = partial(play, standstills=fault.standstills)
+    play_fault = partial(play, stuck_sidecars=fault.stuck_sidecars)
     return first_seed_that_breaks(play_fault, fault.patches, MAX_FAULT_SEEDS, (Broken, KeyError))
 
 
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -16,8 +16,17 @@
 from eiderhub.batch.scheduler import AssignmentRound, Scheduler
 from eiderhub.batch.workers import Worker, WorkerHealth
 from tests.model.placement import PlacementWorld
-from tests.model.placement_plan import FOR_GOOD, NEW_ROUTE, Failing, Lot, Plan, SidecarPlan, Span, draw
-from tests.model.placement_sidecar import QUEUE_SILENCE_S
+from tests.model.placement_plan import (
+    FOREVER_S,
+    NEW_ROUTE,
+    FailureMode,
+    JobPlan,
+    Plan,
+    SidecarPlan,
+    Span,
+    draw_plan,
+)
+from tests.model.placement_sidecar import QUEUE_TIMEOUT_S
 from tests.model.seeds import Patch, broken_by, first_seed_that_breaks
 
 PLAN_COUNT = int(os.environ.get("OTTERCLEAT_PLACEMENT_SCHEDULES", "400"))
@@ -27,7 +36,7 @@
 
 
 def play(seed: int) -> None:
-    PlacementWorld(draw(seed), seed).play()
+    PlacementWorld(draw_plan(seed), seed).play()
 
 
 def test_no_random_plan_leaves_a_job_without_an_endpoint() -> None:
@@ -36,15 +45,15 @@
 
 
 def test_plan_is_reproducible() -> None:
-    first, second = PlacementWorld(draw(3), 3), PlacementWorld(draw(3), 3)
+    first, second = PlacementWorld(draw_plan(3), 3), PlacementWorld(draw_plan(3), 3)
     first.play()
     second.play()
-    assert (first.given, first.listed) == (second.given, second.listed)
+    assert (first.orders_sent, first.result_count) == (second.orders_sent, second.result_count)
 
 
 # --- plans modelled on an incident ---
 
-THREE_JOBS = tuple(Lot(f"j{number}", 49, 0.1) for number in range(3))
+THREE_JOBS = tuple(JobPlan(f"j{number}", 49, 0.1) for number in range(3))
 OUTAGE = Span(0.5, 20.5)
 
 
@@ -59,21 +68,21 @@
     return SidecarPlan((Span(OUTAGE.start, end),), **overrides)
 
 
-LIVE_UNTIL = 40.0  # longer than any plan takes
+LIVE_CALLS_UNTIL = 40.0  # longer than any plan takes
 
 PLANS = {
     "no endpoint reachable, then all at once": fleet(12, others=unreachable_until(OUTAGE.end)),
     "no endpoint reachable for a second": fleet(18, others=unreachable_until(OUTAGE.start + 1.0)),
     "live calls continue once endpoints are reachable again": fleet(
-        12, others=unreachable_until(OUTAGE.end, live_until=LIVE_UNTIL)
+        12, others=unreachable_until(OUTAGE.end, live_calls_until=LIVE_CALLS_UNTIL)
     ),
-    "connections fail": fleet(18, others=unreachable_until(OUTAGE.end, failing=Failing.FAILED)),
-    "admission refuses": fleet(18, others=unreachable_until(OUTAGE.end, failing=Failing.REFUSED)),
+    "connections fail": fleet(18, others=unreachable_until(OUTAGE.end, failure_mode=FailureMode.FAILED)),
+    "admission refuses": fleet(18, others=unreachable_until(OUTAGE.end, failure_mode=FailureMode.REFUSED)),
     "one sidecar reaches endpoints first": fleet(
         12, unreachable_until(OUTAGE.end), others=unreachable_until(OUTAGE.end + 4.0)
     ),
     "nine of twelve never recover": fleet(
-        12, *[unreachable_until(OUTAGE.end, room=24)] * 3, others=unreachable_until(FOR_GOOD)
+        12, *[unreachable_until(OUTAGE.end, slots=24)] * 3, others=unreachable_until(FOREVER_S)
     ),
     "sidecars recover one by one": fleet(30, *(unreachable_until(OUTAGE.end + 0.25 * n) for n in range(30))),
     "170 sidecars": fleet(170, others=unreachable_until(OUTAGE.end)),
@@ -81,18 +90,20 @@
         170, unreachable_until(OUTAGE.end), others=unreachable_until(OUTAGE.end + 5.0)
     ),
     "one sidecar refuses for a long time": fleet(
-        4, SidecarPlan(refusing=(Span(1.0, 30.0),), refuses_after_s=QUEUE_SILENCE_S), lots=(Lot("j", 1, 5.0),)
+        4,
+        SidecarPlan(refusing=(Span(1.0, 30.0),), refuses_after_s=QUEUE_TIMEOUT_S),
+        jobs=(JobPlan("j", 1, 5.0),),
     ),
     "most sidecars do not know a new route": fleet(
         12,
         SidecarPlan(),
-        others=SidecarPlan(knows_new_route_from=FOR_GOOD),
-        lots=(*THREE_JOBS, Lot("new", 9, 3.0, route=NEW_ROUTE)),
+        others=SidecarPlan(knows_new_route_from=FOREVER_S),
+        jobs=(*THREE_JOBS, JobPlan("new", 9, 3.0, route=NEW_ROUTE)),
     ),
     "primaries change while no endpoint is reachable": fleet(
         12,
         unreachable_until(OUTAGE.end),
-        others=unreachable_until(FOR_GOOD),
+        others=unreachable_until(FOREVER_S),
         new_primaries=(6.0, 9.0, 12.0, 20.0),
     ),
 }
@@ -106,9 +117,9 @@
 
 def test_late_job_is_served_while_jobs_in_time_fill_the_windows() -> None:
     """By deadline order alone it would wait for all jobs in time, with endpoints less than half used."""
-    stream = tuple(Lot(f"new{number}", 60, 1.0 + 0.2 * number) for number in range(60))
-    late = Lot("late", 40, 3.0, window_s=0.1)
-    world = PlacementWorld(fleet(12, lots=(late, *stream), places=10_000))
+    stream = tuple(JobPlan(f"new{number}", 60, 1.0 + 0.2 * number) for number in range(60))
+    late = JobPlan("late", 40, 3.0, window_s=0.1)
+    world = PlacementWorld(fleet(12, jobs=(late, *stream), endpoint_slots=10_000))
     world.timeline.run_until(6.0)
     assert world.table.jobs["late"].assigned_positions > 0
     world.timeline.run_until(12.0)
@@ -128,9 +139,9 @@
 
 def test_late_jobs_take_only_a_part_of_the_starts() -> None:
     """Jobs in time go first: if late jobs were served first, all jobs would become late."""
-    late = tuple(Lot(f"late{number}", 60, 0.1, window_s=0.1) for number in range(40))
-    stream = tuple(Lot(f"new{number}", 60, 3.0 + 0.1 * number, window_s=30.0) for number in range(100))
-    world = PlacementWorld(fleet(12, lots=(*late, *stream), places=96))
+    late = tuple(JobPlan(f"late{number}", 60, 0.1, window_s=0.1) for number in range(40))
+    stream = tuple(JobPlan(f"new{number}", 60, 3.0 + 0.1 * number, window_s=30.0) for number in range(100))
+    world = PlacementWorld(fleet(12, jobs=(*late, *stream), endpoint_slots=96))
     world.timeline.run_until(4.0)
 
     def result_count(prefix: str) -> int:
