--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -11,11 +11,12 @@
 from pathlib import Path
 from typing import Any
 
+import pytest
 import uvloop
 
 from eiderhub.address import Address
 from eiderhub.settings import settings_from
-from eiderhub.sidecar import upstream
+from eiderhub.sidecar import discovery, upstream
 from eiderhub.sidecar.config import Config
 from eiderhub.sidecar.discovery import parse_endpoint_list
 from eiderhub.sidecar.host import Host
@@ -23,6 +24,7 @@
 from eiderhub.sidecar.server import Server
 
 TEST_TIMEOUT_S = 10.0  # a test that takes longer has failed
+LONG_S = 60.0  # for a time limit that must not end anything during a test
 
 SETUP: dict[str, Any] = {
     "Categories": [
@@ -74,6 +76,17 @@
         runner.run(bounded())
 
 
+def lengthen_poll_limits(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Keep a pause of the test's own process from ending a poll that the test is about to answer.
+
+    On a busy machine a process may get no processor time for over a second, which exceeds each of these
+    limits: the test then writes its answer to a closed connection. A test whose subject is one of them sets a
+    short value afterwards.
+    """
+    for name in ("RESPONSE_GRACE_S", "READ_GAP_TIMEOUT_S", "LIST_READ_TIMEOUT_S", "CONNECT_TIMEOUT_S"):
+        monkeypatch.setattr(discovery, name, LONG_S)
+
+
 class Message:
     """A complete HTTP message."""
 
