--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -11,6 +11,7 @@
 import pytest
 
 from eiderhub.control.errors import ErrorKind
+from eiderhub.dataplane import endpoint_connections
 from eiderhub.http1 import ConnectionPool, Reply
 from tests.endpoint_support import (
     AdmissionHarness,
@@ -23,6 +24,13 @@
 
 NON_IDEMPOTENT = make_route("non_idempotent")
 STREAM = "text/event-stream"
+LONG_S = 60.0  # for a time limit that must not end anything during a test
+
+
+@pytest.fixture(autouse=True)
+def long_connect_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Keep a pause of the test's own process from ending a connect, which takes no time on loopback."""
+    monkeypatch.setattr(endpoint_connections, "CONNECT_TIMEOUT_S", LONG_S)
 
 
 def run_bounded(test: Callable[[], Awaitable[None]]) -> None:
@@ -340,7 +348,7 @@
         endpoint = ScriptedEndpoint("e1", respond_twice)
         await endpoint.start()
         host, port = endpoint.address.split(":")
-        pool = ConnectionPool(host, int(port))
+        pool = ConnectionPool(host, int(port), LONG_S)
         for number in range(4):
             made = await ask_pool(pool, f"q{number}")
             assert [reply.body for reply in made.replies] == [b"first"]
@@ -358,7 +366,7 @@
         endpoint = ScriptedEndpoint("e1", answer_ok)
         await endpoint.start()
         host, port = endpoint.address.split(":")
-        pool = ConnectionPool(host, int(port))
+        pool = ConnectionPool(host, int(port), LONG_S)
         for number in range(4):
             made = await ask_pool(pool, f"q{number}")
             assert [reply.status for reply in made.replies] == [200]
