--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -589,10 +589,11 @@
     async def test() -> None:
         listener, sender = endpoint_and_sender()
         attempt = sender.send(b"x" * (16 << 20))  # more than both kernel buffers hold
+        # The deadline starts once bytes have arrived: before, a pause of the process would end the connect.
+        peer, first_bytes = await listener.accept_and_read()
         attempt.set_write_deadline(now_us() + 200_000)
-        peer = await listener.accept()
         assert await sender.outcomes.get() is Outcome.NOT_SENT
-        received_bytes = 0
+        received_bytes = len(first_bytes)
         with contextlib.suppress(ConnectionResetError):
             while data := await peer.read(1 << 20):
                 received_bytes += len(data)
