--- a/tests/sidecar_support.py
+++ b/tests/sidecar_support.py
@@ -56,7 +56,8 @@
         "MayCancel": True,
         "RetryAfter": True,
         "ConnIdleUs": 5_000_000,
-        "ConnectTimeoutUs": 250_000,
+        # A pause of the process must not end a connect: the request would then reach no endpoint.
+        "ConnectTimeoutUs": int(LONG_S * 1e6),
     },
     "Parties": [{"Name": "acme", "Share": 1.0, "QuotaPerS": 1000.0}],
     "Discovery": "ask",
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -33,6 +33,7 @@
 from eiderhub.sidecar.metrics import RequestMetrics
 from eiderhub.sidecar.upstream import Attempt, Receiver, Response, Upstream
 from tests.sidecar_support import (
+    LONG_S,
     SETUP,
     Client,
     FakeServer,
@@ -73,16 +74,24 @@
 
 
 def test_request_and_answer_are_forwarded_unchanged() -> None:
+    # All times are longer than any pause of this process: the attempt must not end before it is answered.
+    long_us = int(LONG_S * 1e6)
+    times = {"AimUs": long_us, "DeadlineUs": long_us, "DedupWindowUs": 2 * long_us}
+    categories = [{**each, **times} if each["Name"] == "hold" else each for each in SETUP["Categories"]]
+
     async def test() -> None:
-        async with Sidecar() as sidecar:
+        async with Sidecar(Categories=categories) as sidecar:
             client = await sidecar.client()
-            client.send("hold", deadline_ms=900, body=b"\x00\x01two", request_id="00aa")
+            sent_us = now_us()
+            client.send("hold", deadline_ms=60_000, body=b"\x00\x01two", request_id="00aa")
             received = await sidecar.endpoints[0].next_request()
+            elapsed_ms = (now_us() - sent_us) / 1000
             assert received.message.start_line == "POST /hold/a?b=1 HTTP/1.1"
             assert received.message.headers["host"] == "service.internal"
             assert received.message.headers["req-id"] == "00aa"
             assert received.message.headers["idempotency-key"] == "k1"
-            assert 500 < int(received.message.headers["req-deadline-ms"]) <= 860
+            remaining_ms = int(received.message.headers["req-deadline-ms"])  # 40 ms are kept for the answer
+            assert 59_960 - elapsed_ms - 1 <= remaining_ms <= 59_960
             assert received.message.body == b"\x00\x01two"
             received.reply(200, b"\x00answer", "Content-Type: a/b")
             answer = await client.read_answer()
@@ -249,7 +258,7 @@
             listener = socket.create_server(("127.0.0.1", 0))
             listener.setblocking(False)
             ended: asyncio.Queue[Outcome] = asyncio.Queue()
-            upstream = Upstream(0, 1_000_000, 4, RequestMetrics(()))
+            upstream = Upstream(0, int(LONG_S * 1e6), 4, RequestMetrics(()))
             upstream.set_endpoint("e", "127.0.0.1", listener.getsockname()[1], 0)
 
             def on_end(
