--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -61,12 +61,14 @@
 def test_memory_file_is_read_as_written_until_it_expires(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    # The time of writing is set: the process may be paused between the write and a reading of the clock.
+    written = now_us()
+    monkeypatch.setattr(handover, "now_us", lambda: written)
     write_memory(str(tmp_path), MEMORY)
     assert read_memory(str(tmp_path)) == MEMORY
     assert [path.name for path in tmp_path.iterdir()] == [MEMORY_FILE]
     write_memory(str(tmp_path / "missing"), MEMORY)  # no error
     assert read_memory(str(tmp_path / "missing")) is None
-    written = now_us()
     for later, accepted in ((9_000_000, True), (11_000_000, False), (-1_000_000, False)):
         monkeypatch.setattr(handover, "now_us", lambda later=later: written + later)
         assert (read_memory(str(tmp_path)) is not None) is accepted
