--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -39,6 +39,20 @@
     return b"".join(f"id: {n}\ndata: {request_id} {n}\n\n".encode() for n in range(EVENTS_PER_STREAM))
 
 
+def definite_submission(tier: Tier, edge: Program, job: str, items: list[str], prefix: str = "/lots/") -> int:
+    """The first answer to a batch job that is neither 503 nor 504; only the final one is judged.
+
+    Guards against a storage primary that gets no processor time for a while: its lease ends, and an edge
+    answers 503 (not taken) or 504 (possibly taken). Either may be handed in again: a job runs once.
+    """
+
+    def definite() -> int | None:
+        status = tier.submit(edge, job, items, prefix)
+        return None if status in (503, 504) else status
+
+    return int(wait_until(definite, f"a definite answer to job {job}"))
+
+
 def wait_for_results(tier: Tier, edge: Program, job: str, count: int) -> dict[str, Any]:
     def complete_page() -> dict[str, Any] | None:
         page = tier.results(edge, job)
@@ -77,7 +91,7 @@
 def _(tier: Tier, first_results: dict[str, Any]) -> None:
     first, second = tier.with_role("edge")
     wait_until(lambda: tier.submit(first, "job1", ITEMS) == 202, "the batch job accepted")
-    assert tier.submit(second, "job1", ITEMS) == 202
+    assert definite_submission(tier, second, "job1", ITEMS) == 202
     first_results.update(wait_for_results(tier, second, "job1", len(ITEMS)))
     assert first_results["total"] == len(ITEMS)
     texts = {result["id"]: result["text"] for result in first_results["results"]}
@@ -244,7 +258,7 @@
 def _(tier: Tier) -> None:
     for edge in tier.with_role("edge"):
         wait_until(partial(is_answered_with, tier, edge, f"late-{edge.name}", 429), "refused")
-        assert tier.submit(edge, f"late-job-{edge.name}", ["late-item"]) == 429
+        assert definite_submission(tier, edge, f"late-job-{edge.name}", ["late-item"]) == 429
     assert not any(endpoint.request_counts["late-item"] for endpoint in tier.endpoints)
 
 
@@ -252,7 +266,7 @@
 def _(tier: Tier) -> None:
     for number, edge in enumerate(tier.with_role("edge")):
         assert tier.send_request(edge, "/other-live/x", f"o-{number}", tokens=REQUEST_TOKENS)[0] == 200
-        assert tier.submit(edge, f"other-{number}", [f"o-item-{number}"], "/other-lots/") == 202
+        assert definite_submission(tier, edge, f"other-{number}", [f"o-item-{number}"], "/other-lots/") == 202
         wait_for_results(tier, edge, f"other-{number}", 1)
 
 
