--- a/eiderhub/scale/faults.py
+++ b/eiderhub/scale/faults.py
@@ -57,7 +57,7 @@
         """Polls the main service's number of records and updates its minimum, until cancelled."""
         while True:
             try:
-                self.least_records = min(self.least_records, (await self.topology.main.status()).records)
+                await self._fetch_record_count(2.0)
             except (NoReplyError, RequestRefusedError):
                 self.notes.append("the main service did not answer a status call")
             await asyncio.sleep(POLL_INTERVAL_S)
@@ -65,13 +65,19 @@
     async def wait_for_records(self, count: int, wait_s: float) -> bool:
         """Waits up to `wait_s` for the main service to have this number of records; returns if it has."""
         deadline_s = time.monotonic() + wait_s
-        while (await self.topology.main.status(30.0)).records != count:
+        while await self._fetch_record_count(30.0) != count:
             if time.monotonic() >= deadline_s:
                 return False
             self.topology.check_processes()
             await asyncio.sleep(POLL_INTERVAL_S)
         return True
 
+    async def _fetch_record_count(self, timeout_s: float) -> int:
+        """The main service's number of records; each call updates the minimum, whoever makes it."""
+        records = (await self.topology.main.status(timeout_s)).records
+        self.least_records = min(self.least_records, records)
+        return records
+
     def add_writer(self, writer: Writer) -> Writer:
         """Registers a writer, whose results are counted and which is closed with this object."""
         self.writers.append(writer)
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -9,6 +9,8 @@
 import sys
 import time
 from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
 
 import msgspec
 import numpy as np
@@ -17,6 +19,7 @@
 from eiderhub.cli.capacity import read_fleet
 from eiderhub.registry.records import Entry
 from eiderhub.scale import result as results
+from eiderhub.scale.faults import FaultRun
 from eiderhub.scale.hollow import LIST_EMPTIED, LIST_REVERTED, Change, delay_ms, list_digest
 from eiderhub.scale.plan import (
     MachineCapacity,
@@ -310,6 +313,18 @@
         assert result.fault.lost_wrongly == 0
 
 
+def test_least_records_include_the_counts_that_a_fault_waits_for() -> None:
+    """Guards against a minimum that was seen only by the fault's own calls, between two polls."""
+
+    async def status(timeout_s: float) -> Any:
+        return SimpleNamespace(records=80)
+
+    topology: Any = SimpleNamespace(main=SimpleNamespace(status=status))
+    fault_run = FaultRun(topology, make_plan(FLEET, RunRequest(90)), 1.0, 1)
+    assert asyncio.run(fault_run.wait_for_records(80, 0.0))
+    assert fault_run.least_records == 80
+
+
 # --- the command ---
 
 
