--- a/tests/model/__init__.py
+++ b/tests/model/__init__.py
@@ -1,1 +1,1 @@
-"""A deterministic model of a replicated group with its operators, readers and followers, in virtual time."""
+"""A deterministic simulation of a replicated group, its operators, readers and sidecars in virtual time."""
--- a/tests/model/disk.py
+++ b/tests/model/disk.py
@@ -1,4 +1,4 @@
-"""A machine's disk: what a loss of power leaves of it, and one that takes no more bytes."""
+"""Simulated disks: loss of power, a full disk, and a disk that does not sync its writes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Disk(MemoryStore):
-    """Every call is synced before it returns."""
+    """A disk that syncs every call before it returns; all writes fail while `full` is set."""
 
     full = False
 
@@ -40,11 +40,11 @@
         super().install_staged()
 
     def lose_power(self) -> None:
-        """What was not synced is gone: nothing."""
+        """Drop unsynced data; this disk has none."""
 
 
-class LazyDisk(Disk):
-    """A planted fault: calls return before their effect is durable."""
+class UnsyncedDisk(Disk):
+    """A planted fault: calls return before they are durable; every third call syncs the earlier ones."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -55,8 +55,8 @@
         super()._check()
         self._calls += 1
         if self._calls % 3 == 0:
-            kept = {k: v for k, v in self.__dict__.items() if not k.startswith("_durable")}
-            self._durable = copy.deepcopy(kept)
+            state = {k: v for k, v in self.__dict__.items() if not k.startswith("_durable")}
+            self._durable = copy.deepcopy(state)
 
     def lose_power(self) -> None:
         durable = self._durable
--- a/tests/model/history.py
+++ b/tests/model/history.py
@@ -1,4 +1,4 @@
-"""The history of one run, as the clients saw it, and what must hold of it."""
+"""The history of one run as its clients observe it, and the invariants checked on it."""
 
 from __future__ import annotations
 
@@ -13,117 +13,132 @@
     from tests.model.disk import Disk
     from tests.model.members import Process
 
-CLOCK_SLACK = 1.03  # clocks run at different rates
+MAX_CLOCK_RATE_RATIO = 1.03  # between the clocks of two machines
 
 
-class Broken(AssertionError):
-    """Something that must hold does not."""
+class InvariantViolation(AssertionError):
+    """An invariant of the model does not hold."""
 
 
 class History:
+    """Changes sent, acknowledged and refused, and the generations that readers and sidecars observe."""
+
     def __init__(self) -> None:
-        self.newest = 0  # the highest generation acknowledged
+        self.newest_acknowledged = 0  # generation
         self.acknowledgements: dict[int, Change] = {}  # by generation
-        self._times: list[float] = []
-        self._newest_at: list[int] = []  # the highest generation acknowledged by each of the times
+        self._acknowledgement_times: list[float] = []
+        self._newest_by_time: list[int] = []  # the highest generation acknowledged by each of these times
         self._acknowledged_at: dict[bytes, float] = {}
         self._refused: dict[bytes, str] = {}
-        self._sent_at: dict[bytes, float] = {}  # the latest send of an order
-        self._rising: dict[str, int] = {}
-        self._shown: dict[int, bytes] = {}  # changes that somebody was shown as the state, by generation
+        self._sent_at: dict[bytes, float] = {}  # time of the latest send of a change
+        self._served_generations: dict[str, int] = {}
+        self._loaded_digests: dict[int, bytes] = {}  # of changes in primaries' loaded states, by generation
         self.reads = 0
 
-    def sent(self, change: Change, now: float) -> None:
-        """An order goes out, for the first time or again."""
+    def record_send(self, change: Change, now: float) -> None:
+        """Record a send of a change, the first one or a repeat."""
         self._sent_at[change.digest] = now
 
-    def acknowledged(self, change: Change, generation: int, now: float) -> None:
+    def record_acknowledgement(self, change: Change, generation: int, now: float) -> None:
+        """Record an acknowledged change, and check it against all others."""
         if change.digest in self._refused:
-            raise Broken(f"generation {generation} was refused ({self._refused[change.digest]}), then taken")
+            raise InvariantViolation(
+                f"generation {generation} was refused ({self._refused[change.digest]}), then acknowledged"
+            )
         other = self.acknowledgements.setdefault(generation, change)
         if other.digest != change.digest:
-            raise Broken(f"two changes were acknowledged as generation {generation}")
+            raise InvariantViolation(f"two changes were acknowledged as generation {generation}")
         if change.digest in self._acknowledged_at:
             return
         self._acknowledged_at[change.digest] = now
-        for number, each in self.acknowledgements.items():
-            if number != generation and each.base_generation == change.base_generation:
-                raise Broken(
-                    f"generations {number} and {generation} were both taken "
-                    f"on top of {change.base_generation}"
+        for other_generation, other_change in self.acknowledgements.items():
+            if other_generation != generation and other_change.base_generation == change.base_generation:
+                raise InvariantViolation(
+                    f"generations {other_generation} and {generation} were both acknowledged "
+                    f"with base generation {change.base_generation}"
                 )
         order = sorted(self.acknowledgements)
-        place = order.index(generation)
-        if place and change.base_generation < order[place - 1]:
-            raise Broken(f"generation {generation} on {change.base_generation} skips {order[place - 1]}")
-        if place + 1 < len(order) and self.acknowledgements[order[place + 1]].base_generation < generation:
-            raise Broken(f"generation {order[place + 1]} skips {generation}")
-        self.newest = max(self.newest, generation)
-        self._times.append(now)
-        self._newest_at.append(self.newest)
-
-    def refused(self, change: Change, now: float, refusal: Refusal | None) -> None:
-        why = refusal.reason if refusal is not None else ""
+        rank = order.index(generation)
+        if rank and change.base_generation < order[rank - 1]:
+            raise InvariantViolation(
+                f"generation {generation} with base {change.base_generation} skips {order[rank - 1]}"
+            )
+        if rank + 1 < len(order) and self.acknowledgements[order[rank + 1]].base_generation < generation:
+            raise InvariantViolation(f"generation {order[rank + 1]} skips {generation}")
+        self.newest_acknowledged = max(self.newest_acknowledged, generation)
+        self._acknowledgement_times.append(now)
+        self._newest_by_time.append(self.newest_acknowledged)
+
+    def record_refusal(self, change: Change, now: float, refusal: Refusal | None) -> None:
+        """Record a refused change; one acknowledged before its latest send must not be refused."""
+        reason = refusal.reason if refusal is not None else ""
         acknowledged_at = self._acknowledged_at.get(change.digest)
         if acknowledged_at is not None and acknowledged_at < self._sent_at[change.digest]:
-            raise Broken(f"a change that was acknowledged is refused when it is sent again: {why}")
+            raise InvariantViolation(f"an acknowledged change was refused when sent again: {reason}")
         if acknowledged_at is None:
-            self._refused[change.digest] = why
+            self._refused[change.digest] = reason
 
-    def unseen(self, process: Process) -> list[int]:
-        """Acknowledged generations that a primary's state lacks."""
-        if process.seen_acknowledged == len(self._times):
+    def missing_changes(self, process: Process) -> list[int]:
+        """Return the acknowledged or loaded generations that are missing from a primary's state."""
+        if process.checked_acknowledgements == len(self._acknowledgement_times):
             return []
         disk = process.machine.disk
         missing = [
             generation
-            for generation, digest in self._shown.items()
-            if not self._has(disk, generation, digest)
+            for generation, digest in self._loaded_digests.items()
+            if not self._has_change(disk, generation, digest)
         ]
         missing += [
             generation
             for generation, change in self.acknowledgements.items()
-            if not self._has(disk, generation, change.digest)
+            if not self._has_change(disk, generation, change.digest)
         ]
-        process.seen_acknowledged = len(self._times)
+        process.checked_acknowledgements = len(self._acknowledgement_times)
         return missing
 
     @staticmethod
-    def _has(disk: Disk, generation: int, digest: bytes) -> bool:
+    def _has_change(disk: Disk, generation: int, digest: bytes) -> bool:
         return disk.get(f"{CHANGE_DIGEST_PREFIX}{generation}") == digest
 
-    def shown(self, disk: Disk) -> None:
-        """A replica that leads has loaded its whole state: what readers may be shown from then on."""
+    def record_loaded_state(self, disk: Disk) -> None:
+        """Record the newest change in the state that a new primary loaded, which readers may observe."""
         body = disk.get(CURRENT_KEY)
         if body is not None:
             generation = generation_of(body)
-            self._shown.setdefault(generation, disk.get(f"{CHANGE_DIGEST_PREFIX}{generation}") or b"")
+            self._loaded_digests.setdefault(
+                generation, disk.get(f"{CHANGE_DIGEST_PREFIX}{generation}") or b""
+            )
 
-    def read(self, address: str, generation: int, floor: int) -> None:
+    def record_read(self, address: str, generation: int, floor: int) -> None:
+        """Check that a read is not older than `floor`, the newest generation acknowledged before it."""
         self.reads += 1
         if generation < floor:
-            raise Broken(f"{address} answers generation {generation}, {floor} was acknowledged before")
+            raise InvariantViolation(
+                f"{address} returned generation {generation} after {floor} was acknowledged"
+            )
 
-    def acknowledged_by(self, when: float) -> int:
-        """The highest generation acknowledged by then."""
-        place = bisect_right(self._times, when)
-        return self._newest_at[place - 1] if place else 0
+    def newest_acknowledged_by(self, when: float) -> int:
+        """Return the highest generation acknowledged by a time."""
+        index = bisect_right(self._acknowledgement_times, when)
+        return self._newest_by_time[index - 1] if index else 0
 
-    def handed_out(self, who: str, generation: int, now: float) -> None:
-        """A control machine vouches for a generation as current."""
-        floor = self.acknowledged_by(now - MAX_TABLE_AGE_S * CLOCK_SLACK)
+    def check_reported_generation(self, node: str, generation: int, now: float) -> None:
+        """Check that a generation which a node reports as current is not older than the age limit."""
+        floor = self.newest_acknowledged_by(now - MAX_TABLE_AGE_S * MAX_CLOCK_RATE_RATIO)
         if generation < floor:
-            raise Broken(
-                f"{who} hands out {generation}, {floor} was acknowledged over {MAX_TABLE_AGE_S} s ago"
+            raise InvariantViolation(
+                f"{node} reports {generation}, but {floor} was acknowledged over {MAX_TABLE_AGE_S} s ago"
             )
 
-    def believed(self, who: str, generation: int, now: float) -> None:
-        """A sidecar takes itself to be fresh."""
-        self.handed_out(who, generation, now)
-        if generation < self._rising.get(who, 0):
-            raise Broken(f"{who} goes back from {self._rising[who]} to {generation}")
-        self._rising[who] = generation
+    def record_served(self, sidecar: str, generation: int, now: float) -> None:
+        """Check the generation that a sidecar with fresh tables serves: current, and never decreasing."""
+        self.check_reported_generation(sidecar, generation, now)
+        if generation < self._served_generations.get(sidecar, 0):
+            raise InvariantViolation(
+                f"{sidecar} went back from generation {self._served_generations[sidecar]} to {generation}"
+            )
+        self._served_generations[sidecar] = generation
 
-    def restarted(self, who: str) -> None:
-        """A sidecar has begun anew, and knows nothing."""
-        self._rising.pop(who, None)
+    def record_restart(self, sidecar: str) -> None:
+        """Forget the generation that a sidecar served before it restarted."""
+        self._served_generations.pop(sidecar, None)
--- a/tests/model/members.py
+++ b/tests/model/members.py
@@ -1,7 +1,6 @@
-"""Control machines of the model: a disk, and a process around the real parts while it runs.
+"""Control machines of the model: each has a disk and, while it runs, a process.
 
-The process is a driver without sockets: replica, roster, change processor and publication are the
-product's own.
+The process drives the product's replica, roster, change processor and publication without sockets.
 """
 
 from __future__ import annotations
@@ -32,12 +31,12 @@
 from tests.model.disk import Disk
 from tests.model.network import Link, Network
 
-TICK_S = 0.05
-PING_S = 0.25
+TICK_INTERVAL_S = 0.05
+PING_INTERVAL_S = 0.25
 
 
 class Machine:
-    """A place where a replica runs."""
+    """A machine that runs at most one replica process at a time."""
 
     def __init__(self, world: Host, address: str, zone: str) -> None:
         self.world = world
@@ -50,8 +49,8 @@
         self.powered = True
         self.removed = False
         self.frozen = False
-        self.lives = 0
-        self.formats = world.installed  # what the program that runs there reads and writes
+        self.identity_count = 0
+        self.formats = world.installed  # record formats that the installed program reads and writes
         self._buffered: list[Callable[[], None]] = []
         rng = world.rng
         self.clock = Clock(rng.uniform(10.0, 100.0), 1.0 + rng.uniform(-0.01, 0.01))
@@ -65,6 +64,7 @@
         return self.process is not None
 
     def deliver(self, call: Callable[[], None]) -> None:
+        """Run a call in the process: at once, or when a frozen one resumes; drop it without a process."""
         if self.process is None:
             return
         if self.frozen:
@@ -73,41 +73,46 @@
             call()
 
     def start(self) -> None:
+        """Start a process, if none runs and the machine is not removed."""
         if self.process is not None or self.removed:
             return
         self.powered = True
-        if not self.identity:  # an identity is made with its disk
-            self.lives += 1
-            self.identity = f"id{self.lives}@{self.address}"
+        if not self.identity:  # each new disk gets a new identity
+            self.identity_count += 1
+            self.identity = f"id{self.identity_count}@{self.address}"
         self.process = Process(self)
 
     def kill(self) -> None:
+        """Stop the process without warning; the disk is retained."""
         if self.process is not None:
-            self.process.end()
+            self.process.stop()
         self.process = None
         self.frozen = False
         self._buffered.clear()
 
     def lose_power(self) -> None:
+        """Stop the process and drop unsynced data of the disk."""
         self.kill()
         self.powered = False
         self.disk.lose_power()
 
     def wipe(self) -> None:
-        """The disk is gone."""
+        """Lose power and the disk; the next start has an empty disk and a new identity."""
         self.lose_power()
         self.disk = self.world.make_disk()
         self.identity = ""
 
     def remove(self) -> None:
+        """Wipe the machine and never start it again."""
         self.wipe()
         self.removed = True
 
     def freeze(self) -> None:
+        """Suspend the process, if one runs."""
         self.frozen = self.process is not None
 
-    def wake(self) -> None:
-        """Time passes and messages arrive in any order when a process wakes."""
+    def resume(self) -> None:
+        """Resume a frozen process: it ticks before or after it reads its buffered messages, at random."""
         if not self.frozen:
             return
         self.frozen = False
@@ -123,7 +128,7 @@
 
 
 class Host(Protocol):
-    """The world that machines live in."""
+    """The part of the world that machines use."""
 
     network: Network
     rng: random.Random
@@ -134,17 +139,17 @@
 
     def make_disk(self) -> Disk: ...
 
-    def answered(self, answer: ChangeResult[Any]) -> None: ...
+    def on_answer(self, answer: ChangeResult[Any]) -> None: ...
 
-    def stepped(self, process: Process) -> None:
-        """A primary has done something."""
+    def on_primary_step(self, process: Process) -> None:
+        """Check the invariants of primaries after a step of one."""
 
-    def handed_out(self, process: Process, generation: int) -> None:
-        """A process vouches for a generation as current."""
+    def on_generation_reported(self, process: Process, generation: int) -> None:
+        """Check a generation that a process reports as current."""
 
 
 class Process:
-    """One life of a control process."""
+    """One control process, from its start to its stop."""
 
     def __init__(self, machine: Machine) -> None:
         self.machine = machine
@@ -167,36 +172,38 @@
         self.freshness = Freshness()
         self.publication = Publication(self.tables, self.freshness, self.replica, self.change_processor)
         self.alive = True
-        self.loaded_epoch = 0  # that it leads, with its state as it was then
-        self.seen_acknowledged = 0  # acknowledgements that were looked for in its state as a primary
+        self.loaded_epoch = 0  # the last epoch in which it led with its state loaded
+        self.checked_acknowledgements = 0  # number of acknowledgements already checked in its state
         self._links: dict[str, Link] = {}
-        self._greeted: dict[str, str] = {}  # identities by address
+        self._peer_identities: dict[str, str] = {}  # by address
         self._sessions: dict[Any, Subscriber] = {}
-        self._answers_by: dict[Process, Link | None] = {}  # links that carry the answers to sessions
+        self._answer_links: dict[Process, Link | None] = {}  # carry answers to other replicas' sessions
         self._session: Link | None = None
         self._session_since = 0.0
         self._session_with: str | None = None  # identity of the primary
         timeline = self.world.network.timeline
-        timeline.after(rng.uniform(0.0, TICK_S), self._tick_again)
-        timeline.after(rng.uniform(0.0, PING_S), self._ping_again)
+        timeline.after(rng.uniform(0.0, TICK_INTERVAL_S), self._tick_periodically)
+        timeline.after(rng.uniform(0.0, PING_INTERVAL_S), self._ping_periodically)
 
-    def end(self) -> None:
+    def stop(self) -> None:
+        """Stop, close all connections, and notify the other processes that they are closed."""
         self.alive = False
         for link in self._links.values():
             link.close()
         for other in self.world.machines.values():
             if other.process is not None and other.process is not self and self.machine.powered:
-                other.deliver(partial(other.process.lost, self.identity))
+                other.deliver(partial(other.process.on_disconnected, self.identity))
 
     # --- time ---
 
-    def _tick_again(self) -> None:
+    def _tick_periodically(self) -> None:
         if self.alive:
             if not self.machine.frozen:
                 self.tick()
-            self.world.network.timeline.after(TICK_S, self._tick_again)
+            self.world.network.timeline.after(TICK_INTERVAL_S, self._tick_periodically)
 
     def tick(self) -> None:
+        """Connect to the other machines and advance the replica."""
         for address, machine in self.world.machines.items():
             if machine is not self.machine and not machine.removed:
                 self._connect(address, machine)
@@ -211,14 +218,14 @@
             if link.open:
                 return
         target = machine.process
-        ends = partial(self._is_up, machine, target)
+        is_target_up = partial(self._is_up, machine, target)
         receive = partial(self._arrive, machine, target)
-        made = Link(self.world.network, self.machine, machine, ends, receive)
-        if target is None or not made.usable:
+        new_link = Link(self.world.network, self.machine, machine, is_target_up, receive)
+        if target is None or not new_link.can_connect:
             return
-        self._links[address] = made
-        made.send(Hello(self.node))
-        for identity in sorted(self.replica.members | set(self._greeted.values())):
+        self._links[address] = new_link
+        new_link.send(Hello(self.node))
+        for identity in sorted(self.replica.members | set(self._peer_identities.values())):
             if address_of(identity) == address:
                 self.replica.on_connected(self.machine.now, identity)
 
@@ -227,39 +234,40 @@
         return process is not None and machine.process is process
 
     def _arrive(self, machine: Machine, target: Process | None, message: Any) -> None:
-        """A message of ours reaches the process that the connection ends at."""
+        """Deliver a message to the process at the other end of the connection, if that still runs."""
         if target is not None and self._is_up(machine, target):
             target.receive(self, message)
 
-    def lost(self, identity: str) -> None:
-        """The connection of another replica has ended."""
-        if self._greeted.get(address_of(identity)) == identity:
-            del self._greeted[address_of(identity)]
+    def on_disconnected(self, identity: str) -> None:
+        """Remove a replica whose connection has closed."""
+        if self._peer_identities.get(address_of(identity)) == identity:
+            del self._peer_identities[address_of(identity)]
         self.roster.remove_replica(identity)
 
     # --- messages ---
 
     def receive(self, sender: Process, message: Any) -> None:
+        """Handle a message of another replica."""
         if isinstance(message, Hello):
-            self._greeted[address_of(message.node.identity)] = message.node.identity
+            self._peer_identities[address_of(message.node.identity)] = message.node.identity
             self.roster.add_replica(message.node.identity, message.node.name, message.node.zone)
         elif isinstance(message, REPLICA_MESSAGES):
             self.replica.receive(self.machine.now, sender.identity, message)
         elif isinstance(message, SessionOpen):
             self._sessions[sender] = Subscriber()
-            self._answers_by[sender] = self._links.get(sender.machine.address)
+            self._answer_links[sender] = self._links.get(sender.machine.address)
         elif isinstance(message, SessionPing):
-            self._on_ping_of(sender, message)
+            self._on_replica_ping(sender, message)
         elif isinstance(message, SessionPong):
             if self._session_with == sender.identity:
-                note_answer(self.freshness, message, self.machine.now)
+                record_answer(self.freshness, message, self.machine.now)
         elif self._session_with == sender.identity:
             self.tables.apply(message)
         self.after_step()
 
-    def _on_ping_of(self, sender: Process, ping: SessionPing) -> None:
-        """A backup's session is one connection: it ends with either of the two links that stand for it."""
-        link = self._answers_by.get(sender)
+    def _on_replica_ping(self, sender: Process, ping: SessionPing) -> None:
+        """Answer a backup's ping; two links model the session's connection, which ends with either."""
+        link = self._answer_links.get(sender)
         if link is None or not link.open:
             self._sessions.pop(sender, None)
         else:
@@ -271,24 +279,25 @@
             link.send(message)
 
     def after_step(self) -> None:
+        """Send the replica's messages and answers, publish its tables, and check invariants."""
         replica = self.replica
         outbox, replica.outbox = replica.outbox, []
-        # In one order, whatever the order of sets is in this interpreter: the same seed, the same run.
+        # Sorted, since the iteration order of sets varies: the same seed must give the same run.
         for outgoing in sorted(outbox, key=lambda each: each.recipient):
             self._send(address_of(outgoing.recipient), outgoing.message)
         for answer in self.change_processor.step(self.machine.now):
-            self.world.answered(answer)
+            self.world.on_answer(answer)
         self.publication.begin_epoch(self.machine.now)
         self.publication.publish_newest(self.machine.now)
         if replica.role is Role.PRIMARY:
-            self.world.stepped(self)
+            self.world.on_primary_step(self)
         if replica.outbox:
             self.after_step()
 
     # --- sessions ---
 
-    def _ping_again(self) -> None:
-        """A backup keeps a session with its primary."""
+    def _ping_periodically(self) -> None:
+        """Ping the primary periodically, and open a session with it where there is none."""
         if not self.alive:
             return
         if not self.machine.frozen:
@@ -300,42 +309,43 @@
                     self._session, self._session_with = link, primary
                     self._session_since = self.machine.now
                     link.send(SessionOpen(self.node))
-                link.send(ping_of(self.tables, self.machine.now))
-        self.world.network.timeline.after(PING_S, self._ping_again)
+                link.send(make_ping(self.tables, self.machine.now))
+        self.world.network.timeline.after(PING_INTERVAL_S, self._ping_periodically)
 
     def _on_ping(self, session: Any, send: Callable[[Any], None], ping: SessionPing) -> None:
         subscriber = self._sessions.get(session)
         if subscriber is None:
             return
         for message in self.publication.answer(self.machine.now, subscriber, ping):
-            self._handed_out(message)
+            self._check_reported_generation(message)
             send(message)
 
-    def _handed_out(self, message: Any) -> None:
+    def _check_reported_generation(self, message: Any) -> None:
         if isinstance(message, SessionPong) and message.age_s is not None:
-            self.world.handed_out(self, self.tables.configuration.generation)
+            self.world.on_generation_reported(self, self.tables.configuration.generation)
 
-    # --- others ---
+    # --- operators, readers and sidecars ---
 
-    def order(self, change: Change, caller: Any) -> None:
+    def submit_change(self, change: Change, caller: Any) -> None:
         self.change_processor.submit(change, caller)
         self.after_step()
 
     def read(self) -> int | None:
-        """The newest generation, as `GET /config` would answer; None: no clear answer."""
+        """Return the newest generation as `GET /config` would, or None if the process cannot answer."""
         newest = self.change_processor.newest(self.machine.now)
         return None if newest is None else newest.generation
 
-    def follow(self, follower: Any, send: Callable[[Any], None], message: Any) -> None:
-        """A sidecar's session."""
+    def receive_from_sidecar(self, session: Any, send: Callable[[Any], None], message: Any) -> None:
+        """Handle a message of a sidecar's session."""
         if isinstance(message, SessionOpen):
-            self._sessions[follower] = Subscriber()
+            self._sessions[session] = Subscriber()
         else:
-            self._on_ping(follower, send, message)
+            self._on_ping(session, send, message)
         self.after_step()
 
 
-def ping_of(tables: Tables, now: float) -> SessionPing:
+def make_ping(tables: Tables, now: float) -> SessionPing:
+    """Return a ping with the versions of the tables that the sender has."""
     return SessionPing(
         tables.configuration.generation,
         tables.endpoints.version,
@@ -345,6 +355,6 @@
     )
 
 
-def note_answer(freshness: Freshness, answer: SessionPong, now: float) -> None:
-    """A session's ping was answered; `now` says nothing of how old the answer is."""
+def record_answer(freshness: Freshness, answer: SessionPong, now: float) -> None:
+    """Record the answer to a ping; its age counts from the send of the ping, so `now` is not used."""
     freshness.record_answer(answer.sent_at, answer.age_s)
--- a/tests/model/named.py
+++ b/tests/model/named.py
@@ -1,6 +1,6 @@
-"""Schedules that bring about what the operators keep meeting, by name.
+"""Named schedules that reproduce the failures that operators have reported.
 
-Each takes a world that has just begun.
+Each takes a world at time zero.
 """
 
 from __future__ import annotations
@@ -9,14 +9,14 @@
 
 from eiderhub.coordination.replication import Role
 from tests.model.actors import Sidecar
-from tests.model.history import Broken
+from tests.model.history import InvariantViolation
 from tests.model.members import Machine
 from tests.model.schedules import CATCH_UP_S, LEADS_WITHIN_S, recover, serve
 from tests.model.world import World
 
-CUT_S = 20.0
+CUT_DURATION_S = 20.0
 CONFIRMATIONS = 4
-TOLD_WITHIN_S = 4.0  # a confirmed change, to every sidecar, though the primary that confirmed it is lost
+DELIVERY_BOUND_S = 4.0  # an acknowledged change reaches every sidecar, also if its primary is lost
 
 
 def _leader(world: World) -> Machine:
@@ -32,20 +32,20 @@
 
 
 def cut_off_for_twenty_seconds(world: World) -> None:
-    """The primary loses the others, while operators, readers and sidecars reach all machines."""
+    """The primary is cut off from the others, while operators, readers and sidecars reach all machines."""
     world.run(2.0)
     leader = _leader(world)
     world.network.cut({leader.address}, set(world.machines) - {leader.address})
-    world.run(CUT_S)
-    serve(world)  # the others go on
+    world.run(CUT_DURATION_S)
+    serve(world)  # the others have elected a new primary
     recover(world)
     serve(world)
 
 
 def frozen_successor(world: World) -> None:
-    """The primary hands over to a machine that is frozen; that one wakes with the word to lead.
+    """The primary transfers leadership to a frozen machine, which reads the message only when it resumes.
 
-    By then the primary has gone on, and the two can't reach each other at once.
+    By then the primary has abandoned the transfer, and the two cannot reach each other for some seconds.
     """
     world.run(2.0)
     for _ in range(6):
@@ -57,8 +57,8 @@
         leader.process.replica.transfer_leadership(leader.now)
         leader.process.after_step()
         for other in others[1:]:
-            world.timeline.after(0.05, other.wake)
-        world.timeline.after(world.timing.transfer_timeout + world.rng.uniform(0.05, 0.5), others[0].wake)
+            world.timeline.after(0.05, other.resume)
+        world.timeline.after(world.timing.transfer_timeout + world.rng.uniform(0.05, 0.5), others[0].resume)
         world.run(0.5)
         world.network.cut({others[0].address}, {leader.address})
         world.run(3.5)
@@ -68,29 +68,29 @@
 
 
 def woken_backup(world: World) -> None:
-    """A backup wakes with answers in its buffers; a sidecar that has just started asks it first."""
+    """A backup resumes with old answers in its buffer; a sidecar that has just started uses it first."""
     world.run(2.0)
     for _ in range(8):
         backup = _backup(world)
         backup.freeze()
         world.run(1.6 + world.rng.uniform(0.0, 1.0))
         for sidecar in world.sidecars:
-            _start_at(sidecar, backup)
-        backup.wake()
+            _restart_at(sidecar, backup)
+        backup.resume()
         world.run(1.0)
 
 
-def _start_at(sidecar: Sidecar, machine: Machine) -> None:
-    everybody, sidecar.machines = sidecar.machines, [machine]
+def _restart_at(sidecar: Sidecar, machine: Machine) -> None:
+    all_machines, sidecar.machines = sidecar.machines, [machine]
     sidecar.restart()
-    sidecar.look_for_a_session()
-    sidecar.machines = everybody
+    sidecar.ping_control()
+    sidecar.machines = all_machines
 
 
 def races_with_lost_answers(world: World) -> None:
-    """Two operators choose the same numbers; most answers are lost, primaries change, old orders return."""
+    """Two operators use the same generations; answers are lost, primaries change, old orders are repeated."""
     for operator in world.operators:
-        operator.patience = 0.1
+        operator.answer_timeout_s = 0.1
     world.run(1.0)
     for _ in range(5):
         leader = _leader(world)
@@ -105,7 +105,7 @@
 
 
 def restarted_witnesses(world: World) -> None:
-    """The primary is cut off, and all others are started again within its lease."""
+    """The primary is cut off, and all others restart within its lease."""
     world.run(2.0)
     for _ in range(6):
         leader = _leader(world)
@@ -122,13 +122,13 @@
 
 
 def restarted_between(world: World) -> None:
-    """The primary and one backup lose each other; the machine between them is started again, many times."""
+    """The primary and one backup cannot reach each other; the machine that both reach restarts repeatedly."""
     world.run(2.0)
     for _ in range(8):
         leader = _leader(world)
         others = [m for m in world.machines.values() if m is not leader and m.process is not None]
-        apart, between = others[0], others[1]
-        world.network.cut({leader.address}, {apart.address})
+        unreachable, between = others[0], others[1]
+        world.network.cut({leader.address}, {unreachable.address})
         world.run(world.rng.uniform(0.6, 1.6))
         world.network.cut({leader.address}, {between.address})
         between.kill()
@@ -140,9 +140,9 @@
 
 
 def late_answers(world: World) -> None:
-    """The primary is cut off until the others have elected; then answers that a backup had sent it come in.
+    """The primary is cut off until the others have elected; then delayed answers of a backup reach it.
 
-    The one that was elected stays out of its reach for some time more.
+    The new primary stays unreachable from the old one for some time more.
     """
     world.run(2.0)
     for _ in range(8):
@@ -151,23 +151,23 @@
         world.network.cut({before.address}, others)
         world.run(world.rng.uniform(0.6, 1.2))
         world.network.heal()
-        world.network.cut({before.address}, {m.address for m in world.machines.values() if _leads(m)})
+        world.network.cut({before.address}, {m.address for m in world.machines.values() if _is_primary(m)})
         world.run(0.5)
         world.network.heal()
         world.run(2.0)
     recover(world)
 
 
-def _leads(machine: Machine) -> bool:
+def _is_primary(machine: Machine) -> bool:
     return machine.process is not None and machine.process.replica.role is Role.PRIMARY
 
 
 def loss_right_after_replacement(world: World) -> None:
-    """A machine is replaced, and the next one is lost as soon as the new one counts."""
+    """A machine is replaced, and the next one is lost as soon as the new one counts as available."""
     world.run(2.0)
-    made = world.replace(_leader(world))
+    replacement = world.replace(_leader(world))
     world.run(1.0)
-    made.start()
+    replacement.start()
     world.run(CATCH_UP_S)
     world.replace(_leader(world))
     world.run_until(lambda: world.leader() is not None, LEADS_WITHIN_S, "a leader after the second loss")
@@ -175,7 +175,7 @@
 
 
 def loss_right_after_repair(world: World) -> None:
-    """A machine comes back with an empty disk, and the next disk is lost with the power of all others."""
+    """A machine restarts with an empty disk; then another disk is lost while all machines lose power."""
     world.run(2.0)
     backup = _backup(world)
     backup.wipe()
@@ -193,7 +193,7 @@
 
 
 def retiring_machine_loses_its_disk(world: World) -> None:
-    """A machine that retires comes back with an empty disk; it is taken away, and another disk is lost."""
+    """A retiring machine restarts with an empty disk; it is removed, and another disk is lost."""
     world.run(2.0)
     machine = _backup(world)
     world.retire(machine)
@@ -208,7 +208,7 @@
 
 
 def _lose_a_disk_and_all_power(world: World) -> None:
-    """What is taken away at the end of a retirement is no loss: the next one may come at once."""
+    """Lose the leader's disk and all power: a retired machine is no loss, so a loss may follow at once."""
     victim = _leader(world)
     for machine in world.machines.values():
         machine.lose_power()
@@ -218,7 +218,7 @@
 
 
 def restarted_after_many_changes(world: World) -> None:
-    """A backup misses many changes, and is killed again and again while it catches up; then it must lead."""
+    """A backup misses many changes, and is killed several times while it catches up."""
     for _ in range(4):
         world.run(1.0)
         backup = _backup(world)
@@ -229,13 +229,13 @@
             world.run(world.rng.uniform(0.15, 0.3))
             backup.kill()
             backup.start()
-        world.run_until(world.settled, LEADS_WITHIN_S, "the restarted machine has caught up")
+        world.run_until(world.has_converged, LEADS_WITHIN_S, "the restarted machine has caught up")
     recover(world)
     serve(world)
 
 
 def two_join_while_cut(world: World) -> None:
-    """Two machines join as the primary loses the two members that it has."""
+    """Two machines join while the primary is cut off from the other two members."""
     world.run(2.0)
     leader = _leader(world)
     founders = set(world.machines)
@@ -251,7 +251,7 @@
 
 
 def disk_lost_while_another_is_down(world: World) -> None:
-    """One machine is down for some seconds with its disk; meanwhile another one loses its own."""
+    """One machine is down for some seconds and retains its disk; in that time another one loses its disk."""
     world.run(2.0)
     down = _backup(world)
     down.kill()
@@ -264,18 +264,18 @@
 
 
 def learner_with_full_disk(world: World) -> None:
-    """A machine is replaced by one whose disk is full."""
+    """A machine is replaced by one with a full disk."""
     world.run(2.0)
-    made = world.replace(_backup(world))
-    made.disk.full = True
-    made.start()
+    replacement = world.replace(_backup(world))
+    replacement.disk.full = True
+    replacement.start()
     world.run(4.0)
     world.run_until(lambda: world.leader() is not None, LEADS_WITHIN_S, "a leader without the full disk")
     serve(world)
 
 
 def empty_disk_votes(world: World) -> None:
-    """One backup misses changes, the other one loses its disk, the primary its power."""
+    """One backup misses changes, the other one loses its disk, and the primary loses power."""
     world.run(2.0)
     leader = _leader(world)
     behind, wiped = (m for m in world.machines.values() if m is not leader)
@@ -291,30 +291,33 @@
     serve(world)
 
 
-def _next_change(world: World) -> None:
-    """Let time pass until another change has been acknowledged."""
-    newest = world.history.newest
-    world.run_until(lambda: world.history.newest > newest, LEADS_WITHIN_S, "a change")
+def _wait_for_change(world: World) -> None:
+    """Advance time until another change is acknowledged."""
+    newest = world.history.newest_acknowledged
+    world.run_until(lambda: world.history.newest_acknowledged > newest, LEADS_WITHIN_S, "a change")
 
 
 def confirmed_and_lost(world: World, sidecars: int = 30) -> float:
-    """Again and again the primary loses its power right after a change was acknowledged.
+    """The primary loses power several times, each time right after it acknowledged a change.
 
-    Returns the longest time until every sidecar had such a change, the sidecars that it had served included.
+    Returns the longest time in seconds until every sidecar had such a change, those that had a session with
+    the lost primary included.
     """
     for number in range(sidecars - len(world.sidecars)):
-        made = Sidecar(world.network, random.Random(world.rng.random()), f"t{number}", world.history)
-        world.sidecars.append(made)
+        sidecar = Sidecar(world.network, random.Random(world.rng.random()), f"t{number}", world.history)
+        world.sidecars.append(sidecar)
     world.introduce()
     longest = 0.0
     for _ in range(CONFIRMATIONS):
         leader = _leader(world)
-        _next_change(world)
+        _wait_for_change(world)
         leader.lose_power()
-        lost_at, wanted = world.timeline.now, world.history.newest
+        lost_at, wanted = world.timeline.now, world.history.newest_acknowledged
         while min(s.tables.configuration.generation for s in world.sidecars) < wanted:
-            if world.timeline.now - lost_at > TOLD_WITHIN_S:
-                raise Broken(f"change {wanted} is not told {TOLD_WITHIN_S:g} s after its primary was lost")
+            if world.timeline.now - lost_at > DELIVERY_BOUND_S:
+                raise InvariantViolation(
+                    f"change {wanted} is not at all sidecars {DELIVERY_BOUND_S:g} s after the primary's loss"
+                )
             world.timeline.run_until(world.timeline.now + 0.02)
         longest = max(longest, world.timeline.now - lost_at)
         leader.start()
--- a/tests/model/planted.py
+++ b/tests/model/planted.py
@@ -1,7 +1,7 @@
-"""Planted faults: each takes one guard out of the product, and a schedule or a trace must find it.
+"""Planted faults: each disables one safety check of the product, and a schedule or a trace must find it.
 
-Drawn and named schedules find what breaks a promise. Where other guards stand behind the one that is taken
-out, no schedule does; a trace then holds what the guard itself does.
+Drawn and named schedules find a fault that breaks a guarantee. Where other checks cover the disabled one, no
+schedule fails; a trace then tests the check itself.
 """
 
 from __future__ import annotations
@@ -23,26 +23,29 @@
 from eiderhub.coordination.roster import Roster
 from eiderhub.coordination.timing import Timing
 from tests.model import members, world
-from tests.model.disk import Disk, LazyDisk
+from tests.model.disk import Disk, UnsyncedDisk
 from tests.model.members import Machine
 from tests.model.seeds import Patch, patched
 
 
 class PlantedFault(NamedTuple):
+    """A disabled safety check, and the schedule or trace that must fail because of it."""
+
     name: str
-    point: int  # of the five that the operators keep meeting; 0: a base that all of them rest on
-    found_by: str  # name of a schedule, of a named schedule, or of a trace
+    point: int  # of docs/control-guarantees.md; 0: a guarantee that all points depend on
+    found_by: str  # name of a drawn schedule, a named schedule or a trace
     patches: tuple[Patch, ...] = ()
     disk: Callable[[], Disk] = Disk
 
     @contextmanager
     def planted(self) -> Iterator[None]:
+        """Apply the fault's patches."""
         with patched(self.patches):
             yield
 
 
 class ForgetfulDisk(Disk):
-    """What the witness granted is gone once the process has ended."""
+    """A disk that loses the epoch which the witness granted when it loses power."""
 
     def lose_power(self) -> None:
         self.epoch = min(self.epoch, self.position.epoch)
@@ -65,7 +68,7 @@
     _on_replicated(self, now, sender, msgspec.structs.replace(message, sent_at=now))
 
 
-def _lead_again(self: Replica, now: float) -> None:
+def _lead_after_transfer(self: Replica, now: float) -> None:
     self._transfer_deadline = None
 
 
@@ -81,27 +84,27 @@
     return _begin(self, now, order)
 
 
-def _decide_on_what_is_written(self: Any, now: float, order: Any) -> Any:
-    """Changes are decided on the store's state, committed or not, and answered from it."""
+def _decide_on_uncommitted_state(self: Any, now: float, order: Any) -> Any:
+    """Decide and answer changes from the store's state, also where that is not committed."""
     self._read_newest()
     return _answer_repeat_at_once(self, now, order)
 
 
-def _read_what_is_written(self: Any, now: float) -> Any:
+def _read_uncommitted_state(self: Any, now: float) -> Any:
     if self._replica.role is not Role.PRIMARY:
         return None
     self._read_newest()
     return self._newest
 
 
-def _vouch_before_telling(self: Publication, now: float, subscriber: Any, ping: Any) -> list[Any]:
-    told = _answer(self, now, subscriber, ping)
-    return [each for each in told if isinstance(each, SessionPong)] + [
-        each for each in told if not isinstance(each, SessionPong)
+def _send_pong_before_tables(self: Publication, now: float, subscriber: Any, ping: Any) -> list[Any]:
+    messages = _answer(self, now, subscriber, ping)
+    return [each for each in messages if isinstance(each, SessionPong)] + [
+        each for each in messages if not isinstance(each, SessionPong)
     ]
 
 
-def _vouch_as_primary(self: Publication, now: float) -> float | None:
+def _report_age_of_primary(self: Publication, now: float) -> float | None:
     return None if _age(self, now) is None else 0.0
 
 
@@ -125,11 +128,11 @@
     return all(bool(view.synced(member)) for member in view.live)
 
 
-def _answers(view: Any, learner: str) -> bool:
+def _connected(view: Any, learner: str) -> bool:
     return learner not in view.leaving and bool(view.heard(learner))
 
 
-def _whoever_is_up_to_date(view: Any, learner: str) -> bool:
+def _synced_and_connected(view: Any, learner: str) -> bool:
     return bool(view.synced(learner)) and bool(view.heard(learner))
 
 
@@ -145,7 +148,7 @@
     return sorted(i for i in self._identity_at.values() if i not in replica.members)
 
 
-def _keep_identity(self: Machine) -> None:
+def _wipe_without_new_identity(self: Machine) -> None:
     self.lose_power()
     self.disk = self.world.make_disk()
 
@@ -162,7 +165,7 @@
     return _next_state(name, order, [], report)
 
 
-def _named_alone(self: Roster, members: Any) -> frozenset[str]:
+def _retired_identities_only(self: Roster, members: Any) -> frozenset[str]:
     return self.retired
 
 
@@ -172,7 +175,7 @@
     return _decide(current, None, last_purged, change, document)
 
 
-def _note_on_arrival(freshness: Any, answer: Any, now: float) -> None:
+def _record_at_arrival(freshness: Any, answer: Any, now: float) -> None:
     freshness.record_answer(now, answer.age_s)
 
 
@@ -186,12 +189,15 @@
 
 FAULTS = (
     PlantedFault(
-        "a granted epoch is granted again", 0, "crossings", ((witness, "is_new_epoch", _equal_epoch),)
+        "a granted epoch is granted again",
+        0,
+        "concurrent_short_faults",
+        ((witness, "is_new_epoch", _equal_epoch),),
     ),
     PlantedFault(
-        "a candidate may lack what the witness has",
+        "a candidate may lack updates that the witness has",
         0,
-        "crossings",
+        "concurrent_short_faults",
         ((witness, "is_up_to_date", _always(True)),),
     ),
     PlantedFault(
@@ -207,13 +213,17 @@
         ((witness, "is_recently_started", _always(False)),),
     ),
     PlantedFault(
-        "not every member says that it has no leader",
+        "not every member reports that it has no leader",
         1,
         "restarted_witnesses",
         ((Replica, "_no_member_has_leader", _some_have_no_leader),),
     ),
-    PlantedFault("the lease is longer than the election wait", 1, "crossings", (_timing(lease=1.8),)),
-    PlantedFault("there is no lease", 1, "beyond", ((Lease, "expires_at", _always(float("inf"))),)),
+    PlantedFault(
+        "the lease is longer than the election wait", 1, "concurrent_short_faults", (_timing(lease=1.8),)
+    ),
+    PlantedFault(
+        "the lease never expires", 1, "overlapping_faults", ((Lease, "expires_at", _always(float("inf"))),)
+    ),
     PlantedFault(
         "the lease counts from an answer's arrival",
         1,
@@ -221,33 +231,39 @@
         ((Replica, "_on_replicated", _confirm_on_arrival),),
     ),
     PlantedFault(
-        "a primary leads again in an epoch that it gave away",
+        "a primary leads again in an epoch that it transferred",
         1,
         "frozen_successor",
-        ((Replica, "_abandon_transfer", _lead_again),),
+        ((Replica, "_abandon_transfer", _lead_after_transfer),),
     ),
     PlantedFault(
         "freshness counts from an answer's arrival",
         1,
         "woken_backup",
-        ((members, "note_answer", _note_on_arrival),),
+        ((members, "record_answer", _record_at_arrival),),
     ),
     PlantedFault(
-        "a backup vouches as if it were the primary", 1, "within", ((Publication, "age", _vouch_as_primary),)
+        "a backup reports an age of zero like the primary",
+        1,
+        "single_losses",
+        ((Publication, "age", _report_age_of_primary),),
     ),
     PlantedFault(
-        "whoever is asked vouches for what it has", 1, "crossings", ((Publication, "age", _always(0.0)),)
+        "every replica reports its tables as current",
+        1,
+        "concurrent_short_faults",
+        ((Publication, "age", _always(0.0)),),
     ),
     PlantedFault(
-        "the answer that vouches comes before what it vouches for",
+        "the answer with the age is sent before the tables",
         1,
-        "crossings",
-        ((Publication, "answer", _vouch_before_telling),),
+        "concurrent_short_faults",
+        ((Publication, "answer", _send_pong_before_tables),),
     ),
     PlantedFault(
         "a primary leads before its epoch is committed",
         2,
-        "primary_of_an_open_epoch_does_not_lead",
+        "primary_of_an_uncommitted_epoch_does_not_lead",
         ((Replica, "_epoch_is_committed", _always(True)),),
     ),
     PlantedFault(
@@ -257,33 +273,38 @@
         ((Replica, "_is_committed_by_majority", _always(True)),),
     ),
     PlantedFault(
-        "two changes are decided at once, on what is written",
+        "two changes are decided concurrently, on uncommitted state",
         2,
         "races_with_lost_answers",
         (
             (ChangeProcessor, "_is_busy", _always(False)),
-            (ChangeProcessor, "_begin", _decide_on_what_is_written),
+            (ChangeProcessor, "_begin", _decide_on_uncommitted_state),
         ),
     ),
     PlantedFault(
-        "what is written is read before it is committed",
+        "a write is read before it is committed",
         2,
         "cut_off_for_twenty_seconds",
-        ((ChangeProcessor, "newest", _read_what_is_written),),
+        ((ChangeProcessor, "newest", _read_uncommitted_state),),
     ),
     PlantedFault(
-        "a change that was taken is not remembered",
+        "the digest of an accepted change is not stored",
         2,
-        "within",
+        "single_losses",
         ((configuration, "decide", _forget_recorded_digest),),
     ),
     PlantedFault(
-        "a waiter is told of another epoch's commit",
+        "a waiter gets the outcome of another epoch's commit",
         2,
-        "waiter_of_an_earlier_epoch_is_told_nothing_certain",
+        "waiter_of_an_earlier_epoch_gets_unknown",
         ((CommitQueue, "_leads_epoch", _outcome_of_any_epoch),),
     ),
-    PlantedFault("a silent member stays for six seconds", 3, "within", (_timing(replace_after=6.0),)),
+    PlantedFault(
+        "a silent member is replaced only after six seconds",
+        3,
+        "single_losses",
+        (_timing(replace_after=6.0),),
+    ),
     PlantedFault(
         "members change on top of an uncommitted change",
         3,
@@ -291,29 +312,29 @@
         ((Replica, "_may_change_members", _leads_with_uncommitted_writes),),
     ),
     PlantedFault(
-        "a member goes before the others have all",
+        "a member is removed before the others are synced",
         3,
-        "member_stays_until_the_others_have_all",
+        "member_is_removed_only_once_others_are_synced",
         ((membership, "may_remove", _enough_live),),
     ),
     PlantedFault(
-        "a member goes though too few remain",
+        "a member is removed though too few remain",
         3,
         "disk_lost_while_another_is_down",
         ((membership, "may_remove", _all_synced),),
     ),
     PlantedFault(
-        "a learner belongs before it has all",
+        "a learner is admitted before it is synced",
         3,
         "learner_with_full_disk",
-        ((membership, "may_admit", _answers),),
+        ((membership, "may_admit", _connected),),
     ),
     PlantedFault(
-        "a retired replica may belong again",
+        "a retired replica is admitted again",
         3,
         "barred_replica_is_never_admitted",
         (
-            (membership, "may_admit", _whoever_is_up_to_date),
+            (membership, "may_admit", _synced_and_connected),
             (Roster, "join_candidates", _any_candidate),
             (
                 membership,
@@ -325,62 +346,69 @@
         ),
     ),
     PlantedFault(
-        "a machine is empty though nothing bars it",
+        "a machine is empty though its replica is not barred",
         3,
         "machine_is_empty_once_barred",
         ((retirement, "is_empty", _empty_without_bar),),
     ),
     PlantedFault(
-        "a machine is empty before the others have all",
+        "a machine is empty before the others are synced",
         3,
-        "machine_is_empty_once_the_others_have_all",
+        "machine_is_empty_only_once_others_are_synced",
         ((retirement, "is_empty", _empty_unsynced),),
     ),
     PlantedFault(
-        "a retirement is of the first disk alone",
+        "a retirement covers only the first disk",
         3,
         "second_disk_of_a_machine_retires_too",
         (
             (retirement, "next_state", _first_identity_only),
-            (Roster, "retiring", _named_alone),
+            (Roster, "retiring", _retired_identities_only),
             (retirement, "is_empty", _empty_without_bar),
         ),
     ),
     PlantedFault(
-        "a wiped replica keeps its identity", 3, "empty_disk_votes", ((Machine, "wipe", _keep_identity),)
+        "a wiped replica keeps its identity",
+        3,
+        "empty_disk_votes",
+        ((Machine, "wipe", _wipe_without_new_identity),),
     ),
-    PlantedFault("a disk acknowledges before it has synced", 4, "retirements", (), LazyDisk),
+    PlantedFault("a disk acknowledges before it has synced", 4, "retirements", (), UnsyncedDisk),
     PlantedFault(
-        "a witness forgets what it granted", 4, "granted_epoch_outlives_a_loss_of_power", (), ForgetfulDisk
+        "a witness forgets the epoch that it granted",
+        4,
+        "granted_epoch_outlives_a_loss_of_power",
+        (),
+        ForgetfulDisk,
     ),
     PlantedFault(
-        "a backup takes what a past primary sends",
+        "a backup accepts updates of an outdated primary",
         4,
-        "past_primary_is_not_followed",
+        "outdated_primary_is_not_followed",
         ((Replica, "_is_outdated", _always(False)),),
     ),
     PlantedFault(
-        "a backup takes updates by their number alone",
+        "a backup accepts updates by version only",
         4,
-        "updates_of_another_past_leave_a_gap",
+        "updates_of_another_history_are_not_applied",
         ((Replica, "_follows_own_state", _same_version),),
     ),
     PlantedFault(
-        "a state is known by its number alone",
+        "a state is recognised by version only",
         4,
-        "state_of_another_past_is_not_counted",
+        "state_of_another_history_is_not_counted",
         ((Replica, "_is_known_state", _not_newer),),
     ),
     PlantedFault(
-        "a chunk is staged wherever it comes",
+        "a chunk is staged without its predecessor",
         4,
-        "chunk_that_follows_nothing_is_refused",
+        "chunk_without_its_predecessor_is_refused",
         ((Replica, "_is_next_chunk", _always(True)),),
     ),
     PlantedFault(
-        "a snapshot is installed before it is whole",
+        "a snapshot is installed before it is complete",
         4,
-        "crossings",
+        "concurrent_short_faults",
         ((Replica, "_stage_chunk", _install_each_chunk),),
     ),
     PlantedFault(
@@ -390,6 +418,9 @@
         ((Replica, "_already_has_snapshot", _always(False)),),
     ),
     PlantedFault(
-        "updates during a snapshot are not staged", 4, "beyond", ((Disk, "stage_updates", _always(None)),)
+        "updates during a snapshot are not staged",
+        4,
+        "overlapping_faults",
+        ((Disk, "stage_updates", _always(None)),),
     ),
 )
--- a/tests/model/seeds.py
+++ b/tests/model/seeds.py
@@ -1,4 +1,4 @@
-"""Runs over many seeds: what they break, and which of them finds a planted fault."""
+"""Runs of a model over many seeds, to find violations, or the first seed that finds a planted fault."""
 
 from __future__ import annotations
 
@@ -16,26 +16,29 @@
 Patch = tuple[Any, str, Any]  # target, attribute, value
 
 
-def _broken_in_block(play: Play, block: int, first: int) -> list[str]:
-    found = []
+def _violations_in_block(play: Play, block: int, first: int) -> list[str]:
+    violations = []
     for seed in range(first, first + block):
         try:
             play(seed)
         except Broken as error:
-            found.append(str(error))
-    return found
+            violations.append(str(error))
+    return violations
 
 
 def broken_by(play: Play, first: int, count: int, block: int) -> list[str]:
-    """What so many seeds break, on all cores, a block of them at a time; `play` is to be a module's own."""
+    """Return the violations in `count` seeds, run on all cores in blocks.
+
+    `play` must be a module-level function, as it is sent to other processes.
+    """
     with ProcessPoolExecutor(os.cpu_count()) as pool:
-        blocks = pool.map(partial(_broken_in_block, play, block), range(first, first + count, block))
+        blocks = pool.map(partial(_violations_in_block, play, block), range(first, first + count, block))
         return [each for block_found in blocks for each in block_found]
 
 
 @contextmanager
 def patched(patches: tuple[Patch, ...]) -> Iterator[None]:
-    """All of these at once."""
+    """Apply all patches at once."""
     with ExitStack() as stack:
         for target, name, value in patches:
             stack.enter_context(mock.patch.object(target, name, value))
@@ -45,7 +48,7 @@
 def first_seed_that_breaks(
     play: Play, patches: tuple[Patch, ...], seeds: int, errors: tuple[type[Exception], ...] = (Broken,)
 ) -> int | None:
-    """The first of so many seeds that ends in one of these errors while the patches are in place."""
+    """Return the first of `seeds` seeds that raises one of `errors` while the patches are applied."""
     with patched(patches):
         for seed in range(seeds):
             try:
--- a/tests/model/traces.py
+++ b/tests/model/traces.py
@@ -1,4 +1,4 @@
-"""Recorded traces, each about one guard: what a replica, a queue or a rule does with a few messages."""
+"""Short traces that each check one safety check of a replica, a queue or a rule with a few messages."""
 
 from __future__ import annotations
 
@@ -31,6 +31,7 @@
 
 
 def backup(identity: str = "b@2") -> Replica:
+    """Return a backup of a group of three."""
     replica = Replica(identity, MemoryStore(), 0.0, random.Random(1))
     replica.bootstrap(MEMBERS)
     return replica
@@ -45,7 +46,7 @@
     return replica
 
 
-def past_primary_is_not_followed() -> None:
+def outdated_primary_is_not_followed() -> None:
     replica = backup()
     replica.store.grant(3)
     replica.receive(1.0, "a@1", Replicate(2, GENESIS, [Update(Position(2, 2), [])], 1, 1.0))
@@ -53,21 +54,21 @@
     assert replica.primary is None
 
 
-def updates_of_another_past_leave_a_gap() -> None:
+def updates_of_another_history_are_not_applied() -> None:
     replica = backup()
     update = Update(Position(3, 2), [])
     replica.receive(1.0, "a@1", Replicate(3, Position(2, 1), [update], 1, 1.0))
     assert replica.position == GENESIS
 
 
-def state_of_another_past_is_not_counted() -> None:
+def state_of_another_history_is_not_counted() -> None:
     replica = primary(2.0)
     replica.receive(2.0, "b@2", Replicated(2, GENESIS, 2.0))
-    replica.receive(2.0, "b@2", Replicated(2, Position(1, 2), 2.0))  # not the update of epoch 2
+    replica.receive(2.0, "b@2", Replicated(2, Position(1, 2), 2.0))  # another update than that of epoch 2
     assert replica.committed == 0
 
 
-def chunk_that_follows_nothing_is_refused() -> None:
+def chunk_without_its_predecessor_is_refused() -> None:
     replica = Replica("d@4", MemoryStore(), 0.0, random.Random(1))
     chunk = SnapshotChunk(2, Position(2, 5), "k", "l", [Write("l", b"1")], True, 5, 1.0)
     replica.receive(1.0, "a@1", chunk)
@@ -94,13 +95,13 @@
     assert replica.committed == 0
 
 
-def primary_of_an_open_epoch_does_not_lead() -> None:
+def primary_of_an_uncommitted_epoch_does_not_lead() -> None:
     replica = primary(2.0)
     replica.receive(2.0, "b@2", Replicated(2, GENESIS, 2.0))
     assert not replica.leads(2.0)
 
 
-def waiter_of_an_earlier_epoch_is_told_nothing_certain() -> None:
+def waiter_of_an_earlier_epoch_gets_unknown() -> None:
     replica = primary(2.0)
     replica.receive(2.0, "b@2", Replicated(2, GENESIS, 2.0))
     replica.receive(2.0, "b@2", Replicated(2, Position(2, 2), 2.0))
@@ -110,14 +111,14 @@
 
 
 def _view(**changed: Any) -> GroupView:
-    made = GroupView(
+    view = GroupView(
         "a@1", frozenset([*MEMBERS, "d@4"]), frozenset(), frozenset(), frozenset(), frozenset({"d@4"}),
         lambda identity: True, lambda identity: True,
     )  # fmt: skip
-    return made._replace(**changed)
+    return view._replace(**changed)
 
 
-def member_stays_until_the_others_have_all() -> None:
+def member_is_removed_only_once_others_are_synced() -> None:
     behind = _view(synced=lambda identity: identity != "c@3")
     assert membership.may_remove(_view(), GroupSize(None, 3))
     assert not membership.may_remove(behind, GroupSize(None, 3))
@@ -135,7 +136,7 @@
     assert not retirement.is_empty(order, StorageReport(MEMBERS, [], True))
 
 
-def machine_is_empty_once_the_others_have_all() -> None:
+def machine_is_empty_only_once_others_are_synced() -> None:
     order = RetireOrder(["x@9"])
     assert not retirement.is_empty(order, StorageReport(MEMBERS, ["x@9"], False))
 
--- a/tests/model/upgrades.py
+++ b/tests/model/upgrades.py
@@ -1,11 +1,11 @@
-"""Schedules in which machines run programs of two landings, one after the other, with losses in between."""
+"""Schedules that upgrade machines over two releases, one machine after the other, with faults in between."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from eiderhub.coordination.forms import FIRST_FORMAT, RecordFormats
-from tests.model.history import Broken
+from tests.model.history import InvariantViolation
 from tests.model.members import Machine
 from tests.model.schedules import (
     CATCH_UP_S,
@@ -14,25 +14,25 @@
     cut,
     cut_pair,
     freeze,
-    hand_over,
     recover,
     serve,
+    transfer_leadership,
 )
 from tests.model.world import World
 
 NEXT_FORMAT = FIRST_FORMAT + 1
-# Three landings: one that knows the first format alone, one that reads the next format, one that writes it.
-FIRST = RecordFormats(FIRST_FORMAT, FIRST_FORMAT)
-READS = RecordFormats(NEXT_FORMAT, FIRST_FORMAT)
-WRITES = RecordFormats(NEXT_FORMAT, NEXT_FORMAT)
-RAISED_WITHIN_S = 3.0  # the format, once all members read it and are there
-BACK_SHARE = 0.3  # of machines that are put back at first
+# Three releases: one that knows only the first format, one that reads the next format, one that writes it.
+FIRST_RELEASE = RecordFormats(FIRST_FORMAT, FIRST_FORMAT)
+READING_RELEASE = RecordFormats(NEXT_FORMAT, FIRST_FORMAT)
+WRITING_RELEASE = RecordFormats(NEXT_FORMAT, NEXT_FORMAT)
+FORMAT_RAISE_BOUND_S = 3.0  # until the next format is written, once all members run and can write it
+ROLLBACK_SHARE = 0.3  # of machines that are rolled back once during an upgrade
 
-Between = Callable[[World, Machine], float]
+Fault = Callable[[World, Machine], float]
 
 
-def _start_again(world: World, machine: Machine, formats: RecordFormats) -> None:
-    """Stop a program as planned, and start another landing's on the same disk."""
+def _restart(world: World, machine: Machine, formats: RecordFormats) -> None:
+    """Stop a program as planned, and start that of another release on the same disk."""
     if machine.process is not None and machine.process.replica.transfer_leadership(machine.now):
         machine.process.after_step()
         world.run(0.4)
@@ -42,57 +42,59 @@
     machine.start()
 
 
-def _upgrade_all(world: World, before: RecordFormats, after: RecordFormats, troubles: list[Between]) -> None:
-    """One machine after the other; some are put back first, and something may befall one meanwhile."""
+def _upgrade_all(world: World, before: RecordFormats, after: RecordFormats, faults: list[Fault]) -> None:
+    """Upgrade one machine after the other; some are rolled back once, and faults occur at random."""
     world.installed = after
     machines = [m for m in world.machines.values() if not m.removed]
     world.rng.shuffle(machines)
     for machine in machines:
         if machine.removed:
             continue
-        _start_again(world, machine, after)
+        _restart(world, machine, after)
         world.note(f"{machine.identity} runs {after}")
-        if world.rng.random() < BACK_SHARE:
+        if world.rng.random() < ROLLBACK_SHARE:
             world.run(world.rng.uniform(0.0, 1.0))
-            _start_again(world, machine, before)
-            world.note(f"{machine.identity} is put back to {before}")
+            _restart(world, machine, before)
+            world.note(f"{machine.identity} is rolled back to {before}")
             world.run(world.rng.uniform(0.0, 1.0))
-            _start_again(world, machine, after)
-        if troubles and world.rng.random() < 0.5:
-            trouble = world.rng.choice(troubles)
+            _restart(world, machine, after)
+        if faults and world.rng.random() < 0.5:
+            fault = world.rng.choice(faults)
             victim = world.rng.choice([m for m in machines if not m.removed])
-            world.note(f"{trouble.__name__} {victim.identity}")
-            world.run(trouble(world, victim))
+            world.note(f"{fault.__name__} {victim.identity}")
+            world.run(fault(world, victim))
             world.run(CATCH_UP_S)
         world.run(world.rng.uniform(0.0, 2.0))
 
 
-def _formats(world: World) -> set[int]:
-    """That the group writes, as its running members have it; a spare has no state, or an old one."""
+def _written_formats(world: World) -> set[int]:
+    """Return the formats that running members write; a spare has no state, or an old one."""
     replicas = [m.process.replica for m in world.machines.values() if m.process is not None]
     members = {member for leader in world.leaders() for member in leader.replica.members}
     return {replica.record_format for replica in replicas if replica.identity in members}
 
 
-def upgraded_over_two_landings(world: World) -> None:
-    """The format stays until the landing that writes it, and rises once all members run that."""
+def upgraded_over_two_releases(world: World) -> None:
+    """The first format is written until the second release, the next one once all members run it."""
     world.run(1.0)
-    troubles = [cut, cut_pair, freeze, hand_over]
-    _upgrade_all(world, FIRST, READS, list(troubles))
+    faults = [cut, cut_pair, freeze, transfer_leadership]
+    _upgrade_all(world, FIRST_RELEASE, READING_RELEASE, list(faults))
     recover(world)
     world.run_until(
-        lambda: _formats(world) == {FIRST_FORMAT}, LEADS_WITHIN_S, "the first format is still written"
+        lambda: _written_formats(world) == {FIRST_FORMAT}, LEADS_WITHIN_S, "the first format is still written"
     )
-    _upgrade_all(world, READS, WRITES, list(troubles))
+    _upgrade_all(world, READING_RELEASE, WRITING_RELEASE, list(faults))
     recover(world)
-    world.run_until(lambda: _formats(world) == {NEXT_FORMAT}, RAISED_WITHIN_S, "the next format is written")
+    world.run_until(
+        lambda: _written_formats(world) == {NEXT_FORMAT}, FORMAT_RAISE_BOUND_S, "the next format is written"
+    )
     serve(world)
 
 
 def upgraded_at_once(world: World) -> None:
-    """Against the rule of two landings: one that reads and writes the next format at once, never put back.
+    """Against the rule of two releases: one release reads and writes the next format, without a rollback.
 
-    The format must wait for the last member all the same.
+    The next format must still not be written before the last member reads it.
     """
     world.run(1.0)
     machines = list(world.machines.values())
@@ -101,44 +103,48 @@
         raised = any(
             m.process is not None and m.process.replica.record_format != FIRST_FORMAT for m in machines
         )
-        if raised and world.size.target is None:  # else the last may be a spare, which is no member
-            raise Broken("the next format is written before each machine reads it")
-        _start_again(world, machine, WRITES)
+        if raised and world.size.target is None:  # else the last one may be a spare, not a member
+            raise InvariantViolation("the next format is written before each machine reads it")
+        _restart(world, machine, WRITING_RELEASE)
         world.run(world.rng.uniform(0.5, 2.0))
     recover(world)
-    world.run_until(lambda: _formats(world) == {NEXT_FORMAT}, RAISED_WITHIN_S, "the next format is written")
+    world.run_until(
+        lambda: _written_formats(world) == {NEXT_FORMAT}, FORMAT_RAISE_BOUND_S, "the next format is written"
+    )
     serve(world)
 
 
 def stale_program_joins(world: World) -> None:
-    """A group writes the next format; a machine comes with a program that does not read it."""
+    """A group writes the next format; a machine joins whose program does not read it."""
     world.run(1.0)
     for machine in world.machines.values():
-        _start_again(world, machine, WRITES)
+        _restart(world, machine, WRITING_RELEASE)
     recover(world)
-    world.run_until(lambda: _formats(world) == {NEXT_FORMAT}, RAISED_WITHIN_S, "the next format is written")
-    made = world.add_machine()
-    made.formats = FIRST
+    world.run_until(
+        lambda: _written_formats(world) == {NEXT_FORMAT}, FORMAT_RAISE_BOUND_S, "the next format is written"
+    )
+    joining = world.add_machine()
+    joining.formats = FIRST_RELEASE
     world.introduce()
-    made.start()
+    joining.start()
     world.run(4.0)
-    if world.size.target is None:  # a group that wants no more members teaches it nothing
-        assert made.process is not None and made.process.replica.unreadable_format == NEXT_FORMAT
-    assert all(made.identity not in m.process.replica.members
+    if world.size.target is None:  # a group at its target size sends the machine no state
+        assert joining.process is not None and joining.process.replica.unreadable_format == NEXT_FORMAT
+    assert all(joining.identity not in m.process.replica.members
                for m in world.machines.values() if m.process is not None)  # fmt: skip
-    made.remove()
+    joining.remove()
     world.introduce()
     recover(world)
     serve(world)
 
 
-def upgrades(world: World) -> None:
-    """As drawn: two landings, losses of every kind between their steps."""
+def random_upgrades(world: World) -> None:
+    """Two releases, with random losses of every kind between the steps."""
     world.run(world.rng.uniform(0.5, 1.5))
-    _upgrade_all(world, FIRST, READS, list(LOSSES))
+    _upgrade_all(world, FIRST_RELEASE, READING_RELEASE, list(LOSSES))
     recover(world)
     world.run_until(lambda: world.leader() is not None, LEADS_WITHIN_S, "a leader")
     for operator in world.operators:
-        operator.resting = False
-    _upgrade_all(world, READS, WRITES, list(LOSSES))
+        operator.paused = False
+    _upgrade_all(world, READING_RELEASE, WRITING_RELEASE, list(LOSSES))
     recover(world)
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -1,4 +1,4 @@
-"""The world of one run: machines, network, actors, and the checks of what must hold at every moment."""
+"""The world of one run: machines, network and actors, and the invariants checked at every step."""
 
 from __future__ import annotations
 
@@ -15,40 +15,40 @@
 from eiderhub.coordination.messages import Position
 from eiderhub.coordination.replication import Role
 from eiderhub.coordination.timing import GroupSize, Timing
-from tests.model.actors import Operator, ReaderOfAll, Sidecar
+from tests.model.actors import ConfigurationReader, Operator, Sidecar
 from tests.model.clock import Timeline
 from tests.model.disk import Disk
-from tests.model.history import Broken, History
+from tests.model.history import History, InvariantViolation
 from tests.model.members import Machine, Process
 from tests.model.network import Network
 
 ZONES = 4
-REPORT_S = 0.25
+REPORT_INTERVAL_S = 0.25
 BOOT_S = 0.4
 
 
 class Shape(NamedTuple):
-    """What a run's group looks like."""
+    """The number of machines and the group size of a run."""
 
     machines: int
-    members: int  # that it begins with
+    members: int  # number of initial members
     size: GroupSize
 
 
-CONTROL = Shape(4, 3, GroupSize(None, 3))  # a control group: whoever is there belongs to it
+CONTROL = Shape(4, 3, GroupSize(None, 3))  # a control group: every machine becomes a member
 CONTROL_OF_THREE = Shape(3, 3, GroupSize(None, 3))
 STORAGE = Shape(4, 3, GroupSize(3, 3))  # a storage group of three with a spare
 SHAPES = (CONTROL, STORAGE, CONTROL_OF_THREE)
 
 
 class World:
-    """`loss`: the share of answers to operators that are lost."""
+    """One run; `answer_loss_rate` is the share of answers to operators that are lost."""
 
     def __init__(
         self,
         seed: int,
         shape: Shape = CONTROL,
-        loss: float = 0.3,
+        answer_loss_rate: float = 0.3,
         disk: Callable[[], Disk] = Disk,
         timing: Timing | None = None,
     ) -> None:
@@ -58,14 +58,14 @@
         self.network = Network(self.timeline, self.rng)
         self.size = shape.size
         self.timing = timing or Timing()
-        self.installed = OWN_FORMATS  # of the program that new machines come with
+        self.installed = OWN_FORMATS  # record formats of the program on new machines
         self.make_disk = disk
         self.history = History()
         self.trace: list[str] = []
         self.machines: dict[str, Machine] = {}
         self._leaders: dict[int, str] = {}  # by epoch
         self._states: dict[Position, dict[str, bytes]] = {}
-        self.retiring: dict[str, RetireOrder] = {}  # by machine's name
+        self.retiring: dict[str, RetireOrder] = {}  # by machine name
         self._addresses = 0
         for _ in range(shape.machines):
             self.add_machine()
@@ -76,18 +76,19 @@
             if machine.identity in founders and machine.process is not None:
                 machine.process.replica.bootstrap(founders)
         self.operators = [
-            Operator(self.network, random.Random(self.rng.random()), name, self.history, loss)
+            Operator(self.network, random.Random(self.rng.random()), name, self.history, answer_loss_rate)
             for name in ("ann", "ben")
         ]
-        self.reader = ReaderOfAll(self.network, random.Random(self.rng.random()), self.history)
+        self.reader = ConfigurationReader(self.network, random.Random(self.rng.random()), self.history)
         self.sidecars = [
             Sidecar(self.network, random.Random(self.rng.random()), name, self.history)
             for name in ("s1", "s2")
         ]
         self.introduce()
-        self.timeline.after(REPORT_S, self._report)
+        self.timeline.after(REPORT_INTERVAL_S, self._report)
 
     def add_machine(self) -> Machine:
+        """Add a machine that is not started yet, at a new address and in the next zone."""
         address = f"m{self._addresses}"
         machine = Machine(self, address, f"z{self._addresses % ZONES}")
         self._addresses += 1
@@ -95,7 +96,7 @@
         return machine
 
     def introduce(self) -> None:
-        """Let everybody know all machines."""
+        """Give operators, sidecars and the reader the current list of machines."""
         present = [m for m in self.machines.values() if not m.removed]
         for operator in self.operators:
             operator.machines = present
@@ -103,49 +104,55 @@
             sidecar.machines = present
         self.reader.machines = present
 
-    def note(self, what: str) -> None:
-        self.trace.append(f"{self.timeline.now:.2f} {what}")
+    def note(self, event: str) -> None:
+        """Add an event to the trace that errors show."""
+        self.trace.append(f"{self.timeline.now:.2f} {event}")
 
-    def answered(self, answer: ChangeResult[Any]) -> None:
-        answer.caller.order.operator.told(answer.caller, answer)
+    def on_answer(self, answer: ChangeResult[Any]) -> None:
+        answer.caller.order.operator.on_answer(answer.caller, answer)
 
-    # --- what must hold ---
+    # --- invariants ---
 
     def leaders(self) -> list[Process]:
-        """Processes that may answer as the primary now."""
-        found = []
+        """Return the processes that may answer as the primary now."""
+        leaders = []
         for machine in self.machines.values():
             process = machine.process
             if process is not None and process.replica.role is Role.PRIMARY:
                 if process.replica.leads(machine.now):
-                    found.append(process)
-        return found
+                    leaders.append(process)
+        return leaders
 
-    def stepped(self, process: Process) -> None:
-        """A primary has done something."""
+    def on_primary_step(self, process: Process) -> None:
+        """Check the invariants of primaries after a step of one."""
         replica = process.replica
-        known = self._leaders.setdefault(replica.epoch, process.identity)
-        if known != process.identity:
-            raise Broken(f"{known} and {process.identity} are primaries of epoch {replica.epoch}")
+        first_primary = self._leaders.setdefault(replica.epoch, process.identity)
+        if first_primary != process.identity:
+            raise InvariantViolation(
+                f"{first_primary} and {process.identity} are primaries of epoch {replica.epoch}"
+            )
         leaders = self.leaders()
         if len(leaders) > 1:
-            raise Broken(f"{leaders[0].identity} and {leaders[1].identity} lead at once")
+            raise InvariantViolation(f"{leaders[0].identity} and {leaders[1].identity} lead at once")
         if process in leaders:
             if process.loaded_epoch != replica.epoch:
                 process.loaded_epoch = replica.epoch
-                self.history.shown(process.machine.disk)
+                self.history.record_loaded_state(process.machine.disk)
             self._check_acknowledged(process)
 
     def _check_acknowledged(self, process: Process) -> None:
-        """A primary's state has every change that was acknowledged."""
-        for generation in self.history.unseen(process):
-            raise Broken(f"{process.identity} leads without the acknowledged generation {generation}")
+        """Check that a primary's state has every acknowledged change."""
+        for generation in self.history.missing_changes(process):
+            raise InvariantViolation(
+                f"{process.identity} leads without the acknowledged generation {generation}"
+            )
 
-    def handed_out(self, process: Process, generation: int) -> None:
-        self.history.handed_out(process.machine.address, generation, self.timeline.now)
+    def on_generation_reported(self, process: Process, generation: int) -> None:
+        """Check a generation that a process reports as current."""
+        self.history.check_reported_generation(process.machine.address, generation, self.timeline.now)
 
     def check_states(self) -> None:
-        """Replicas at one position have one state."""
+        """Check that replicas at the same position have the same state, in a format that they read."""
         for machine in self.machines.values():
             process = machine.process
             if process is None:
@@ -154,19 +161,19 @@
             position, data = process.replica.position, machine.disk.data
             other = self._states.setdefault(position, dict(data))
             if other != data:
-                raise Broken(f"{process.identity} differs from another replica at {position}")
+                raise InvariantViolation(f"{process.identity} differs from another replica at {position}")
 
     @staticmethod
     def _check_format(process: Process) -> None:
-        """Nobody's disk holds a state in a format that the program there does not read."""
+        """Check that a disk has no state in a format that the machine's program does not read."""
         record_format = decode_format(process.machine.disk.data.get(FORMAT_KEY))
         if record_format > process.machine.formats.reads:
-            raise Broken(
+            raise InvariantViolation(
                 f"{process.identity} has records of format {record_format}, which its program does not read"
             )
 
-    def settled(self) -> bool:
-        """Whether one replica leads, its group is as large as it should be, and all have its state."""
+    def has_converged(self) -> bool:
+        """Whether exactly one replica leads, its group has the target size and all members have its state."""
         leaders = self.leaders()
         if len(leaders) != 1:
             return False
@@ -178,9 +185,10 @@
         members = replica.members & running
         return len(members) >= wanted and all(replica.synced(member) for member in members)
 
-    # --- retirement: what the control plane does for the storage group ---
+    # --- retirement, which the control plane manages for the storage group ---
 
     def retire(self, machine: Machine) -> None:
+        """Order the retirement of a machine."""
         self.retiring.setdefault(machine.name, RetireOrder([machine.identity]))
         self.note(f"retire {machine.identity}")
 
@@ -194,10 +202,10 @@
                 members = sorted(replica.members)
                 synced = all(replica.synced(member) for member in members)
                 report = StorageReport(members, sorted(replica.barred), synced)
-                self.timeline.after(self.rng.uniform(0.0, 0.4), partial(self._judge, report))
-        self.timeline.after(REPORT_S, self._report)
+                self.timeline.after(self.rng.uniform(0.0, 0.4), partial(self._apply_report, report))
+        self.timeline.after(REPORT_INTERVAL_S, self._report)
 
-    def _judge(self, report: StorageReport) -> None:
+    def _apply_report(self, report: StorageReport) -> None:
         nodes = [
             NodeRecord(m.name, "storage", m.zone, m.identity)
             for m in self.machines.values()
@@ -208,41 +216,47 @@
             self.retiring[name] = state
             if state.done and not order.done:
                 machine = next(m for m in self.machines.values() if m.name == name)
-                self.note(f"{machine.identity} is empty and taken away")
+                self.note(f"{machine.identity} is empty and removed")
                 machine.remove()
                 self.introduce()
 
     # --- time ---
 
     def run(self, seconds: float) -> None:
+        """Advance time, and check the replicas' states every 0.5 s."""
         end = self.timeline.now + seconds
         while self.timeline.now < end:
             self.timeline.run_until(min(end, self.timeline.now + 0.5))
             self.check_states()
 
-    def run_until(self, found: Callable[[], bool], bound_s: float, what: str) -> None:
-        """Let time pass until something holds."""
+    def run_until(self, condition: Callable[[], bool], bound_s: float, description: str) -> None:
+        """Advance time until a condition holds.
+
+        Raises:
+            InvariantViolation: the condition does not hold within the bound.
+        """
         end = self.timeline.now + bound_s
-        while not found():
+        while not condition():
             if self.timeline.now >= end:
-                raise Broken(f"not within {bound_s:g} s: {what}")
+                raise InvariantViolation(f"not within {bound_s:g} s: {description}")
             self.run(0.1)
 
-    def quiet(self) -> None:
-        """All machines are there and connected."""
+    def restore_all(self) -> None:
+        """Heal the network and start or resume all machines."""
         self.network.heal()
         for machine in self.machines.values():
             machine.disk.full = False
-            machine.wake()
+            machine.resume()
             machine.start()
 
     def leader(self) -> Machine | None:
-        found = self.leaders()
-        return found[0].machine if found else None
+        """Return the machine of the first leader, or None."""
+        leaders = self.leaders()
+        return leaders[0].machine if leaders else None
 
     def replace(self, machine: Machine) -> Machine:
-        """A machine is gone for good; an empty one is added at another address."""
+        """Remove a machine permanently; add an empty one at another address."""
         machine.remove()
-        made = self.add_machine()
+        replacement = self.add_machine()
         self.introduce()
-        return made
+        return replacement
--- a/tests/model/writes.py
+++ b/tests/model/writes.py
@@ -1,4 +1,4 @@
-"""A steady stream of writes, and changes of members that must come though it never rests."""
+"""Membership changes under continuous writes, which must finish within a bound."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from eiderhub.coordination.messages import Write
 from eiderhub.coordination.store import StoreFailed
-from tests.model.history import Broken
+from tests.model.history import InvariantViolation
 from tests.model.members import Machine
 from tests.model.schedules import CATCH_UP_S, LEADS_WITHIN_S, recover, serve
 from tests.model.world import World
 
 WRITES_PER_S = 200
-KEYS = 64
-REPLACED_WITHIN_S = 4.2  # from the loss of a member until the one that came in its place belongs
-CUT_S = 1.0
-SLOW_S = 0.05
-START_S = 0.3  # of the machine that comes in its place
+KEY_COUNT = 64
+REPLACEMENT_BOUND_S = 4.2  # from the loss of a member until its replacement is a member
+CUT_DURATION_S = 1.0
+ADDED_DELAY_S = 0.05
+START_DELAY_S = 0.3  # until the replacement starts
 
 
 class Writer:
-    """Writes at whoever leads, and waits for nothing."""
+    """Writes at the leader at a constant rate, without waiting for commits."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -37,7 +37,9 @@
                 self.written += 1
                 value = str(self.written).encode()
                 try:
-                    process.replica.propose(process.machine.now, [Write(f"w/{self.written % KEYS}", value)])
+                    process.replica.propose(
+                        process.machine.now, [Write(f"w/{self.written % KEY_COUNT}", value)]
+                    )
                 except StoreFailed:
                     continue
                 process.after_step()
@@ -51,84 +53,86 @@
     return leader
 
 
-def _member(world: World, machine: Machine) -> bool:
+def _is_member(world: World, machine: Machine) -> bool:
     leader = world.leader()
     process = leader.process if leader is not None else None
     return process is not None and bool(machine.identity) and machine.identity in process.replica.members
 
 
-def _seconds_until(found: Callable[[], bool], world: World, writer: Writer, what: str) -> float:
-    """Let time pass until something holds; how long that took.
+def _seconds_until(condition: Callable[[], bool], world: World, writer: Writer, description: str) -> float:
+    """Advance time until a condition holds; return the seconds that this took.
 
     Raises:
-        Broken: longer than the bound.
+        InvariantViolation: it took longer than the bound.
     """
-    began = world.timeline.now
-    while not found():
-        if world.timeline.now - began > REPLACED_WITHIN_S:
-            raise Broken(f"not within {REPLACED_WITHIN_S:g} s: {what}; {writer.written} writes on")
+    started_at = world.timeline.now
+    while not condition():
+        if world.timeline.now - started_at > REPLACEMENT_BOUND_S:
+            raise InvariantViolation(
+                f"not within {REPLACEMENT_BOUND_S:g} s: {description}; {writer.written} writes were made"
+            )
         world.timeline.run_until(world.timeline.now + 0.02)
-    return world.timeline.now - began
+    return world.timeline.now - started_at
 
 
-def _end(world: World, writer: Writer) -> None:
-    """No more writes; everybody catches up, and orders are taken again."""
+def _finish(world: World, writer: Writer) -> None:
+    """Stop the writes; check that all replicas catch up and orders are acknowledged again."""
     writer.stopped = True
     recover(world)
     serve(world)
 
 
 def replaced_under_writes(world: World) -> float:
-    """A backup is replaced by an empty machine while another is cut off, under a steady stream of writes.
+    """A backup is replaced by an empty machine while another is cut off, under continuous writes.
 
-    Returns the seconds from the loss until the new machine belongs.
+    Returns the seconds from the loss until the new machine is a member.
     """
     world.run(2.0)
     writer = Writer(world)
     world.run(1.0)
     leader = _leader(world)
-    lost, apart = (m for m in world.machines.values() if m is not leader)
-    world.network.cut({apart.address}, {m.address for m in world.machines.values() if m is not apart})
-    world.timeline.after(CUT_S, world.network.heal)
-    made = world.replace(lost)
-    world.timeline.after(START_S, made.start)
-    took = _seconds_until(partial(_member, world, made), world, writer, "it belongs")
+    lost, cut_off = (m for m in world.machines.values() if m is not leader)
+    world.network.cut({cut_off.address}, {m.address for m in world.machines.values() if m is not cut_off})
+    world.timeline.after(CUT_DURATION_S, world.network.heal)
+    replacement = world.replace(lost)
+    world.timeline.after(START_DELAY_S, replacement.start)
+    duration_s = _seconds_until(partial(_is_member, world, replacement), world, writer, "it is a member")
     world.run(2.0)
-    _end(world, writer)
-    return took
+    _finish(world, writer)
+    return duration_s
 
 
 def slow_machine_joins_under_writes(world: World) -> float:
-    """A machine that everything reaches late joins under a steady stream of writes.
+    """A machine with slow connections joins under continuous writes; it never has the newest write.
 
-    Returns the seconds until it belongs: it never has the newest write.
+    Returns the seconds until it is a member.
     """
     world.run(2.0)
     writer = Writer(world)
     world.run(1.0)
-    made = world.add_machine()
-    world.network.slow_down(made.address, SLOW_S)
+    joining = world.add_machine()
+    world.network.slow_down(joining.address, ADDED_DELAY_S)
     world.introduce()
-    made.start()
-    took = _seconds_until(partial(_member, world, made), world, writer, "it belongs")
-    _end(world, writer)
-    return took
+    joining.start()
+    duration_s = _seconds_until(partial(_is_member, world, joining), world, writer, "it is a member")
+    _finish(world, writer)
+    return duration_s
 
 
 def retired_under_writes(world: World) -> float:
-    """The primary itself retires under a steady stream of writes; its machine is empty within the bound."""
+    """The primary retires under continuous writes; its machine is empty within the bound."""
     world.run(2.0)
     writer = Writer(world)
     world.run(1.0)
     leader = _leader(world)
     world.retire(leader)
-    took = _seconds_until(lambda: leader.removed, world, writer, "it is empty")
-    _end(world, writer)
-    return took
+    duration_s = _seconds_until(lambda: leader.removed, world, writer, "it is empty")
+    _finish(world, writer)
+    return duration_s
 
 
-def drawn_under_writes(world: World) -> None:
-    """Members come, go and lose their disks as drawn, each as soon as the last one counts, under writes."""
+def random_changes_under_writes(world: World) -> None:
+    """Members are replaced or lose their disks at random under writes, one after the other."""
     world.run(1.0)
     writer = Writer(world)
     for _ in range(3):
@@ -136,13 +140,13 @@
         machines = [m for m in world.machines.values() if m.process is not None]
         machine = world.rng.choice(machines)
         if world.rng.random() < 0.5:
-            made = world.replace(machine)
-            world.note(f"{machine.address} is replaced by {made.address}")
+            joining = world.replace(machine)
+            world.note(f"{machine.address} is replaced by {joining.address}")
         else:
             machine.wipe()
-            made = machine
+            joining = machine
             world.note(f"{machine.address} loses its disk")
-        world.timeline.after(START_S, made.start)
-        world.run(START_S + CATCH_UP_S)
-        world.run_until(partial(_member, world, made), LEADS_WITHIN_S, "it belongs")
-    _end(world, writer)
+        world.timeline.after(START_DELAY_S, joining.start)
+        world.run(START_DELAY_S + CATCH_UP_S)
+        world.run_until(partial(_is_member, world, joining), LEADS_WITHIN_S, "it is a member")
+    _finish(world, writer)
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -152,13 +152,13 @@
 # --- stored state after many changes ---
 
 CHANGES = 5_000
-KEPT, PURGED = 400, 50
+RETAINED, BATCH_SIZE = 400, 50
 
 
 @pytest.fixture
 def few_retained_changes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(configuration, "RETAINED_CHANGES", KEPT)
-    monkeypatch.setattr(configuration, "PURGE_BATCH", PURGED)
+    monkeypatch.setattr(configuration, "RETAINED_CHANGES", RETAINED)
+    monkeypatch.setattr(configuration, "PURGE_BATCH", BATCH_SIZE)
 
 
 def test_state_is_bounded_and_no_accepted_change_is_ever_refused(few_retained_changes: None) -> None:
@@ -169,9 +169,9 @@
         change, outcome = submit_change(processor, generation - 1, generation, "ann")
         assert outcome is ChangeOutcome.ACKNOWLEDGED
         changes.append(change)
-    assert sum(key.startswith(CHANGE_DIGEST_PREFIX) for key in store.data) <= KEPT + PURGED
+    assert sum(key.startswith(CHANGE_DIGEST_PREFIX) for key in store.data) <= RETAINED + BATCH_SIZE
     last_purged = int(store.get(LAST_PURGED_KEY) or 0)
-    assert last_purged >= CHANGES - KEPT - PURGED
+    assert last_purged >= CHANGES - RETAINED - BATCH_SIZE
     for generation in (1, 2, last_purged, last_purged + 1, CHANGES - 1, CHANGES):
         outcome = send(processor, changes[generation - 1])
         known = generation > last_purged
@@ -183,7 +183,7 @@
 def test_next_primary_recognises_the_same_changes(few_retained_changes: None) -> None:
     store = MemoryStore()
     processor: ChangeProcessor[str] = ChangeProcessor(single_replica(store), store)
-    changes = [submit_change(processor, g - 1, g, "ann")[0] for g in range(1, KEPT + 2 * PURGED)]
+    changes = [submit_change(processor, g - 1, g, "ann")[0] for g in range(1, RETAINED + 2 * BATCH_SIZE)]
     next_processor: ChangeProcessor[str] = ChangeProcessor(single_replica(store), store)
     last_purged = int(store.get(LAST_PURGED_KEY) or 0)
     assert last_purged
@@ -202,8 +202,8 @@
             Write("config/current", b"%d" % version),
             Write(f"{CHANGE_DIGEST_PREFIX}{version}", b"digest"),
         ]
-        if version > KEPT + 1:
-            writes.append(Write(f"{CHANGE_DIGEST_PREFIX}{version - KEPT}", None))
+        if version > RETAINED + 1:
+            writes.append(Write(f"{CHANGE_DIGEST_PREFIX}{version - RETAINED}", None))
         if version % 100 == 0 or version > CHANGES - 10:
             store.apply([Update(Position(1, version), writes)])
     expected = dict(store.scan(""))
--- a/tests/test_five_points.py
+++ b/tests/test_five_points.py
@@ -1,5 +1,6 @@
-"""What the operators keep meeting, by name. tests/test_planted_faults.py shows what each schedule would find.
+"""Named schedules for points 1 to 4 of docs/control-guarantees.md.
 
+tests/test_planted_faults.py shows which faults they find.
 Point 5, answers that reach the wrong caller and calls that are sent twice, is in tests/test_answers.py.
 """
 
@@ -11,7 +12,7 @@
 
 from tests.model import named
 from tests.model.disk import Disk
-from tests.model.history import Broken
+from tests.model.history import InvariantViolation
 from tests.model.planted import PlantedFault
 from tests.model.world import CONTROL, CONTROL_OF_THREE, STORAGE, Shape, World
 from tests.test_model import set_small_sizes
@@ -39,27 +40,28 @@
 
 
 def play(schedule: Schedule, shape: Shape, seed: int, fault: PlantedFault | None = None) -> None:
+    """Play one named schedule with one seed, under a planted fault's disk if one is given."""
     set_small_sizes()
     disk = fault.disk if fault is not None else Disk
-    world = World(seed, shape, loss=0.5, disk=disk)
+    world = World(seed, shape, answer_loss_rate=0.5, disk=disk)
     try:
         schedule(world)
-    except Broken as error:
-        raise Broken(f"{schedule.__name__} --seed {seed}: {error}; {world.trace}") from error
+    except InvariantViolation as error:
+        raise InvariantViolation(f"{schedule.__name__} --seed {seed}: {error}; {world.trace}") from error
 
 
 @pytest.mark.parametrize(("schedule", "shape"), CASES)
-def test_schedule_breaks_nothing(schedule: Schedule, shape: Shape) -> None:
+def test_schedule_violates_no_invariant(schedule: Schedule, shape: Shape) -> None:
     for seed in range(SEEDS):
         play(schedule, shape, seed)
 
 
 @pytest.mark.parametrize(("sidecars", "seeds"), [(30, 6), (170, 2)])
-def test_change_is_told_to_every_sidecar_though_the_primary_that_confirmed_it_is_lost(
+def test_change_reaches_every_sidecar_though_the_primary_that_acknowledged_it_is_lost(
     sidecars: int, seeds: int
 ) -> None:
-    """Sessions move meanwhile, those with the lost machine among them."""
+    """Sessions move to other machines during the run, among them those with the lost machine."""
     set_small_sizes()
     for seed in range(seeds):
         shape = (CONTROL, CONTROL_OF_THREE)[seed % 2]
-        assert named.confirmed_and_lost(World(seed, shape, loss=0.5), sidecars) > 0.0
+        assert named.confirmed_and_lost(World(seed, shape, answer_loss_rate=0.5), sidecars) > 0.0
--- a/tests/test_members_under_writes.py
+++ b/tests/test_members_under_writes.py
@@ -6,7 +6,7 @@
 
 from eiderhub.coordination.replication import Replica
 from tests.model import writes
-from tests.model.history import Broken
+from tests.model.history import InvariantViolation
 from tests.model.seeds import Patch, patched
 from tests.model.world import CONTROL_OF_THREE, STORAGE, World
 from tests.test_model import set_small_sizes
@@ -43,23 +43,23 @@
 
 def test_replacement_joins_within_the_bound() -> None:
     for seed in range(SEEDS):
-        assert 0.0 < writes.replaced_under_writes(World(seed, CONTROL_OF_THREE)) < writes.REPLACED_WITHIN_S
+        assert 0.0 < writes.replaced_under_writes(World(seed, CONTROL_OF_THREE)) < writes.REPLACEMENT_BOUND_S
 
 
 def test_slow_machine_joins_within_the_bound() -> None:
     for seed in range(SEEDS):
         world = World(seed, CONTROL_OF_THREE)
-        assert writes.slow_machine_joins_under_writes(world) < writes.REPLACED_WITHIN_S
+        assert writes.slow_machine_joins_under_writes(world) < writes.REPLACEMENT_BOUND_S
 
 
 def test_retiring_primary_is_removed_within_the_bound() -> None:
     for seed in range(SEEDS):
-        assert writes.retired_under_writes(World(seed, STORAGE)) < writes.REPLACED_WITHIN_S
+        assert writes.retired_under_writes(World(seed, STORAGE)) < writes.REPLACEMENT_BOUND_S
 
 
 def test_random_membership_changes() -> None:
     for seed in range(RANDOM_SCHEDULES):
-        writes.drawn_under_writes(World(seed, CONTROL_OF_THREE))
+        writes.random_changes_under_writes(World(seed, CONTROL_OF_THREE))
 
 
 @pytest.mark.parametrize(
@@ -76,6 +76,6 @@
     """Each stricter condition, injected as a fault, is not met in time under continuous writes."""
     assert callable(schedule)
     shape = STORAGE if schedule is writes.retired_under_writes else CONTROL_OF_THREE
-    with patched(patches), pytest.raises(Broken):
+    with patched(patches), pytest.raises(InvariantViolation):
         for seed in range(SEEDS):
             schedule(World(seed, shape))
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,6 +1,6 @@
-"""Schedules of trouble for the control group, with operators, readers and sidecars, in virtual time.
+"""Random schedules of faults for the control group, with operators, readers and sidecars, in virtual time.
 
-`OTTERCLEAT_SCHEDULES` says how many are played; each is drawn from its seed alone.
+`OTTERCLEAT_SCHEDULES` is the number of schedules; each is determined by its seed.
 """
 
 from __future__ import annotations
@@ -12,45 +12,46 @@
 import pytest
 
 from eiderhub.coordination import catch_up, recent_changes, replication
-from tests.model.history import Broken
+from tests.model.history import InvariantViolation
 from tests.model.schedules import SCHEDULES, play
 
-COUNT = int(os.environ.get("OTTERCLEAT_SCHEDULES", "10000"))
-FIRST = int(os.environ.get("OTTERCLEAT_FIRST_SEED", "0"))
-BLOCK = 50
+SCHEDULE_COUNT = int(os.environ.get("OTTERCLEAT_SCHEDULES", "10000"))
+FIRST_SEED = int(os.environ.get("OTTERCLEAT_FIRST_SEED", "0"))
+BLOCK_SIZE = 50
 SMALL_CHUNK_BYTES = 120  # so that the small state of a schedule takes several chunks
-SHORT_HISTORY = 4
-SHORT_TAIL = 1  # so that snapshots are needed often
+FEW_HISTORY_UPDATES = 4
+FEW_RETAINED_ENTRIES = 1  # so that snapshots are needed often
 
 
 def set_small_sizes() -> None:
+    """Reduce the sizes of chunks and histories, so that small states need chunks and snapshots."""
     setattr(replication, "CHUNK_BYTES", SMALL_CHUNK_BYTES)  # noqa: B010
-    catch_up.HISTORY_UPDATES = SHORT_HISTORY
-    recent_changes.RETAINED_ENTRIES = SHORT_TAIL
+    catch_up.HISTORY_UPDATES = FEW_HISTORY_UPDATES
+    recent_changes.RETAINED_ENTRIES = FEW_RETAINED_ENTRIES
 
 
 def play_block(first: int) -> list[str]:
-    """What a block of seeds has broken; each schedule takes its turn."""
+    """Return the violations in a block of seeds, which use the schedules in turn."""
     set_small_sizes()
-    found = []
-    for seed in range(first, first + BLOCK):
+    violations = []
+    for seed in range(first, first + BLOCK_SIZE):
         try:
             play(seed, SCHEDULES[seed % len(SCHEDULES)])
-        except Broken as error:
-            found.append(str(error))
-    return found
+        except InvariantViolation as error:
+            violations.append(str(error))
+    return violations
 
 
 @pytest.fixture
 def pool() -> Iterator[ProcessPoolExecutor]:
-    with ProcessPoolExecutor(os.cpu_count()) as made:
-        yield made
+    with ProcessPoolExecutor(os.cpu_count()) as executor:
+        yield executor
 
 
-def test_no_schedule_breaks_what_must_hold(pool: ProcessPoolExecutor) -> None:
-    blocks = range(FIRST, FIRST + COUNT, BLOCK)
-    found = [each for block in pool.map(play_block, blocks) for each in block]
-    assert not found, "\n".join(found[:5])
+def test_no_schedule_violates_an_invariant(pool: ProcessPoolExecutor) -> None:
+    blocks = range(FIRST_SEED, FIRST_SEED + SCHEDULE_COUNT, BLOCK_SIZE)
+    violations = [each for block in pool.map(play_block, blocks) for each in block]
+    assert not violations, "\n".join(violations[:5])
 
 
 def test_schedule_is_the_same_each_time() -> None:
--- a/tests/test_planted_faults.py
+++ b/tests/test_planted_faults.py
@@ -1,4 +1,4 @@
-"""Every planted fault is found, within a stated number of seeds."""
+"""Every planted fault is found within a bounded number of seeds."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from tests.test_five_points import CASES, play
 from tests.test_model import set_small_sizes
 
-MOST_SEEDS = 150
+MAX_SEEDS = 150
 SHAPES = {schedule.__name__: shape for schedule, shape in CASES}
 
 
 def run(fault: PlantedFault, seed: int) -> None:
-    """Play what is to find the fault, once.
+    """Play the schedule or trace that should find the fault once.
 
     Raises:
-        AssertionError: it has found it.
+        AssertionError: the fault is found.
     """
     name = fault.found_by
     if hasattr(traces, name):
@@ -34,7 +34,7 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
 def test_planted_fault_is_found(fault: PlantedFault) -> None:
     set_small_sizes()
-    seeds = 1 if hasattr(traces, fault.found_by) else MOST_SEEDS
+    seeds = 1 if hasattr(traces, fault.found_by) else MAX_SEEDS
     for seed in range(seeds):
         try:
             with fault.planted():
@@ -45,10 +45,10 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
-def test_nothing_is_found_where_nothing_is_planted(fault: PlantedFault) -> None:
+def test_no_violation_without_the_planted_fault(fault: PlantedFault) -> None:
     set_small_sizes()
     run(PlantedFault(fault.name, fault.point, fault.found_by), 1)
 
 
-def test_planted_faults_have_names_of_their_own() -> None:
+def test_planted_faults_have_unique_names() -> None:
     assert len({fault.name for fault in FAULTS}) == len(FAULTS)
--- a/tests/test_upgrades_model.py
+++ b/tests/test_upgrades_model.py
@@ -1,4 +1,4 @@
-"""Upgrades over two landings in virtual time: nobody gets a state that its program does not read."""
+"""Upgrades over two releases in virtual time: no program receives a record format that it does not read."""
 
 from __future__ import annotations
 
@@ -10,48 +10,49 @@
 from eiderhub.coordination.forms import FIRST_FORMAT, RecordFormats, next_format
 from eiderhub.coordination.replication import Replica
 from tests.model import upgrades
-from tests.model.history import Broken
+from tests.model.history import InvariantViolation
 from tests.model.schedules import play
 from tests.model.seeds import Patch, broken_by, patched
 from tests.model.world import CONTROL, CONTROL_OF_THREE, STORAGE, World
 from tests.test_model import set_small_sizes
 
 SEEDS = 12
-DRAWN = 400
+DRAWN_SCHEDULES = 400
 Schedule = Callable[[World], None]
 NAMED: list[Schedule] = [
-    upgrades.upgraded_over_two_landings, upgrades.upgraded_at_once, upgrades.stale_program_joins,
+    upgrades.upgraded_over_two_releases, upgrades.upgraded_at_once, upgrades.stale_program_joins,
 ]  # fmt: skip
 
 
 def run(schedule: Schedule, seed: int) -> None:
+    """Play one named schedule; the seed selects the group."""
     set_small_sizes()
     schedule(World(seed, (CONTROL, CONTROL_OF_THREE, STORAGE)[seed % 3]))
 
 
 def play_drawn(seed: int) -> None:
-    """One drawn schedule of upgrades.
+    """Play one random schedule of upgrades.
 
     Raises:
-        items.Broken: as all models' seeds are told of.
+        items.Broken: the error type that tests/model/seeds.py collects.
     """
     from tests.model import items
 
     set_small_sizes()
     try:
-        play(seed, upgrades.upgrades)
-    except Broken as error:
+        play(seed, upgrades.random_upgrades)
+    except InvariantViolation as error:
         raise items.Broken(str(error)) from error
 
 
 @pytest.mark.parametrize("schedule", NAMED)
-def test_named_upgrade_breaks_nothing(schedule: Schedule) -> None:
+def test_named_upgrade_violates_no_invariant(schedule: Schedule) -> None:
     for seed in range(SEEDS):
         run(schedule, seed)
 
 
-def test_no_drawn_upgrade_breaks_what_must_hold() -> None:
-    assert broken_by(play_drawn, 0, DRAWN, 25) == []
+def test_no_drawn_upgrade_violates_an_invariant() -> None:
+    assert broken_by(play_drawn, 0, DRAWN_SCHEDULES, 25) == []
 
 
 def _raise_at_once(current: int, own: RecordFormats, members_read: object) -> int | None:
@@ -68,11 +69,11 @@
 
 @pytest.mark.parametrize(
     ("schedule", "patches"), FAULTS,
-    ids=["a record in the new format too early", "a format that is not read is taken",
-         "the format rises early"],
+    ids=["a record in the new format too early", "an unreadable format is accepted",
+         "the format is raised early"],
 )  # fmt: skip
 def test_planted_fault_is_found(schedule: Schedule, patches: tuple[Patch, ...]) -> None:
-    with patched(patches), pytest.raises((Broken, AssertionError)):
+    with patched(patches), pytest.raises((InvariantViolation, AssertionError)):
         for seed in range(SEEDS):
             run(schedule, seed)
 
@@ -88,7 +89,7 @@
         (1, RecordFormats(2, 2), [], 2),
     ],
 )
-def test_format_rises_once_each_member_reads_it(
+def test_format_is_raised_once_each_member_reads_it(
     current: int, own: RecordFormats, members: list[int], expected: int | None
 ) -> None:
     assert next_format(current, own, members) == expected
