--- a/tests/model/items.py
+++ b/tests/model/items.py
@@ -62,7 +62,7 @@
 IDLE_CHECK_INTERVAL_S = 0.25
 
 
-class Broken(AssertionError):
+class InvariantViolation(AssertionError):
     """An invariant of the model does not hold."""
 
 
@@ -284,7 +284,9 @@
         incoming = {message.key for message in link.in_transit if isinstance(message, RunItem)}
         wrongly_reclaimed = [key for key in items if key in incoming or key in link.sidecar.tracker.keys]
         if wrongly_reclaimed:
-            raise Broken(f"{self._world.seed}: {wrongly_reclaimed[0]} is reclaimed from {node}, which has it")
+            raise InvariantViolation(
+                f"{self._world.seed}: {wrongly_reclaimed[0]} is reclaimed from {node}, which has it"
+            )
 
     def _tick(self) -> None:
         now = self._world.timeline.now
@@ -314,7 +316,9 @@
                 for position, result in enumerate(page.results):
                     seen = self._world.results_read.setdefault((job, position), result.id)
                     if seen != result.id:
-                        raise Broken(f"{self._world.seed}: {job} {position} was {seen}, is {result.id}")
+                        raise InvariantViolation(
+                            f"{self._world.seed}: {job} {position} was {seen}, is {result.id}"
+                        )
         self._world.timeline.after(READ_INTERVAL_S, self.read_results)
 
     def submit_job(self, job: str, items: list[str]) -> None:
@@ -609,7 +613,9 @@
         if able and idle and now > FAULT_PERIOD_S + MAX_FAULT_S + MAX_ITEM_IDLE_S:
             for key in self._open_items():
                 if now - self.last_worked_on.get(key, 0.0) > MAX_ITEM_IDLE_S:
-                    raise Broken(f"{self.seed}: {key} is idle at {now:.1f} s, no endpoint works on it")
+                    raise InvariantViolation(
+                        f"{self.seed}: {key} is idle at {now:.1f} s, no endpoint works on it"
+                    )
         self.timeline.after(IDLE_CHECK_INTERVAL_S, self._check_idle_items)
 
     def _open_items(self) -> list[ItemKey]:
@@ -628,7 +634,7 @@
         """Run the schedule to its end and check the results.
 
         Raises:
-            Broken: an invariant does not hold; the message has the seed.
+            InvariantViolation: an invariant does not hold; the message has the seed.
         """
         self.timeline.run_until(FAULT_PERIOD_S + RECOVERY_PERIOD_S)
         self._check_jobs()
@@ -638,33 +644,37 @@
     def _check_jobs(self) -> None:
         for job, items in self.accepted_jobs.items():
             if self.group.store.get(JOB_PREFIX + job) is None:
-                raise Broken(f"{self.seed}: {job} was accepted and is not in the store")
+                raise InvariantViolation(f"{self.seed}: {job} was accepted and is not in the store")
             found = list(self.group.store.scan(f"{RESULT_PREFIX}{job}/"))
             positions = [int(key.rpartition("/")[2]) for key, _ in found]
             if positions != list(range(len(found))):
-                raise Broken(f"{self.seed}: {job} has gaps in its positions: {positions}")
+                raise InvariantViolation(f"{self.seed}: {job} has gaps in its positions: {positions}")
             names = [msgspec.msgpack.decode(value, type=ResultRecord).id for _, value in found]
             if len(set(names)) < len(names):
-                raise Broken(f"{self.seed}: an item of {job} is listed twice")
+                raise InvariantViolation(f"{self.seed}: an item of {job} is listed twice")
             if job not in self.ended_jobs and set(names) != items:
-                raise Broken(f"{self.seed}: items of {job} have no result: {sorted(items - set(names))}")
+                raise InvariantViolation(
+                    f"{self.seed}: items of {job} have no result: {sorted(items - set(names))}"
+                )
             if job not in self.ended_jobs and self.group.table.jobs[job].committed_positions != len(items):
-                raise Broken(f"{self.seed}: results of {job} are not committed")
+                raise InvariantViolation(f"{self.seed}: results of {job} are not committed")
 
     def _check_reads(self) -> None:
         for (job, position), item in self.results_read.items():
             page = self.group.table.page(job, position)
             if isinstance(page, Refusal) or not page.results or page.results[0].id != item:
-                raise Broken(f"{self.seed}: {item} was read at {job} {position} and is not there any more")
+                raise InvariantViolation(
+                    f"{self.seed}: {item} was read at {job} {position} and is not there any more"
+                )
 
     def _check_sidecars(self) -> None:
         for sidecar in self.sidecars:
             held_count = len(sidecar.tracker) if sidecar.alive else 0
             if held_count or self.group.table.running_count(sidecar.name):
                 recorded_count = self.group.table.running_count(sidecar.name)
-                raise Broken(
+                raise InvariantViolation(
                     f"{self.seed}: {sidecar.name} holds {held_count} items, "
                     f"the primary records {recorded_count}"
                 )
             if sidecar.alive and not sidecar.tracker.accepted:
-                raise Broken(f"{self.seed}: {sidecar.name} has no session")
+                raise InvariantViolation(f"{self.seed}: {sidecar.name} has no session")
--- a/tests/model/named.py
+++ b/tests/model/named.py
@@ -240,7 +240,7 @@
     leader = _leader(world)
     founders = set(world.machines)
     joining = [world.add_machine(), world.add_machine()]
-    world.introduce()
+    world.update_machine_lists()
     for machine in joining:
         machine.start()
     world.run(world.rng.uniform(0.1, 0.35))
@@ -306,7 +306,7 @@
     for number in range(sidecars - len(world.sidecars)):
         sidecar = Sidecar(world.network, random.Random(world.rng.random()), f"t{number}", world.history)
         world.sidecars.append(sidecar)
-    world.introduce()
+    world.update_machine_lists()
     longest = 0.0
     for _ in range(CONFIRMATIONS):
         leader = _leader(world)
--- a/tests/model/placement.py
+++ b/tests/model/placement.py
@@ -24,7 +24,7 @@
 from eiderhub.coordination.messages import Position, Update, Write
 from eiderhub.storage.store import MemoryStore
 from tests.model.clock import Timeline
-from tests.model.items import Broken
+from tests.model.items import InvariantViolation
 from tests.model.placement_plan import FOREVER_S, NEW_ROUTE, ROUTE, JobPlan, Plan
 from tests.model.placement_sidecar import (
     MAX_RUN_S,
@@ -204,7 +204,7 @@
         """Run the plan until the bound can be checked.
 
         Raises:
-            Broken: the bound does not hold; the message has the seed.
+            InvariantViolation: the bound does not hold; the message has the seed.
         """
         bound_start = self.bound_start()
         self.timeline.run_until(bound_start)
@@ -218,7 +218,7 @@
         fitting = min(waiting, self.fitting_item_count(bound_start, until))
         new_results = self.result_count - earlier_results
         if new_results < COMPLETED_SHARE * fitting:
-            raise Broken(
+            raise InvariantViolation(
                 f"{self.seed}: {new_results} finished in {COMPLETION_S:g} s of {waiting} unassigned, "
                 f"{fitting:.0f} fit"
             )
@@ -239,7 +239,7 @@
                 continue
             idle_since = max(bound_start, self._accepted_at[job], self._last_served.get(job, 0.0))
             if now - idle_since > MAX_UNSERVED_S:
-                raise Broken(
+                raise InvariantViolation(
                     f"{self.seed}: {job} has had no item at an endpoint for {now - idle_since:.1f} s "
                     f"at {now:.1f} s; endpoints use {self.used_share():.2f} of their slots, "
                     f"the bound counts from {bound_start:.1f} s"
--- a/tests/model/schedules.py
+++ b/tests/model/schedules.py
@@ -243,7 +243,7 @@
             lose_all_power(world)
         added = world.add_machine()
         added.start()
-        world.introduce()
+        world.update_machine_lists()
         world.run(CATCH_UP_S + 1.5)
         world.run_until(lambda: world.leader() is not None, LEADS_WITHIN_S, "a leader")
     lose_last_disk(world)
--- a/tests/model/seeds.py
+++ b/tests/model/seeds.py
@@ -10,7 +10,7 @@
 from typing import Any
 from unittest import mock
 
-from tests.model.items import Broken
+from tests.model.items import InvariantViolation
 
 Play = Callable[[int], None]
 Patch = tuple[Any, str, Any]  # target, attribute, value
@@ -21,12 +21,12 @@
     for seed in range(first, first + block):
         try:
             play(seed)
-        except Broken as error:
+        except InvariantViolation as error:
             violations.append(str(error))
     return violations
 
 
-def broken_by(play: Play, first: int, count: int, block: int) -> list[str]:
+def find_violations(play: Play, first: int, count: int, block: int) -> list[str]:
     """Return the violations in `count` seeds, run on all cores in blocks.
 
     `play` must be a module-level function, as it is sent to other processes.
@@ -45,8 +45,11 @@
         yield
 
 
-def first_seed_that_breaks(
-    play: Play, patches: tuple[Patch, ...], seeds: int, errors: tuple[type[Exception], ...] = (Broken,)
+def find_first_failing_seed(
+    play: Play,
+    patches: tuple[Patch, ...],
+    seeds: int,
+    errors: tuple[type[Exception], ...] = (InvariantViolation,),
 ) -> int | None:
     """Return the first of `seeds` seeds that raises one of `errors` while the patches are applied."""
     with patched(patches):
--- a/tests/model/upgrades.py
+++ b/tests/model/upgrades.py
@@ -125,7 +125,7 @@
     )
     joining = world.add_machine()
     joining.formats = FIRST_RELEASE
-    world.introduce()
+    world.update_machine_lists()
     joining.start()
     world.run(4.0)
     if world.size.target is None:  # a group at its target size sends the machine no state
@@ -133,7 +133,7 @@
     assert all(joining.identity not in m.process.replica.members
                for m in world.machines.values() if m.process is not None)  # fmt: skip
     joining.remove()
-    world.introduce()
+    world.update_machine_lists()
     recover(world)
     serve(world)
 
--- a/tests/model/world.py
+++ b/tests/model/world.py
@@ -84,7 +84,7 @@
             Sidecar(self.network, random.Random(self.rng.random()), name, self.history)
             for name in ("s1", "s2")
         ]
-        self.introduce()
+        self.update_machine_lists()
         self.timeline.after(REPORT_INTERVAL_S, self._report)
 
     def add_machine(self) -> Machine:
@@ -95,7 +95,7 @@
         self.machines[address] = machine
         return machine
 
-    def introduce(self) -> None:
+    def update_machine_lists(self) -> None:
         """Give operators, sidecars and the reader the current list of machines."""
         present = [m for m in self.machines.values() if not m.removed]
         for operator in self.operators:
@@ -218,7 +218,7 @@
                 machine = next(m for m in self.machines.values() if m.name == name)
                 self.note(f"{machine.identity} is empty and removed")
                 machine.remove()
-                self.introduce()
+                self.update_machine_lists()
 
     # --- time ---
 
@@ -258,5 +258,5 @@
         """Remove a machine permanently; add an empty one at another address."""
         machine.remove()
         replacement = self.add_machine()
-        self.introduce()
+        self.update_machine_lists()
         return replacement
--- a/tests/model/writes.py
+++ b/tests/model/writes.py
@@ -112,7 +112,7 @@
     world.run(1.0)
     joining = world.add_machine()
     world.network.slow_down(joining.address, ADDED_DELAY_S)
-    world.introduce()
+    world.update_machine_lists()
     joining.start()
     duration_s = _seconds_until(partial(_is_member, world, joining), world, writer, "it is a member")
     _finish(world, writer)
--- a/tests/test_items_model.py
+++ b/tests/test_items_model.py
@@ -17,8 +17,8 @@
 from eiderhub.batch.messages import ItemFinished, ItemReturned, WorkerReport
 from eiderhub.batch.scheduler import AssignmentRound, Scheduler
 from eiderhub.batch.workers import Worker
-from tests.model.items import Broken, StorageGroup, World
-from tests.model.seeds import Patch, broken_by, first_seed_that_breaks
+from tests.model.items import InvariantViolation, StorageGroup, World
+from tests.model.seeds import Patch, find_first_failing_seed, find_violations
 
 SCHEDULES = int(os.environ.get("OTTERCLEAT_ITEM_SCHEDULES", "1000"))
 FIRST_SEED = int(os.environ.get("OTTERCLEAT_FIRST_ITEM_SEED", "0"))
@@ -31,13 +31,13 @@
 
 
 def test_no_schedule_loses_an_item() -> None:
-    failures = broken_by(play, FIRST_SEED, SCHEDULES, SEEDS_PER_BLOCK)
+    failures = find_violations(play, FIRST_SEED, SCHEDULES, SEEDS_PER_BLOCK)
     assert not failures, "\n".join(failures[:5])
 
 
 def test_no_schedule_leaves_an_item_idle_while_sidecars_make_no_progress() -> None:
     """An item that some sidecar can run is run within the bound, whichever sidecars make no progress."""
-    failures = broken_by(partial(play, stuck_sidecars=True), FIRST_SEED, SCHEDULES, SEEDS_PER_BLOCK)
+    failures = find_violations(partial(play, stuck_sidecars=True), FIRST_SEED, SCHEDULES, SEEDS_PER_BLOCK)
     assert not failures, "\n".join(failures[:5])
 
 
@@ -176,7 +176,7 @@
 def first_failing_seed(fault: Fault) -> int | None:
     """The first seed whose schedule detects the fault."""
     play_fault = partial(play, stuck_sidecars=fault.stuck_sidecars)
-    return first_seed_that_breaks(play_fault, fault.patches, MAX_FAULT_SEEDS, (Broken, KeyError))
+    return find_first_failing_seed(play_fault, fault.patches, MAX_FAULT_SEEDS, (InvariantViolation, KeyError))
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
--- a/tests/test_placement_model.py
+++ b/tests/test_placement_model.py
@@ -27,7 +27,7 @@
     draw_plan,
 )
 from tests.model.placement_sidecar import QUEUE_TIMEOUT_S
-from tests.model.seeds import Patch, broken_by, first_seed_that_breaks
+from tests.model.seeds import Patch, find_first_failing_seed, find_violations
 
 PLAN_COUNT = int(os.environ.get("OTTERCLEAT_PLACEMENT_SCHEDULES", "400"))
 FIRST_SEED = int(os.environ.get("OTTERCLEAT_FIRST_PLACEMENT_SEED", "0"))
@@ -40,7 +40,7 @@
 
 
 def test_no_random_plan_leaves_a_job_without_an_endpoint() -> None:
-    failures = broken_by(play, FIRST_SEED, PLAN_COUNT, SEEDS_PER_BLOCK)
+    failures = find_violations(play, FIRST_SEED, PLAN_COUNT, SEEDS_PER_BLOCK)
     assert not failures, f"{len(failures)} of {PLAN_COUNT}:\n" + "\n".join(failures[:5])
 
 
@@ -243,7 +243,7 @@
 
 def first_failing_seed(fault: Fault) -> int | None:
     """The first seed whose plan detects the fault."""
-    return first_seed_that_breaks(play, fault.patches, MAX_FAULT_SEEDS)
+    return find_first_failing_seed(play, fault.patches, MAX_FAULT_SEEDS)
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
--- a/tests/test_repair.py
+++ b/tests/test_repair.py
@@ -66,7 +66,7 @@
         assert leader is not None
         leader.remove()
         world.run_until(partial(has_leader, world), LEADS_WITHIN_S, "another leader")
-        world.introduce()
+        world.update_machine_lists()
         serve(world)
 
 
--- a/tests/test_upgrades_model.py
+++ b/tests/test_upgrades_model.py
@@ -12,7 +12,7 @@
 from tests.model import upgrades
 from tests.model.history import InvariantViolation
 from tests.model.schedules import play
-from tests.model.seeds import Patch, broken_by, patched
+from tests.model.seeds import Patch, find_violations, patched
 from tests.model.world import CONTROL, CONTROL_OF_THREE, STORAGE, World
 from tests.test_model import set_small_sizes
 
@@ -34,7 +34,7 @@
     """Play one random schedule of upgrades.
 
     Raises:
-        items.Broken: the error type that tests/model/seeds.py collects.
+        items.InvariantViolation: the error type that tests/model/seeds.py collects.
     """
     from tests.model import items
 
@@ -42,7 +42,7 @@
     try:
         play(seed, upgrades.random_upgrades)
     except InvariantViolation as error:
-        raise items.Broken(str(error)) from error
+        raise items.InvariantViolation(str(error)) from error
 
 
 @pytest.mark.parametrize("schedule", NAMED)
@@ -52,7 +52,7 @@
 
 
 def test_no_drawn_upgrade_violates_an_invariant() -> None:
-    assert broken_by(play_drawn, 0, DRAWN_SCHEDULES, 25) == []
+    assert find_violations(play_drawn, 0, DRAWN_SCHEDULES, 25) == []
 
 
 def _raise_at_once(current: int, own: RecordFormats, members_read: object) -> int | None:
