--- a/eiderhub/cli/bench.py
+++ b/eiderhub/cli/bench.py
@@ -63,7 +63,7 @@
     processes: int,
     json_file: str | None,
 ) -> int:
-    """Measure the list service: changes to many watchers, synced writes, a burst of callers, a restart."""
+    """Measure the list service: changes to many watchers, synced writes, a reconnect storm, a restart."""
     from eiderhub.scale.registry_bench import Bench
 
     console_output.check_writable(json_file)
@@ -122,7 +122,7 @@
 ) -> int:
     """Measure the list service with many sidecars, hollow and real: idle, under changes, and during a fault.
 
-    A hollow sidecar runs the real client code (watch, believed list, registration, decisions) over real
+    A hollow sidecar runs the real client code (watch, adopted list, registration, decisions) over real
     connections; only the data path is left out. A run is refused if it does not fit into half of the
     machine's memory, its file descriptors and its ports.
     """
--- a/eiderhub/cli/costs.py
+++ b/eiderhub/cli/costs.py
@@ -205,19 +205,19 @@
 def decisions(sizes: list[int], repeats: int, callers: int | None, seed: int, json_file: str | None) -> int:
     """Measure the cost of decisions and the memory of a sidecar, by the length of the list.
 
-    Exit status 1 if a call found no room: the figures then do not measure normal decisions.
+    Exit status 1 if a call was refused: the figures then do not measure normal decisions.
     """
-    from eiderhub.scale import decisions_bench as decision_costs
+    from eiderhub.scale import decisions_bench
     from eiderhub.scale.data_path_bench import PathError
 
     console_output.check_writable(json_file)
     with console_output.progress("decisions") as report_progress:
-        samples = decision_costs.run(
+        samples = decisions_bench.run(
             sizes, repeats, callers, seed, lambda fraction, text: report_progress(fraction / 2, text)
         )
         try:
             memory_samples = runner.run_cancellable(
-                lambda: decision_costs.measure_memory(
+                lambda: decisions_bench.measure_memory(
                     sizes, seed, lambda fraction, text: report_progress(0.5 + fraction / 2, text)
                 )
             )
@@ -225,12 +225,12 @@
             raise click.ClickException(str(error)) from None
     settings: dict[str, float | int | str] = {
         "callers": callers or "as many as endpoints",
-        "zones": len(decision_costs.ZONES),
+        "zones": len(decisions_bench.ZONES),
         "seed": seed,
         "repeats": repeats,
-        "calls_per_s": decision_costs.INSTANTS_PER_S * decision_costs.CALLS_PER_INSTANT,
+        "calls_per_s": decisions_bench.INSTANTS_PER_S * decisions_bench.CALLS_PER_INSTANT,
     }
-    result = decision_costs.DecisionsResult(
+    result = decisions_bench.DecisionsResult(
         revision=revision(own_checkout()),
         machine=machine_description(),
         measured=time.strftime("%Y-%m-%d"),
@@ -255,7 +255,9 @@
     console.print(table, highlight=False)
     refused = sum(each.refused for each in samples)
     if refused:
-        console.print(f"{refused} calls found no room: THE FIGURES ARE OF SOMETHING ELSE", highlight=False)
+        console.print(
+            f"{refused} calls were refused: the figures do not measure normal decisions", highlight=False
+        )
     return 1 if refused else 0
 
 
@@ -301,7 +303,7 @@
         if outcome is not None:
             outcome_runs = slope_fit.read([outcome]).scale
             if not outcome_runs:
-                raise click.UsageError(f"--outcome {outcome}: no result of `ottercleat bench scale`")
+                raise click.UsageError(f"--outcome {outcome}: not a result of `ottercleat bench scale`")
             run = next(iter(outcome_runs.values()))
             if predict not in (None, run.watchers):
                 reason = f"a run of {run.watchers} watchers, not {predict}"
--- a/eiderhub/scale/data_path_bench.py
+++ b/eiderhub/scale/data_path_bench.py
@@ -185,8 +185,8 @@
         self._callers = callers
         self._leg = leg
         self._due_ns = due_ns
-        name = f"{callers.run_id:08x}{number:08x}"
-        data = render_request(name, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
+        request_id = f"{callers.run_id:08x}{number:08x}"
+        data = render_request(request_id, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b"")
         super().__init__(callers.clock, leg.next_pool(), data, callers.clock.now_us() + DEADLINE_MS * 1000)
 
     def classify_reply(self, reply: Reply) -> End:
@@ -543,9 +543,9 @@
             async with asyncio.timeout(READY_TIMEOUT_S):
                 for number in range(1_000_000):
                     self._check_process(process)
-                    name = f"{number:016x}"
+                    request_id = f"{number:016x}"
                     request = render_request(
-                        name, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b""
+                        request_id, REQUEST_CLASS, Effect.IDEMPOTENT, DEADLINE_MS, None, None, b""
                     )
                     with contextlib.suppress(NoReplyError):
                         if (await fetch(pool, request, 1.0)).status == 200:
--- a/eiderhub/scale/faults.py
+++ b/eiderhub/scale/faults.py
@@ -87,8 +87,8 @@
     """Replaces the largest service's hollow sidecars by sidecars with new ids, in RELEASE_STEPS steps."""
     plan, topology = fault_run.plan, fault_run.topology
     service = max(plan.sizes, key=lambda name: plan.sizes[name])
-    fault_run.affected = [seat for seat in plan.hollow if seat.service == service]
-    others = [seat for seat in plan.hollow if seat.service != service]
+    fault_run.affected = [spec for spec in plan.hollow if spec.service == service]
+    others = [spec for spec in plan.hollow if spec.service != service]
     writer = fault_run.add_writer(Writer(topology.main.address, others, fault_run.seed))
     writing = asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
     start_s = time.monotonic()
@@ -97,8 +97,8 @@
             await asyncio.sleep(
                 max(0.0, start_s + step * fault_run.seconds / RELEASE_STEPS - time.monotonic())
             )
-            step_seats = fault_run.affected[step::RELEASE_STEPS]
-            pairs = [(seat.id, structs.replace(seat, id=f"{seat.id}.new")) for seat in step_seats]
+            step_specs = fault_run.affected[step::RELEASE_STEPS]
+            pairs = [(spec.id, structs.replace(spec, id=f"{spec.id}.new")) for spec in step_specs]
             await topology.call_each("/replace", ReplaceRequest(pairs), Empty)
         fault_run.ended_s = time.monotonic()
         await writing
@@ -109,11 +109,11 @@
 async def zone_lost(fault_run: FaultRun) -> None:
     """Stops all hollow sidecars of one zone at once and starts them again once their leases have expired."""
     plan, topology = fault_run.plan, fault_run.topology
-    zones = [seat.zone for seat in plan.hollow]
+    zones = [spec.zone for spec in plan.hollow]
     zone = max(sorted(set(zones)), key=zones.count)
-    fault_run.affected = [seat for seat in plan.hollow if seat.zone == zone]
-    others = [seat for seat in plan.hollow if seat.zone != zone]
-    ids = SidecarIds([seat.id for seat in fault_run.affected])
+    fault_run.affected = [spec for spec in plan.hollow if spec.zone == zone]
+    others = [spec for spec in plan.hollow if spec.zone != zone]
+    ids = SidecarIds([spec.id for spec in fault_run.affected])
     writer = fault_run.add_writer(Writer(topology.main.address, others, fault_run.seed))
     writing = asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
     start_s = time.monotonic()
@@ -139,19 +139,19 @@
     """Cuts one region off from the others for a time; records on both sides are drained during the cut."""
     plan, topology = fault_run.plan, fault_run.topology
     region = cut_region(plan)
-    fault_run.affected = [seat for seat in plan.seats if seat.region == region]
-    inside = [seat for seat in plan.hollow if seat.region == region]
-    outside = [seat for seat in plan.hollow if seat.region != region]
-    inside_writer = fault_run.add_writer(Writer(topology.wires["out main"].address, inside, fault_run.seed))
+    fault_run.affected = [spec for spec in plan.seats if spec.region == region]
+    inside = [spec for spec in plan.hollow if spec.region == region]
+    outside = [spec for spec in plan.hollow if spec.region != region]
+    inside_writer = fault_run.add_writer(Writer(topology.proxies["out main"].address, inside, fault_run.seed))
     outside_writer = fault_run.add_writer(Writer(topology.main.address, outside, fault_run.seed + 1))
-    await topology.set_region_wires(region, ProxyMode.CUT)
+    await topology.set_region_proxies(region, ProxyMode.CUT)
     writing = [
         asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
         for writer in (inside_writer, outside_writer)
     ]
     try:
         await asyncio.sleep(fault_run.seconds)
-        await topology.set_region_wires(region, ProxyMode.OPEN)
+        await topology.set_region_proxies(region, ProxyMode.OPEN)
         fault_run.ended_s = time.monotonic()
         await asyncio.gather(*writing)
     finally:
@@ -164,9 +164,9 @@
 async def follower_killed(fault_run: FaultRun) -> None:
     """Kills the follower with the most sidecars, and starts it again at the end of the fault."""
     plan, topology = fault_run.plan, fault_run.topology
-    home_regions = [plan.followers_of(seat.region)[0] for seat in plan.seats]
+    home_regions = [plan.followers_of(spec.region)[0] for spec in plan.seats]
     region = max(sorted(set(home_regions)), key=home_regions.count)
-    fault_run.affected = [seat for seat, home in zip(plan.seats, home_regions, strict=True) if home == region]
+    fault_run.affected = [spec for spec, home in zip(plan.seats, home_regions, strict=True) if home == region]
     follower = topology.followers[region]
     writer = fault_run.add_writer(Writer(topology.main.address, plan.hollow, fault_run.seed))
     writing = asyncio.create_task(writer.write(DRAINS_PER_S, fault_run.seconds))
--- a/eiderhub/scale/measurements.py
+++ b/eiderhub/scale/measurements.py
@@ -53,7 +53,7 @@
     Raises:
         NoReplyError: a process does not answer.
         RequestRefusedError: a process refuses the request.
-        Ended: a process has ended.
+        ProcessEndedError: a process has ended.
     """
     topology.check_processes()
     statuses, snapshots = await asyncio.gather(
@@ -69,8 +69,8 @@
     own_process_traffic = read_own_traffic()
     main_traffic = own_process_traffic.get(str(topology.main.address), TrafficCounts())
     real_traffic = [real.read_traffic() for real in topology.real_sidecars]
-    wired_roles = {address: role for address, role in all_roles.items() if address not in direct_roles}
-    relayed_traffic = [*real_traffic, sum_by_role(hollow_traffic, wired_roles)]
+    proxied_roles = {address: role for address, role in all_roles.items() if address not in direct_roles}
+    relayed_traffic = [*real_traffic, sum_by_role(hollow_traffic, proxied_roles)]
     feed_traffic = TrafficCounts({"feed": main_traffic.calls.get("feed", 0)}, *topology.feed_bytes())
     return Measurement(
         at_s=time.monotonic(),
--- a/eiderhub/scale/plan.py
+++ b/eiderhub/scale/plan.py
@@ -15,8 +15,8 @@
 SIDECARS_PER_FOLLOWER = 30  # mean number at least; fewer followers where there are fewer sidecars
 MAX_MEMORY_SHARE = 0.5  # of the machine's memory
 BASE_DESCRIPTORS = 200  # of a process, in addition to those that grow with the number of sidecars
-DESCRIPTORS_PER_RELAYED_CONNECTION = 2  # in the run's own process, for one connection over a wire
-# Connections over its wires, and those of the callers to the sidecar and to its endpoint.
+DESCRIPTORS_PER_RELAYED_CONNECTION = 2  # in the run's own process, for one connection through a proxy
+# Connections through its proxies, and those of the callers to the sidecar and to its endpoint.
 CONNECTIONS_PER_REAL_SIDECAR = 8
 RESERVED_PORTS = 2000  # of the system's ephemeral ports, left to other programs
 CHANGES_PER_S = 10.0
@@ -130,7 +130,7 @@
     """Assign all sidecars to services, zones and lists, at random from the seed.
 
     Raises:
-        TooLarge: no run of the requested size is possible.
+        RunTooLargeError: no run of the requested size is possible.
     """
     sidecars = request.hollow + request.real
     min_hollow = len(fleet.sizes)
@@ -166,11 +166,11 @@
     real_indexes = set(by_list_size[:real])
     callers_by_service = dict(zip(names, caller_counts, strict=True))
     ranks: dict[str, int] = {}
-    seats = []
+    specs = []
     for index, (service, follows) in enumerate(zip(own_services, followed_services, strict=True)):
         rank = ranks[follows] = ranks.get(follows, -1) + 1
         zone = zones[index % len(zones)]
-        seats.append(
+        specs.append(
             SidecarSpec(
                 f"e{index}",
                 service,
@@ -183,9 +183,9 @@
             )
         )
     if real:
-        assert sum(spec.real for spec in seats) == real
+        assert sum(spec.real for spec in specs) == real
     return Plan(
-        seats=seats,
+        seats=specs,
         sizes=dict(zip(names, sizes, strict=True)),
         regions=fleet.regions,
         followers=list(fleet.regions)[: request.followers],
@@ -218,7 +218,7 @@
 def find_excess(plan: Plan, capacity: MachineCapacity, cut: bool) -> str:
     """Return why the run does not fit the machine, or an empty text.
 
-    `cut`: one region's connections go over wires of the run's own process.
+    `cut`: one region's connections go through proxies of the run's own process.
     """
     sidecars, hollow, real = len(plan.seats), len(plan.hollow), len(plan.real)
     processes = 3 + len(plan.followers) + plan.processes + real
@@ -257,7 +257,7 @@
     """Make a plan that fits the machine.
 
     Raises:
-        TooLarge: the run does not fit; the message names the largest size that would.
+        RunTooLargeError: the run does not fit; the message names the largest size that would.
     """
     min_hollow = len(fleet.sizes)
     max_hollow = max(min_hollow, capacity.descriptors)  # the main service has a connection with each sidecar
--- a/eiderhub/scale/record_writer.py
+++ b/eiderhub/scale/record_writer.py
@@ -1,4 +1,4 @@
-"""Changes records at a constant rate and measures the time until each change is in effect at the sidecars."""
+"""Changes records at a constant rate and measures the time until each change is in force at the sidecars."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 class Writer:
     """An operator who alternately drains a record and undoes it; each call is sent at its due time."""
 
-    def __init__(self, address: Address, seats: Sequence[SidecarSpec], seed: int) -> None:
+    def __init__(self, address: Address, specs: Sequence[SidecarSpec], seed: int) -> None:
         self._clients = [RegistryClient(address) for _ in range(CONNECTIONS)]
-        self._seats = seats
+        self._specs = specs
         self._rng = random.Random(seed)
         self._pending: set[asyncio.Task[None]] = set()
         self.results = WriteResults()
@@ -44,14 +44,14 @@
     async def write(self, rate: float, seconds: float) -> None:
         """Sends an even number of changes; returns after `seconds`, once the last one has ended."""
         start_s = time.monotonic()
-        seat = self._seats[0]
+        spec = self._specs[0]
         for number in range(2 * max(1, int(rate * seconds / 2))):
             due_s = start_s + number / rate
             await asyncio.sleep(max(0.0, due_s - time.monotonic()))
             if not number % 2:
-                seat = self._rng.choice(self._seats)
+                spec = self._rng.choice(self._specs)
             task = asyncio.create_task(
-                self._send_change(self._clients[number % CONNECTIONS], seat, bool(number % 2))
+                self._send_change(self._clients[number % CONNECTIONS], spec, bool(number % 2))
             )
             self._pending.add(task)
             task.add_done_callback(self._pending.discard)
@@ -59,15 +59,15 @@
             await asyncio.gather(*self._pending)
         await asyncio.sleep(max(0.0, start_s + seconds - time.monotonic()))
 
-    async def _send_change(self, client: RegistryClient, seat: SidecarSpec, undo: bool) -> None:
+    async def _send_change(self, client: RegistryClient, spec: SidecarSpec, undo: bool) -> None:
         self.results.attempted += 1
-        request = api.RecordRequest(service=seat.service, id=seat.id, undo=undo)
+        request = api.RecordRequest(service=spec.service, id=spec.id, undo=undo)
         try:
             response = await client.post(api.DRAIN_PATH, request, api.WriteResponse, WRITE_TIMEOUT_S)
         except (NoReplyError, RequestRefusedError):
             self.results.failed += 1
             return
-        self.results.acknowledged.append(Change(seat.service, response.version, time.monotonic()))
+        self.results.acknowledged.append(Change(spec.service, response.version, time.monotonic()))
 
     def close(self) -> None:
         """Cancels pending changes and closes the connections."""
@@ -80,8 +80,8 @@
 async def propagation_delays(topology: Topology, changes: list[Change]) -> tuple[list[float], int]:
     """Collects the propagation delays of changes.
 
-    Returns the milliseconds from each change's acknowledgement until it is in effect at each sidecar that
-    follows its service, and the number of sidecars' changes that are not in effect.
+    Returns the milliseconds from each change's acknowledgement until it is in force at each sidecar that
+    follows its service, and the number of sidecars' changes that are not in force.
     """
     responses: list[DelaysResponse] = await topology.call_each(
         "/settle", DelaysRequest(changes), DelaysResponse
--- a/eiderhub/scale/result.py
+++ b/eiderhub/scale/result.py
@@ -10,13 +10,8 @@
 
 Count = Annotated[int, Meta(ge=0)]
 Amount = Annotated[float, Meta(ge=0)]
-HOLLOW, REAL, MAIN, FOLLOWER, RUN = (
-    "hollow",
-    "real",
-    "main",
-    "follower",
-    "run",
-)  # of followers: FOLLOWER-REGION
+# Names of roles; that of a follower is FOLLOWER-REGION.
+HOLLOW, REAL, MAIN, FOLLOWER, RUN = ("hollow", "real", "main", "follower", "run")
 
 
 class Role(Struct, frozen=True, kw_only=True):
--- a/eiderhub/scale/run.py
+++ b/eiderhub/scale/run.py
@@ -22,7 +22,7 @@
 from eiderhub.scale.result import Added, Fault, Phase, Result, Settings
 from eiderhub.scale.services import max_descriptors
 from eiderhub.scale.topology import Topology
-from eiderhub.scale.traffic import machine_description
+from eiderhub.scale.traffic import detect_machine
 
 FILL = "fill"
 SETTLE_S = 1.0  # wait after the last change of a phase, until its answers have arrived
@@ -36,7 +36,7 @@
 def machine_capacity() -> MachineCapacity:
     """Determine the capacity of this machine."""
     low, high = Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()
-    return MachineCapacity(machine_description().memory_mb, max_descriptors(), int(high) - int(low) + 1)
+    return MachineCapacity(detect_machine().memory_mb, max_descriptors(), int(high) - int(low) + 1)
 
 
 class Run:
@@ -72,7 +72,7 @@
         `fleet`: name of the fleet file; `revision`: revision of the program. Both go into the result.
 
         Raises:
-            Ended: a process has ended.
+            ProcessEndedError: a process has ended.
             NoReplyError: a process does not answer.
             RequestRefusedError: a process refuses a request.
             TimeoutError: the fill, or the start of a process, took too long.
@@ -164,21 +164,21 @@
     async def _run_fault(self) -> bool:
         """Run the fault and the recovery from it. Returns whether all lists agree at the end."""
         before = await measure_run(self.topology)
-        course = FaultRun(self.topology, self.plan, self._fault_s, self.seed)
-        watching = asyncio.create_task(course.poll_records())
+        fault_run = FaultRun(self.topology, self.plan, self._fault_s, self.seed)
+        watching = asyncio.create_task(fault_run.poll_records())
         try:
-            await FAULTS[self._fault_name](course)
+            await FAULTS[self._fault_name](fault_run)
             record_count = len(self.plan.seats)
-            records_complete = await course.wait_for_records(record_count, RECOVERY_TIMEOUT_S)
+            records_complete = await fault_run.wait_for_records(record_count, RECOVERY_TIMEOUT_S)
             agreed, last_s = await self.wait_until_agreed(RECOVERY_TIMEOUT_S)
             # A record may be dropped again while the lists are compared.
-            agreed = agreed and records_complete and await course.wait_for_records(record_count, 0.0)
+            agreed = agreed and records_complete and await fault_run.wait_for_records(record_count, 0.0)
         finally:
             watching.cancel()
-            course.close()
+            fault_run.close()
         after = await measure_run(self.topology)
         self.phases.append(build_phase(self._fault_name, before, after))
-        self._fault = fault_result(self._fault_name, course, before, after, agreed, last_s)
+        self._fault = fault_result(self._fault_name, fault_run, before, after, agreed, last_s)
         return agreed
 
     async def wait_until_agreed(self, wait_s: float) -> tuple[bool, float]:
@@ -221,7 +221,7 @@
             doubts.append("at the end not all sidecars had the same lists")
         return Result(
             revision=revision,
-            machine=machine_description(),
+            machine=detect_machine(),
             settings=Settings(
                 fleet=fleet,
                 hollow=len(plan.hollow),
--- a/eiderhub/scale/services.py
+++ b/eiderhub/scale/services.py
@@ -63,7 +63,7 @@
         `store`: store folder of a main service, instead of its own.
 
         Raises:
-            Ended: the process has ended.
+            ProcessEndedError: the process has ended.
             TimeoutError: the process did not answer within `READY_TIMEOUT_S`.
         """
         document = dict(self._settings)
--- a/eiderhub/scale/slope_fit.py
+++ b/eiderhub/scale/slope_fit.py
@@ -491,7 +491,7 @@
         return slopes
 
     def propagation_line(self, percentile: str) -> FittedLine:
-        """Fits the milliseconds from a change's acknowledgement until it is in effect, by number of watchers.
+        """Fits the milliseconds from a change's acknowledgement until it is in force, by number of watchers.
 
         Raises:
             FitError: no run has a phase `changes`.
--- a/eiderhub/scale/tier_run.py
+++ b/eiderhub/scale/tier_run.py
@@ -200,9 +200,9 @@
 
     def _wait_for_reports(self, report_type: type[Report], accept: Any) -> dict[int, Any]:
         """Wait until every hollow process has sent an accepted report. Returns them by process number."""
-        found: dict[int, Any] = {}
+        accepted: dict[int, Any] = {}
         deadline_s = time.monotonic() + TIMEOUT_S
-        while len(found) < self.group_count:
+        while len(accepted) < self.group_count:
             try:
                 number, report = self.reports.get(timeout=max(0.01, deadline_s - time.monotonic()))
             except queue.Empty:
@@ -212,8 +212,8 @@
             if isinstance(report, Used):
                 self.group_usage[number] = report
             elif isinstance(report, report_type) and accept(report):
-                found[number] = report
-        return found
+                accepted[number] = report
+        return accepted
 
     def put_configuration(self, generation: int) -> float:
         """Put a configuration. Returns the time of its acknowledgement."""
@@ -278,11 +278,11 @@
         def change() -> None:
             for generation in range(2, CHANGE_COUNT + 2):
                 acknowledged = self.put_configuration(generation)
-                found = self._wait_for_reports(
+                reports = self._wait_for_reports(
                     InForce, lambda report, wanted=generation: report.generation >= wanted
                 )
                 delays_s.extend(
-                    max(0.0, time_s - acknowledged) for report in found.values() for time_s in report.times
+                    max(0.0, time_s - acknowledged) for report in reports.values() for time_s in report.times
                 )
                 time.sleep(CHANGE_INTERVAL_S)
 
--- a/eiderhub/scale/topology.py
+++ b/eiderhub/scale/topology.py
@@ -1,4 +1,4 @@
-"""Starts, calls, measures and ends the processes of a scale run and the wires between them."""
+"""Starts, calls, measures and ends the processes of a scale run and the proxies between them."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
         Raises:
             NoReplyError: the process does not answer.
             RequestRefusedError: the process refuses the request.
-            Ended: the process has ended.
+            ProcessEndedError: the process has ended.
         """
         response = asyncio.ensure_future(self.client.post(path, request, response_type, wait_s))
         process_end = asyncio.ensure_future(self.process.exited.wait())
@@ -104,14 +104,14 @@
 
 
 class RealSidecar:
-    """One real sidecar. Its traffic with the list service goes over wires, where it is counted."""
+    """One real sidecar. Its traffic with the list service goes through proxies, where it is counted."""
 
     def __init__(self, spec: SidecarSpec, endpoint: Address) -> None:
         self.spec = spec
         self.endpoint = endpoint
-        self.tallies: dict[str, TrafficCounter] = {}  # by the target's name
+        self.counters: dict[str, TrafficCounter] = {}  # by the target's name
         self.adoptions: list[tuple[float, int]] = []  # time, version that the next watch names
-        self.wires: dict[str, FaultProxy] = {}  # by the target's name
+        self.proxies: dict[str, FaultProxy] = {}  # by the target's name
         self.reserved_sockets = [reserve_port(HOST), reserve_port(HOST)]
         self.listen, self.management = (
             Address(*reserved_socket.getsockname()) for reserved_socket in self.reserved_sockets
@@ -119,27 +119,27 @@
         self.process: Process | None = None
         self._answer_tails: dict[tuple[object, str], bytes] = {}
 
-    async def open_wire(self, name: str, target: Address) -> None:
-        """Open the wire to a service; `name` is `main` or the follower's region."""
-        tally = self.tallies[name] = TrafficCounter()
+    async def open_proxy(self, name: str, target: Address) -> None:
+        """Open the proxy to a service; `name` is `main` or the follower's region."""
+        counter = self.counters[name] = TrafficCounter()
 
-        def watch(link: object, outgoing: bool, data: bytes) -> None:
+        def watch(connection: object, outgoing: bool, data: bytes) -> None:
             if outgoing:
-                tally.count_sent(data)
+                counter.count_sent(data)
                 if match := AFTER_PATTERN.match(data):
                     self.adoptions.append((time.monotonic(), int(match[1])))
             else:
-                key = (link, name)
-                self._answer_tails[key] = tally.count_received(data, self._answer_tails.get(key, b""))
+                key = (connection, name)
+                self._answer_tails[key] = counter.count_received(data, self._answer_tails.get(key, b""))
 
-        self.wires[name] = FaultProxy(HOST, lambda: target, watch)
-        await self.wires[name].open()
+        self.proxies[name] = FaultProxy(HOST, lambda: target, watch)
+        await self.proxies[name].open()
 
     def read_traffic(self) -> dict[str, TrafficCounts]:
         """Return the sidecar's traffic by the role of the service, and reset the buckets."""
         traffic_by_target = {
-            name: msgspec.structs.replace(tally.take_counts(), open=len(self.wires[name].connections))
-            for name, tally in self.tallies.items()
+            name: msgspec.structs.replace(counter.take_counts(), open=len(self.proxies[name].connections))
+            for name, counter in self.counters.items()
         }
         return {
             name if name == "main" else f"follower-{name}": traffic
@@ -147,9 +147,9 @@
         }
 
     def close(self) -> None:
-        """Close the wires and release the sidecar's addresses."""
-        for wire in self.wires.values():
-            wire.close()
+        """Close the proxies and release the sidecar's addresses."""
+        for proxy in self.proxies.values():
+            proxy.close()
         for reserved_socket in self.reserved_sockets:
             reserved_socket.close()
 
@@ -165,7 +165,7 @@
         self.hollow_processes: list[HollowProcess] = []
         self.real_sidecars: list[RealSidecar] = []
         # `feed REGION`; also `in` and `out NAME` for a region that may be cut off.
-        self.wires: dict[str, FaultProxy] = {}
+        self.proxies: dict[str, FaultProxy] = {}
         self._processes: list[Process] = []
         self._feed_bytes_out = self._feed_bytes_in = 0
 
@@ -187,8 +187,8 @@
             await process.exited.wait()
         service_processes = [service.process for service in self.services if service.process is not None]
         await end_processes([*service_processes, *self._processes])
-        for wire in self.wires.values():
-            wire.close()
+        for proxy in self.proxies.values():
+            proxy.close()
         for hollow in self.hollow_processes:
             hollow.close()
         for real in self.real_sidecars:
@@ -208,12 +208,12 @@
     async def start(self, cut: str = "") -> None:
         """Start all processes but the real sidecars; none of the sidecars registers yet.
 
-        `cut`: region that is connected through wires, so that it can be cut off.
+        `cut`: region that is connected through proxies, so that it can be cut off.
         """
         await self._start_services()
         await self._start_endpoints()
         if cut:
-            await self._open_region_wires(cut)
+            await self._open_region_proxies(cut)
         await self._start_hollow(cut)
         for number, spec in enumerate(self.plan.real):
             self.real_sidecars.append(RealSidecar(spec, self.endpoints[1 + number]))
@@ -229,11 +229,11 @@
         self.main = ListService("main", self.folder, {"limits": limits})
         await self.main.start()
         for region in self.plan.followers:
-            wire = self.wires[f"feed {region}"] = FaultProxy(
+            proxy = self.proxies[f"feed {region}"] = FaultProxy(
                 HOST, lambda: self.main.address, self._count_feed_bytes
             )
-            await wire.open()
-            settings = {"follow": [str(wire.address)], "limits": limits}
+            await proxy.open()
+            settings = {"follow": [str(proxy.address)], "limits": limits}
             self.followers[region] = ListService(f"follower-{region}", self.folder, settings)
         await asyncio.gather(*(follower.start() for follower in self.followers.values()))
 
@@ -261,17 +261,17 @@
                 await asyncio.sleep(0.02)
         self.endpoints = msgspec.json.decode(path.read_bytes(), type=ListenAddresses).sets[0]
 
-    async def _open_region_wires(self, region: str) -> None:
-        """Open wires from the region's sidecars to services outside, and from outside to its follower."""
+    async def _open_region_proxies(self, region: str) -> None:
+        """Open proxies from the region's sidecars to services outside, and from outside to its follower."""
         targets = {"main": self.main, **self.followers}
         for name, service in targets.items():
             if name == "main" or name != self._home_follower(region):
-                await self._open_wire(f"out {name}", service)
-        await self._open_wire("in", self.followers[self._home_follower(region)])
+                await self._open_proxy(f"out {name}", service)
+        await self._open_proxy("in", self.followers[self._home_follower(region)])
 
-    async def _open_wire(self, name: str, service: ListService) -> None:
-        wire = self.wires[name] = FaultProxy(HOST, lambda: service.address)
-        await wire.open()
+    async def _open_proxy(self, name: str, service: ListService) -> None:
+        proxy = self.proxies[name] = FaultProxy(HOST, lambda: service.address)
+        await proxy.open()
 
     def _home_follower(self, region: str) -> str:
         return self.plan.followers_of(region)[0]
@@ -282,9 +282,9 @@
         def address_of(name: str) -> str:
             service = self.main if name == "main" else self.followers[name]
             if cut and region == cut and name != self._home_follower(cut):
-                return str(self.wires[f"out {name}"].address)
+                return str(self.proxies[f"out {name}"].address)
             if cut and region != cut and name == self._home_follower(cut):
-                return str(self.wires["in"].address)
+                return str(self.proxies["in"].address)
             return str(service.address)
 
         return [address_of("main")], [address_of(name) for name in self.plan.followers_of(region)]
@@ -326,10 +326,10 @@
     async def start_real(self, real: RealSidecar) -> None:
         """Write the configuration of a real sidecar and start it."""
         spec = real.spec
-        await real.open_wire("main", self.main.address)
+        await real.open_proxy("main", self.main.address)
         followers = self.plan.followers_of(spec.region)
         for name in followers:
-            await real.open_wire(name, self.followers[name].address)
+            await real.open_proxy(name, self.followers[name].address)
         document = {
             "name": spec.id,
             "listen": str(real.listen),
@@ -343,7 +343,7 @@
             },
         }
         follow = FollowSettings(
-            addresses=[str(real.wires[name].address) for name in followers],
+            addresses=[str(real.proxies[name].address) for name in followers],
             service=spec.follows,
             wait_s=self.plan.wait_s,
             calls_per_s=self.plan.calls_per_s,
@@ -351,7 +351,7 @@
         register = RegisterSettings(
             id=spec.id,
             address=str(real.endpoint),
-            addresses=[str(real.wires["main"].address)],
+            addresses=[str(real.proxies["main"].address)],
             service=spec.service,
             zone=spec.zone,
             region=spec.region,
@@ -401,13 +401,13 @@
         return {service.name: status for service, status in zip(services, statuses, strict=True)}
 
     def roles_by_address(self) -> tuple[dict[str, str], dict[str, str]]:
-        """Return the roles of the services by address: without wires, and including wires."""
+        """Return the roles of the services by address: without proxies, and including proxies."""
         direct = {str(service.address): service.name for service in self.services}
-        wired = {str(wire.address): direct[str(wire.target())] for wire in self.wires.values()}
-        return direct, direct | wired
+        proxied = {str(proxy.address): direct[str(proxy.target())] for proxy in self.proxies.values()}
+        return direct, direct | proxied
 
     def check_processes(self) -> None:
-        """Raise Ended if a process has ended that should be running."""
+        """Raise ProcessEndedError if a process has ended that should be running."""
         processes = [
             process
             for role_processes in self.processes_by_role().values()
@@ -417,24 +417,24 @@
             if process.exited.is_set() and not process.stop_requested:
                 raise ProcessEndedError(process)
 
-    async def set_region_wires(self, region: str, state: ProxyMode) -> None:
-        """Set the state of all wires between the region and the others."""
-        feed_wires = [f"feed {name}" for name in [self._home_follower(region)]]
-        for name, wire in self.wires.items():
-            if name in feed_wires or not name.startswith("feed "):
-                await wire.set_mode(state)
+    async def set_region_proxies(self, region: str, mode: ProxyMode) -> None:
+        """Set the mode of all proxies between the region and the others."""
+        feed_proxies = [f"feed {name}" for name in [self._home_follower(region)]]
+        for name, proxy in self.proxies.items():
+            if name in feed_proxies or not name.startswith("feed "):
+                await proxy.set_mode(mode)
         for real in self.real_sidecars:
-            for name, wire in real.wires.items():
+            for name, proxy in real.proxies.items():
                 from_region, to_home_follower = (
                     real.spec.region == region,
                     name == self._home_follower(region),
                 )
                 if from_region != to_home_follower:
-                    await wire.set_mode(state)
+                    await proxy.set_mode(mode)
 
 
 def read_own_traffic() -> dict[str, TrafficCounts]:
-    """Return the traffic of this process by address: its own calls, and those relayed by its wires."""
+    """Return the traffic of this process by address: its own calls, and those relayed by its proxies."""
     return running_counting_loop().take_counts()
 
 
--- a/eiderhub/scale/traffic.py
+++ b/eiderhub/scale/traffic.py
@@ -219,8 +219,8 @@
         return 0.0, 0.0
 
 
-def machine_description() -> Machine:
-    """Describes this machine: usable cores, memory, versions of Python and of the system."""
+def detect_machine() -> Machine:
+    """Returns this machine's properties: usable cores, memory, versions of Python and of the system."""
     pages = os.sysconf("SC_PHYS_PAGES")
     return Machine(
         cores=len(os.sched_getaffinity(0)),
--- a/eiderhub/scale/watchers.py
+++ b/eiderhub/scale/watchers.py
@@ -23,7 +23,7 @@
 from eiderhub.registry.settings import FollowSettings
 
 WATCH_WAIT_MS = 20_000
-MAX_CONCURRENT_FIRST_CALLS = 25  # limited because the answer to a first call is the whole list
+MAX_CONCURRENT_FIRST_CALLS = 25  # limited because the answer to a first call is the full list
 RETRY_DELAY_S = 0.1  # after a first call that was not answered in time
 TIMER_PROBE_INTERVAL_S = 0.05  # interval at which the lateness of timers is sampled
 
--- a/tests/test_costs.py
+++ b/tests/test_costs.py
@@ -136,7 +136,9 @@
     rng = random.Random(seed)
     phases = []
     for name, seconds in (("calm", 20.0), ("changes", 30.0)):
-        in_force = {part: k * (50.0 + 0.1 * watchers) for k, part in enumerate(("p50", "p99", "last"), 1)}
+        in_force = {
+            percentile: k * (50.0 + 0.1 * watchers) for k, percentile in enumerate(("p50", "p99", "last"), 1)
+        }
         writes = 0 if name == "calm" else (changes or rng.randint(200, 400))
         renewals = int(watchers * seconds / 10) + rng.randint(0, 30)
         answers = int(watchers * seconds / 20) + writes * 15 + rng.randint(0, 50)
@@ -299,7 +301,7 @@
 
 def test_slopes_of_synthetic_runs_match_their_coefficients(tmp_path: Path) -> None:
     fitted = slope_fit.Fit(slope_fit.read(write_all_runs(tmp_path)))
-    found = fitted.slopes().slopes
+    fitted_slopes = fitted.slopes().slopes
     assert fitted.notes == []
     expected: dict[str, tuple[float, dict[str, float]]] = {
         "decisions.order": (20.0, {"endpoint": 0.001}),
@@ -329,16 +331,16 @@
         "spread.last": (150.0, {"watcher": 0.3}),
         "return.last": (1000.0, {"watcher": 2.0}),
     }
-    assert found.keys() == expected.keys() == SLOPE_DEFINITIONS.keys()
+    assert fitted_slopes.keys() == expected.keys() == SLOPE_DEFINITIONS.keys()
     for name, (fixed, per) in expected.items():
-        slope = found[name]
+        slope = fitted_slopes[name]
         assert slope.unit == SLOPE_DEFINITIONS[name][0], name
         assert slope.fixed == pytest.approx(fixed, rel=0.02), name
         assert slope.per == pytest.approx(per, rel=0.02), name
         assert slope.spread < 0.02, name
         assert slope.runs, name
         assert slope.sizes.keys() == slope.per.keys(), name
-    assert found["spread.p99"].sizes["watcher"] == (250, 1000)
+    assert fitted_slopes["spread.p99"].sizes["watcher"] == (250, 1000)
 
 
 def test_main_service_slopes_are_fitted_per_record(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -364,12 +366,12 @@
         plain = slope_fit.Fit(slope_fit.read(list(tmp_path.glob("*.json")))).role_line("main cpu")
     monkeypatch.setattr(slope_fit, "RECORD_COUNTS", record_counts)
     monkeypatch.setattr(slope_fit, "MAIN_COUNTS", ("second", "write", "renewal", "feed", *record_counts))
-    found = fitted._service_slopes()
-    assert found["main.idle"].per == pytest.approx({"record": record_second_us}, rel=0.02)
-    assert found["main.write"].per == pytest.approx({"record": record_write_us}, rel=0.02)
-    assert found["main.write"].fixed == pytest.approx(400.0, rel=0.02)
-    assert found["main.write"].sizes == {"record": (750, 6000)}
-    assert found["main.write"].spread < 0.01 < plain.spread  # without record drivers no line fits
+    fitted_slopes = fitted._service_slopes()
+    assert fitted_slopes["main.idle"].per == pytest.approx({"record": record_second_us}, rel=0.02)
+    assert fitted_slopes["main.write"].per == pytest.approx({"record": record_write_us}, rel=0.02)
+    assert fitted_slopes["main.write"].fixed == pytest.approx(400.0, rel=0.02)
+    assert fitted_slopes["main.write"].sizes == {"record": (750, 6000)}
+    assert fitted_slopes["main.write"].spread < 0.01 < plain.spread  # without record drivers no line fits
 
 
 def test_revision_is_read_from_the_checkout_root_only(tmp_path: Path) -> None:
@@ -541,8 +543,8 @@
         str(out),
     )
     assert done.returncode == 0, done.stderr
-    found = msgspec.json.decode(out.read_bytes(), type=data_path_bench.RelayResult)
-    (step,) = found.steps
+    relay_result = msgspec.json.decode(out.read_bytes(), type=data_path_bench.RelayResult)
+    (step,) = relay_result.steps
     due_ns, legs = data_path_bench.due_times(3, 30.0, 1.0, 1)
     for number, leg_name in enumerate(data_path_bench.LEGS):
         counted: data_path_bench.Leg = getattr(step, leg_name)
@@ -554,7 +556,7 @@
     assert len(due_ns) == sum(getattr(step, leg_name).sent for leg_name in data_path_bench.LEGS)
     assert step.sidecar_cpu_us_per_call > 0 and step.relay_cpu_us_per_call > 0
     assert step.over_direct is not None and step.over_relay is not None
-    assert found.memory_mb > 5 and found.idle_cpu_us_per_s > 0
+    assert relay_result.memory_mb > 5 and relay_result.idle_cpu_us_per_s > 0
 
 
 def test_endpoint_connections_are_counted_per_leg() -> None:
@@ -580,9 +582,8 @@
             await data_path_bench.stop_processes([relay, process])
         assert legs["direct"].served == legs["direct"].sent == counts.answered[0] > 0
         assert legs["relay"].served == legs["relay"].sent == counts.answered[1] > 0
-        assert counts.accepted == opened and all(
-            opened
-        )  # all connections are still open, and each was counted once
+        # All connections are still open, and each was counted once.
+        assert counts.accepted == opened and all(opened)
         assert counts_again.answered[0] == legs["direct"].sent + legs_again["direct"].sent
         assert process.exited.is_set() and relay.exited.is_set()
 
@@ -619,12 +620,12 @@
     folder = create_temporary_folder()
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            found = runner.run(check(folder))
+            figures = runner.run(check(folder))
     finally:
         shutil.rmtree(folder)
-    assert found.target.failed == found.target.sent > 0
-    assert found.target.times is None and found.added is None
-    assert found.direct.served == found.direct.sent > 0
+    assert figures.target.failed == figures.target.sent > 0
+    assert figures.target.times is None and figures.added is None
+    assert figures.direct.served == figures.direct.sent > 0
 
 
 def test_measure_rejects_addresses_outside_loopback() -> None:
@@ -670,14 +671,14 @@
     out = tmp_path / "decisions.json"
     done = run_command("decisions", "--sizes", "30,3", "--repeats", "2", "--json", str(out))
     assert done.returncode == 0, done.stderr
-    found = msgspec.json.decode(out.read_bytes(), type=decisions_bench.DecisionsResult)
-    assert [each.size for each in found.samples] == [3, 3, 30, 30]
-    assert [each.size for each in found.memory] == [3, 30]
-    for sample in found.samples:
+    decisions_result = msgspec.json.decode(out.read_bytes(), type=decisions_bench.DecisionsResult)
+    assert [each.size for each in decisions_result.samples] == [3, 3, 30, 30]
+    assert [each.size for each in decisions_result.memory] == [3, 30]
+    for sample in decisions_result.samples:
         assert sample.refused == 0
         for name in ("order_us", "delta_us", "whole_list_us", "timers_us", "bytes_per_endpoint"):
             assert getattr(sample, name) > 0, name
-    assert all(each.mb > 5 for each in found.memory)
+    assert all(each.mb > 5 for each in decisions_result.memory)
 
 
 def test_decisions_driver_completes_every_call() -> None:
@@ -700,6 +701,6 @@
     from eiderhub.sidecar.discovery import parse_endpoint_list
 
     addresses = [Address("127.0.0.1", 80 + n) for n in range(3)]
-    found = parse_endpoint_list(json.dumps(backends.full_list(addresses)).encode())
-    assert found.is_full and found.generation == backends.GENERATION
-    assert [(each.host, each.port) for each in found.entries] == [tuple(each) for each in addresses]
+    endpoint_list = parse_endpoint_list(json.dumps(backends.full_list(addresses)).encode())
+    assert endpoint_list.is_full and endpoint_list.generation == backends.GENERATION
+    assert [(each.host, each.port) for each in endpoint_list.entries] == [tuple(each) for each in addresses]
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -126,20 +126,20 @@
 
 
 def test_calls_bytes_and_entries_are_counted_across_chunks() -> None:
-    tally = TrafficCounter()
-    tally.count_sent(b"GET /discovery/hosts?after=7&wait_ms=9 HTTP/1.1\r\nHost: a:1\r\n\r\n")
-    tally.count_sent(b"POST /registry/renew HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}")
-    tally.count_sent(b"more of a body")
+    counter = TrafficCounter()
+    counter.count_sent(b"GET /discovery/hosts?after=7&wait_ms=9 HTTP/1.1\r\nHost: a:1\r\n\r\n")
+    counter.count_sent(b"POST /registry/renew HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}")
+    counter.count_sent(b"more of a body")
     body = b'[{"instanceId":"a"},{"instanceId":"b"}]'
     for split in range(len(body)):
-        tail = tally.count_received(body[:split], b"")
-        tally.count_received(body[split:], tail)
-    traffic = tally.take_counts()
+        tail = counter.count_received(body[:split], b"")
+        counter.count_received(body[split:], tail)
+    traffic = counter.take_counts()
     assert traffic.calls == {"list": 1, "renew": 1}
     assert traffic.bytes_in == len(body) ** 2
     assert traffic.entries == 2 * len(body)
     assert sum(traffic.buckets.values()) == 2
-    assert tally.take_counts().buckets == {}, "buckets are reset when they are read"
+    assert counter.take_counts().buckets == {}, "buckets are reset when they are read"
 
 
 def test_counts_can_be_added_and_subtracted() -> None:
@@ -181,11 +181,11 @@
     """Plan in which all sidecars follow the largest list, in the same two regions: only the sizes differ."""
     run_plan = assign_sidecars(scale_down(FLEET, run_request.hollow + run_request.real, 2), run_request)
     service = max(run_plan.sizes, key=lambda name: run_plan.sizes[name])
-    seats = [
+    specs = [
         msgspec.structs.replace(spec, follows=service, rank=rank, balancers=len(run_plan.seats))
         for rank, spec in enumerate(run_plan.seats)
     ]
-    return msgspec.structs.replace(run_plan, seats=seats, wait_s=1.0)
+    return msgspec.structs.replace(run_plan, seats=specs, wait_s=1.0)
 
 
 def execute(run_plan: Plan, seconds: float, fault: str = "none", fault_s: float = 1.0) -> Result:
