--- a/eiderhub/cli/runner.py
+++ b/eiderhub/cli/runner.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from eiderhub.cli.console_output import progress
-from eiderhub.emulator.clients import OutsideClients
+from eiderhub.emulator.clients import ScenarioClients
 from eiderhub.emulator.deployment import Deployment, DeploymentError, Result
 from eiderhub.emulator.processes import cancel_on_signals
 from eiderhub.world.day import Day
@@ -43,8 +43,8 @@
     return shlex.split(command) if command else None
 
 
-def progress_text(outside: OutsideClients) -> str:
-    return f"{outside.finished_count} ended, {outside.served_count} served, {len(outside.in_flight)} open"
+def progress_text(clients: ScenarioClients) -> str:
+    return f"{clients.finished_count} ended, {clients.served_count} served, {len(clients.in_flight)} open"
 
 
 async def run_scenario(
@@ -58,8 +58,8 @@
         report_progress(0.0, f"starting {len(day.sidecar_plans)} sidecars")
         async with deployment:
             try:
-                await deployment.play(
-                    lambda fraction, outside: report_progress(fraction, progress_text(outside))
+                await deployment.run(
+                    lambda fraction, clients: report_progress(fraction, progress_text(clients))
                 )
             except DeploymentError as error:
                 failure = error
