--- a/eiderhub/cli/console_output.py
+++ b/eiderhub/cli/console_output.py
@@ -78,14 +78,14 @@
     partial.replace(path)
 
 
-def _outcomes_table(verdict: Evaluation, width: int) -> Table:
+def _outcomes_table(evaluation: Evaluation, width: int) -> Table:
     """Requests by outcome; a narrow terminal omits the last column."""
     table = Table(box=None, pad_edge=False, padding=(0, 1 if width < WIDE_COLUMNS else 3, 0, 0))
     table.add_column("", no_wrap=True)
     columns = ["asked", "served", "late", "refused", "failed", "worth"]
     for column in columns if width >= NARROW_COLUMNS else columns[:-1]:
         table.add_column(column, justify="right", no_wrap=True)
-    for kind, rows in (("class", verdict.classes), ("tenant", verdict.tenants)):
+    for kind, rows in (("class", evaluation.classes), ("tenant", evaluation.tenants)):
         for name, row in rows.items():
             table.add_row(f"{kind} {name}", *_cells(row)[: len(table.columns) - 1])
     return table
@@ -105,7 +105,7 @@
 
 def print_result(result: Result, console: Console) -> None:
     """Print one page: the scenario, its results, and whether the figures can be trusted."""
-    verdict = result.verdict
+    evaluation = result.verdict
     console.print(
         f"{result.scenario}, seed {result.seed}: {result.seconds:g} s, {result.rate_per_s:.0f} requests/s, "
         f"{result.sidecars} sidecars, {result.endpoints} endpoints",
@@ -114,34 +114,39 @@
     for event in result.events:
         console.print(f"  {event}", highlight=False)
     console.print()
-    console.print(_outcomes_table(verdict, console.width))
+    console.print(_outcomes_table(evaluation, console.width))
     console.print()
     facts = _facts_table()
     window = result.window_s
     facts.add_row(
-        f"worst {window:g} s", f"{verdict.worst_window:.3f} of worth, from {verdict.worst_window_at_s:.0f} s"
+        f"worst {window:g} s",
+        f"{evaluation.worst_window:.3f} of worth, from {evaluation.worst_window_at_s:.0f} s",
     )
-    latency = verdict.latency_ms
+    latency = evaluation.latency_ms
     if latency:
         facts.add_row("latency", "  ".join(f"{name} {value:.0f} ms" for name, value in latency.items()))
     facts.add_row(
-        "attempts", f"{verdict.attempts_per_request:.2f} a request, {verdict.tries_per_request:.2f} tries"
+        "attempts",
+        f"{evaluation.attempts_per_request:.2f} a request, {evaluation.tries_per_request:.2f} tries",
     )
     cross_region = (
-        f", {verdict.cross_region_calls} of them across regions" if verdict.cross_region_calls else ""
+        f", {evaluation.cross_region_calls} of them across regions" if evaluation.cross_region_calls else ""
     )
-    facts.add_row("across zones", f"{verdict.cross_zone_calls} calls{cross_region}")
-    facts.add_row("endpoints", f"{verdict.declined} requests turned away, {verdict.fallen} pushed over")
-    facts.add_row("score", f"{verdict.score:.3f} (goodput {verdict.goodput:.3f})")
+    facts.add_row("across zones", f"{evaluation.cross_zone_calls} calls{cross_region}")
+    facts.add_row(
+        "endpoints", f"{evaluation.declined} requests declined, {evaluation.fallen} crashes while cold"
+    )
+    facts.add_row("score", f"{evaluation.score:.3f} (goodput {evaluation.goodput:.3f})")
     lateness = result.lateness_ms
     warning = f"; above {MAX_LATENESS_P99_MS:g} ms: THE FIGURES ARE IN DOUBT" if result.in_doubt else ""
     facts.add_row("emulator late by", f"p50 {lateness['p50']} ms, p99 {lateness['p99']} ms{warning}")
     facts.add_row("sidecars", _resource_usage(result))
     facts.add_row(
-        "rules", "kept" if verdict.rules_kept else "[bold]BROKEN[/bold]: " + _format_counts(verdict.breaches)
+        "rules",
+        "kept" if evaluation.rules_kept else "[bold]BROKEN[/bold]: " + _format_counts(evaluation.breaches),
     )
     console.print(facts, highlight=False)
-    for text in (*verdict.first_breaches, *result.notes):
+    for text in (*evaluation.first_breaches, *result.notes):
         console.print(f"  {text}", highlight=False, markup=False)
     if result.crash is not None:
         print_crash(result.crash, result.crash_log, console)
--- a/eiderhub/cli/emulate.py
+++ b/eiderhub/cli/emulate.py
@@ -70,8 +70,8 @@
             try:
                 if traffic:
                     with console_output.progress(day.name) as report_progress:
-                        await deployment.play(
-                            lambda fraction, outside: report_progress(fraction, runner.progress_text(outside))
+                        await deployment.run(
+                            lambda fraction, clients: report_progress(fraction, runner.progress_text(clients))
                         )
                 else:
                     deployment.start_troubles()
@@ -86,9 +86,9 @@
     table = Table(show_edge=False, pad_edge=False)
     for column in ("sidecar", "zone", "listens", "management"):
         table.add_column(column, overflow="fold")
-    for name, station in deployment.sidecars.items():
-        if station.post.endpoint_id is None:
-            table.add_row(name, station.post.zone, f"{station.host}:{station.port}", station.management)
+    for name, sidecar in deployment.sidecars.items():
+        if sidecar.plan.endpoint_id is None:
+            table.add_row(name, sidecar.plan.zone, f"{sidecar.host}:{sidecar.port}", sidecar.management)
     console.print(table)
     first = next(iter(deployment.sidecars.values()))
     hint = f"ottercleat load {first.host}:{first.port} --config {first.config_path}"
--- a/eiderhub/cli/load.py
+++ b/eiderhub/cli/load.py
@@ -36,8 +36,8 @@
         try:
             return loads.RequestClass(name, Effect(effect or Effect.AT_MOST_ONCE.value), _parse_share(share))
         except ValueError:
-            known = ", ".join(each.value for each in Effect)
-            self.fail(f"{value!r} is not NAME[:EFFECT[:SHARE]]; effects are {known}", param, ctx)
+            effects = ", ".join(each.value for each in Effect)
+            self.fail(f"{value!r} is not NAME[:EFFECT[:SHARE]]; effects are {effects}", param, ctx)
 
 
 class TenantType(click.ParamType[tuple[str, float]]):
@@ -161,7 +161,7 @@
 
 
 def _build_request_mix(
-    shapes: tuple[loads.RequestClass, ...],
+    request_classes: tuple[loads.RequestClass, ...],
     tenants: tuple[tuple[str, float], ...],
     config: str | None,
     deadline_ms: int | None,
@@ -169,7 +169,7 @@
 ) -> loads.RequestMix:
     if config is not None:
         settings = read_document(config).settings
-        shares_by_class = {shape.name: shape.share for shape in shapes}
+        shares_by_class = {request_class.name: request_class.share for request_class in request_classes}
         classes = [
             loads.RequestClass(
                 each.name,
@@ -184,15 +184,18 @@
         unknown = shares_by_class.keys() - {each.name for each in settings.categories}
         if unknown:
             raise click.UsageError(f"--class {min(unknown)}: {config} has no such class")
-        tenants = tenants or tuple((party.name, party.share or 1.0) for party in settings.parties)
+        tenants = tenants or tuple((tenant.name, tenant.share or 1.0) for tenant in settings.parties)
         return loads.RequestMix(tuple(classes), tenants, body)
-    if not shapes:
+    if not request_classes:
         raise click.UsageError(
             "no request classes given; name them with --class NAME:EFFECT, or with --config FILE"
         )
     effective_deadline_ms = deadline_ms or loads.DEFAULT_DEADLINE_MS
     classes_with_deadline = tuple(
-        loads.RequestClass(shape.name, shape.effect, shape.share, effective_deadline_ms) for shape in shapes
+        loads.RequestClass(
+            request_class.name, request_class.effect, request_class.share, effective_deadline_ms
+        )
+        for request_class in request_classes
     )
     return loads.RequestMix(classes_with_deadline, tenants, body)
 
--- a/eiderhub/cli/registry.py
+++ b/eiderhub/cli/registry.py
@@ -142,7 +142,7 @@
     configure({})  # messages about outages go to standard error
 
     async def watch_list() -> None:
-        list_watch = ListWatch(follow, lambda verdict: _print_changes(list(verdict.entries), as_json))
+        list_watch = ListWatch(follow, lambda adoption: _print_changes(list(adoption.entries), as_json))
         list_watch.start()
         try:
             await asyncio.sleep(seconds if seconds is not None else float("inf"))
--- a/eiderhub/cli/runner.py
+++ b/eiderhub/cli/runner.py
@@ -43,8 +43,8 @@
     return shlex.split(command) if command else None
 
 
-def progress_text(outside: OutsideClients) -> str:
-    return f"{outside.finished_count} ended, {outside.served_count} served, {len(outside.in_flight)} open"
+def progress_text(clients: OutsideClients) -> str:
+    return f"{clients.finished_count} ended, {clients.served_count} served, {len(clients.in_flight)} open"
 
 
 async def run_scenario(
@@ -58,8 +58,8 @@
         report_progress(0.0, f"starting {len(day.sidecar_plans)} sidecars")
         async with deployment:
             try:
-                await deployment.play(
-                    lambda fraction, outside: report_progress(fraction, progress_text(outside))
+                await deployment.run(
+                    lambda fraction, clients: report_progress(fraction, progress_text(clients))
                 )
             except DeploymentError as error:
                 failure = error
--- a/eiderhub/emulator/deployment.py
+++ b/eiderhub/emulator/deployment.py
@@ -193,7 +193,7 @@
     def _build(self) -> None:
         day = self.day
         self.clock = Clock()
-        self.judge = Evaluator(day)
+        self.evaluator = Evaluator(day)
         self._external_rng = day.rng("strangers")
         self.requests = RequestTable()
         self.network = Network(day)
@@ -201,10 +201,16 @@
         self.discovery: DiscoveryBackend
         if self._real_registry:
             self.discovery = RealListService(
-                day, self.folder, self.clock, self.judge, self._address_of, self._accepts_requests, self._fail
+                day,
+                self.folder,
+                self.clock,
+                self.evaluator,
+                self._address_of,
+                self._accepts_requests,
+                self._fail,
             )
         else:
-            self.discovery = SimulatedDiscovery(Registry(day), self.clock, self.judge, self._address_of)
+            self.discovery = SimulatedDiscovery(Registry(day), self.clock, self.evaluator, self._address_of)
         groups = dedup_groups(day)
         for number, plan in enumerate(day.endpoint_plans):
             endpoint = Endpoint(plan, day.rng(f"endpoint {plan.id}"))
@@ -215,47 +221,53 @@
                 f"127.{10 + plan.tier}.{number // 200}.{1 + number % 200}",
                 self.clock,
                 self.network,
-                self.judge,
+                self.evaluator,
                 self.requests,
                 groups,
                 self._call_next_tier,
                 self._on_endpoint_overload,
                 self._adopt_external_request,
             )
-        upgraded_sidecars = {n for e in day.events if e.kind is TroubleKind.UPGRADE for n in e.sidecars}
-        for number, post in enumerate(day.sidecar_plans):
+        upgraded_sidecars = {
+            name for event in day.events if event.kind is TroubleKind.UPGRADE for name in event.sidecars
+        }
+        for number, sidecar_plan in enumerate(day.sidecar_plans):
             host = f"127.9.{number // 200}.{1 + number % 200}"
-            inherited = open_listening_socket(host) if post.name in upgraded_sidecars else None
+            inherited = open_listening_socket(host) if sidecar_plan.name in upgraded_sidecars else None
             listen_socket = inherited or reserve_port(host)
             port = listen_socket.getsockname()[1]
             management_sockets = [reserve_port(host) for _ in range(MANAGEMENT_PORTS)]
             self._reserved_sockets += [listen_socket, *management_sockets]
-            self.sidecars[post.name] = SupervisedSidecar(
-                post=post,
+            self.sidecars[sidecar_plan.name] = SupervisedSidecar(
+                plan=sidecar_plan,
                 host=host,
                 port=port,
                 reserved_ports=management_sockets,
-                folder=self.folder / post.name,
-                settings=build_sidecar_settings(day, post),
+                folder=self.folder / sidecar_plan.name,
+                settings=build_sidecar_settings(day, sidecar_plan),
                 regions=dict(day.scenario.regions),
                 memory_mb=day.scenario.allowed.memory_mb,
                 descriptor_limit=day.scenario.allowed.descriptors,
                 command=self._command,
                 inherited_socket=inherited,
             )
-            self.targets[post.name] = Target(post, host, port)
+            self.targets[sidecar_plan.name] = Target(sidecar_plan, host, port)
         self._sidecar_by_endpoint = {
-            post.endpoint_id: post.name for post in day.sidecar_plans if post.endpoint_id is not None
+            sidecar_plan.endpoint_id: sidecar_plan.name
+            for sidecar_plan in day.sidecar_plans
+            if sidecar_plan.endpoint_id is not None
         }
-        self.clients = OutsideClients(day, self.clock, self.judge, self.requests, self.front, self.targets)
+        self.clients = OutsideClients(
+            day, self.clock, self.evaluator, self.requests, self.front, self.targets
+        )
 
     async def _start(self) -> None:
         for server in self.endpoints.values():
             await server.open()
         await self.discovery.open()
-        for name, station in self.sidecars.items():
-            station.folder.mkdir()
-            await self.discovery.attach(station)
+        for name, sidecar in self.sidecars.items():
+            sidecar.folder.mkdir()
+            await self.discovery.attach(sidecar)
             self.start_sidecar(name)
         self._run_in_background(self._enforce_memory_limit())
         self._run_in_background(self._remove_expired_requests())
@@ -274,9 +286,9 @@
             raise DeploymentError(message, self._log_tail(not_ready[0])) from None
         self.clock.start()
         self.discovery.on_day_started()
-        for post in self.day.sidecar_plans_of(0):
-            self.front.record_answer(0, post.name, True)
-            self._run_in_background(self._poll_readiness(post))
+        for sidecar_plan in self.day.sidecar_plans_of(0):
+            self.front.record_answer(0, sidecar_plan.name, True)
+            self._run_in_background(self._poll_readiness(sidecar_plan))
 
     def start_sidecar(self, name: str) -> Process:
         """Write the sidecar's configuration and start a process of it.
@@ -284,14 +296,14 @@
         Raises:
             DeploymentError: the process cannot be started.
         """
-        station = self.sidecars[name]
+        sidecar = self.sidecars[name]
         self._start_count += 1
-        known_list, listing = self.discovery.current_list(station.post)
-        station.write_config(known_list, self.day.seed * 1_000_003 + self._start_count)
-        if not station.processes:
-            self.judge.sidecar_started(self.clock.now_us(), name, listing)
+        known_list, listing = self.discovery.current_list(sidecar.plan)
+        sidecar.write_config(known_list, self.day.seed * 1_000_003 + self._start_count)
+        if not sidecar.processes:
+            self.evaluator.sidecar_started(self.clock.now_us(), name, listing)
         try:
-            process = station.start(self._on_process_ended)
+            process = sidecar.start(self._on_process_ended)
         except OSError as error:
             raise DeploymentError(f"sidecar {name} cannot be started: {error}", []) from None
         self.targets[name].killed = False
@@ -352,45 +364,45 @@
 
     async def is_ready(self, name: str) -> bool:
         """Whether the sidecar reports that it is ready."""
-        station = self.sidecars[name]
-        return await is_up(station.host, station.port) is True
+        sidecar = self.sidecars[name]
+        return await is_up(sidecar.host, sidecar.port) is True
 
     async def wait_until_ready(self, name: str) -> None:
         """Wait until the sidecar reports that it is ready."""
         while not await self.is_ready(name):
             await asyncio.sleep(UP_POLL_INTERVAL_S)
 
-    async def _poll_readiness(self, post: SidecarPlan) -> None:
+    async def _poll_readiness(self, sidecar_plan: SidecarPlan) -> None:
         """Check a sidecar periodically, as the front's health checks do."""
-        station = self.sidecars[post.name]
+        sidecar = self.sidecars[sidecar_plan.name]
         while True:
             await asyncio.sleep(self.day.scenario.front.ask_every_ms / 1000)
-            ready = await is_up(station.host, station.port)
+            ready = await is_up(sidecar.host, sidecar.port)
             if ready is None:
-                self.front.record_no_answer(self.clock.now_us(), post.name)
+                self.front.record_no_answer(self.clock.now_us(), sidecar_plan.name)
             else:
-                self.front.record_answer(self.clock.now_us(), post.name, ready)
+                self.front.record_answer(self.clock.now_us(), sidecar_plan.name, ready)
 
     async def _remove_expired_requests(self) -> None:
         """Discard old requests periodically, which bounds the memory of a deployment that is up for days."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
-            self.judge.forget(self.requests.remove_expired(self.clock.now_us() - REQUEST_RETENTION_US))
+            self.evaluator.forget(self.requests.remove_expired(self.clock.now_us() - REQUEST_RETENTION_US))
 
     async def _enforce_memory_limit(self) -> None:
         """Kill sidecars that exceed the platform's memory limit; that counts as a crash."""
         while True:
             await asyncio.sleep(MEMORY_CHECK_INTERVAL_S)
-            for station in self.sidecars.values():
+            for sidecar in self.sidecars.values():
                 # Two processes of one sidecar share its limit.
-                used_mb = sum(process.measure()[1] for process in station.processes)
-                if used_mb > station.memory_mb:
-                    name, tail = station.post.name, self._log_tail(station.post.name)
-                    for process in list(station.processes):
+                used_mb = sum(process.measure()[1] for process in sidecar.processes)
+                if used_mb > sidecar.memory_mb:
+                    name, log_tail = sidecar.plan.name, self._log_tail(sidecar.plan.name)
+                    for process in list(sidecar.processes):
                         process.kill()
                     self._fail(
                         DeploymentError(
-                            f"sidecar {name} used {used_mb:.0f} of {station.memory_mb:g} MB: killed", tail
+                            f"sidecar {name} used {used_mb:.0f} of {sidecar.memory_mb:g} MB: killed", log_tail
                         )
                     )
 
@@ -416,7 +428,7 @@
         )
         attempt = Try(
             self.clock,
-            self.judge,
+            self.evaluator,
             self.requests,
             target,
             inner_request,
@@ -426,12 +438,12 @@
         )
         return attempt.cancel
 
-    def _adopt_external_request(self, exchange: Exchange, post: SidecarPlan) -> RequestInfo | None:
+    def _adopt_external_request(self, exchange: Exchange, sidecar_plan: SidecarPlan) -> RequestInfo | None:
         """Register an external client's request to a front sidecar; its work is drawn at random."""
-        if not self._serve_external or post.endpoint_id is not None:
+        if not self._serve_external or sidecar_plan.endpoint_id is not None:
             return None
         request_class = next(
-            (g for g in self.day.request_classes if exchange.url == b"/" + g.name.encode()), None
+            (each for each in self.day.request_classes if exchange.url == b"/" + each.name.encode()), None
         )
         request_id = exchange.headers[b"req-id"]
         if request_class is None:
@@ -449,7 +461,7 @@
             self.clock.now_us() + remaining_us,
         )
         self.requests.add(request_id, request)
-        self.judge.request_sent(request_id.decode("latin-1"), post.name, request_class)
+        self.evaluator.request_sent(request_id.decode("latin-1"), sidecar_plan.name, request_class)
         return request
 
     def _on_endpoint_overload(self, plan: EndpointPlan) -> None:
@@ -457,22 +469,22 @@
 
     # --- the day ---
 
-    async def play(self, progress: Callable[[float, OutsideClients], None] = lambda *_: None) -> None:
+    async def run(self, progress: Callable[[float, OutsideClients], None] = lambda *_: None) -> None:
         """Run clients and troubles until the day is over and every request has an outcome.
 
         Raises:
             DeploymentError: a process of the deployment failed.
         """
-        await self._run_unless_failed(self._play(progress))
+        await self._run_unless_failed(self._run_day(progress))
 
-    async def _play(self, progress: Callable[[float, OutsideClients], None]) -> None:
+    async def _run_day(self, progress: Callable[[float, OutsideClients], None]) -> None:
         self.clock.start()
-        for station in self.sidecars.values():
-            station.usage.before_s = self._cpu_s(station)
-        for errand in draw_requests(self.day):
-            self.clock.call_at(errand.arrival_us, self.clients.start, errand)
+        for sidecar in self.sidecars.values():
+            sidecar.usage.before_s = self._cpu_s(sidecar)
+        for client_request in draw_requests(self.day):
+            self.clock.call_at(client_request.arrival_us, self.clients.start, client_request)
         self.start_troubles()
-        drain_us = max(grade.deadline_us for grade in self.day.request_classes) + 500_000
+        drain_us = max(request_class.deadline_us for request_class in self.day.request_classes) + 500_000
         while (now_us := self.clock.now_us()) < self.day.length_us + drain_us:
             progress(min(1.0, now_us / self.day.length_us), self.clients)
             if now_us >= self.day.length_us and not self.clients.in_flight:
@@ -482,9 +494,9 @@
 
     def start_troubles(self) -> None:
         """Start the day's troubles in the background, each at its time."""
-        troubles = FaultInjector(self)
+        injector = FaultInjector(self)
         for event in self.day.events:
-            self._run_in_background(troubles.run_event(event))
+            self._run_in_background(injector.run_event(event))
 
     async def wait_for_failure(self) -> None:
         """Wait until the run fails, and raise that failure."""
@@ -497,19 +509,21 @@
             attempt.cancel()
         self.clients.tries_in_flight.clear()
         self.clients.in_flight.clear()
-        choked_share = sum(e.was_choked for e in endpoints) / max(1, len(endpoints))
-        verdict = self.judge.evaluate(sum(e.wasted_work_us for e in endpoints), choked_share)
+        choked_share = sum(endpoint.was_choked for endpoint in endpoints) / max(1, len(endpoints))
+        evaluation = self.evaluator.evaluate(
+            sum(endpoint.wasted_work_us for endpoint in endpoints), choked_share
+        )
         usage = {}
         front_cpu_s = 0.0
-        for name, station in self.sidecars.items():
-            cpu_s = self._cpu_s(station)
-            front_cpu_s += cpu_s - station.usage.before_s if station.post.endpoint_id is None else 0.0
+        for name, sidecar in self.sidecars.items():
+            cpu_s = self._cpu_s(sidecar)
+            front_cpu_s += cpu_s - sidecar.usage.before_s if sidecar.plan.endpoint_id is None else 0.0
             usage[name] = {
                 "cpu_s": round(cpu_s, 2),
-                "memory_mb": round(station.usage.memory_mb, 1),
-                "starts": station.usage.starts,
+                "memory_mb": round(sidecar.usage.memory_mb, 1),
+                "starts": sidecar.usage.starts,
             }
-        tries = sum(errand.tries for errand in self.judge.client_requests)
+        tries = sum(client_request.tries for client_request in self.evaluator.client_requests)
         return Result(
             scenario=self.day.name,
             seed=self.day.seed,
@@ -519,11 +533,11 @@
             requests=self.clients.finished_count,
             rate_per_s=self.day.rate_per_s,
             events=[
-                f"{e.at_us / 1e6:.1f} to {e.until_us / 1e6:.1f} s: {e.description}"
-                for e in self.day.events
-                if e.at_us < self.day.length_us
+                f"{event.at_us / 1e6:.1f} to {event.until_us / 1e6:.1f} s: {event.description}"
+                for event in self.day.events
+                if event.at_us < self.day.length_us
             ],
-            verdict=verdict,
+            verdict=evaluation,
             lateness_ms=self.clock.lateness_ms(),
             usage=usage,
             window_s=self.day.scenario.goal.window_s,
@@ -540,8 +554,8 @@
         )
 
     @staticmethod
-    def _cpu_s(station: SupervisedSidecar) -> float:
-        return station.usage.cpu_s + sum(process.measure()[0] for process in station.processes)
+    def _cpu_s(sidecar: SupervisedSidecar) -> float:
+        return sidecar.usage.cpu_s + sum(process.measure()[0] for process in sidecar.processes)
 
     # --- shutdown ---
 
@@ -551,7 +565,7 @@
         self.clock.stop()
         for task in list(self._background_tasks):
             task.cancel()
-        processes = [p for s in self.sidecars.values() for p in s.processes]
+        processes = [process for sidecar in self.sidecars.values() for process in sidecar.processes]
         for process in processes:
             process.kill()
         try:
@@ -578,12 +592,12 @@
 
     def _save_logs(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
-        logs = {name: station.log_path for name, station in self.sidecars.items()}
+        log_paths = {name: sidecar.log_path for name, sidecar in self.sidecars.items()}
         if isinstance(self.discovery, RealListService):
-            logs |= self.discovery.log_paths()
-        for name, log in logs.items():
-            if log.exists():
-                shutil.copy(log, folder / f"{name}.log")
+            log_paths |= self.discovery.log_paths()
+        for name, log_path in log_paths.items():
+            if log_path.exists():
+                shutil.copy(log_path, folder / f"{name}.log")
 
     # --- used by troubles ---
 
--- a/eiderhub/emulator/discovery.py
+++ b/eiderhub/emulator/discovery.py
@@ -1,6 +1,6 @@
 """Discovery as a deployment sees it: the interface, and its implementation by the simulated registry.
 
-`services.Services` implements the same interface with real list service processes.
+`list_service.RealListService` implements the same interface with real list service processes.
 """
 
 from __future__ import annotations
@@ -26,14 +26,14 @@
     async def open(self) -> None:
         """Start serving; returns once all endpoints are listed."""
 
-    async def attach(self, station: SupervisedSidecar) -> None:
+    async def attach(self, sidecar: SupervisedSidecar) -> None:
         """Set the address at which a sidecar reaches discovery."""
 
-    async def change_address(self, station: SupervisedSidecar) -> None:
+    async def change_address(self, sidecar: SupervisedSidecar) -> None:
         """Give the sidecar a new discovery address; the old one is closed soon after."""
 
-    def current_list(self, post: SidecarPlan) -> tuple[dict[str, object], EndpointList]:
-        """The sidecar's present endpoint list, as a discovery response and as the world's `Listing`."""
+    def current_list(self, sidecar_plan: SidecarPlan) -> tuple[dict[str, object], EndpointList]:
+        """The sidecar's present endpoint list, as a discovery response and as the world's `EndpointList`."""
 
     def on_day_started(self) -> None:
         """The clock has been restarted for the day."""
@@ -50,18 +50,18 @@
         """An endpoint has stopped; a silent one cannot report that itself."""
         ...
 
-    def set_unavailable(self, down: bool) -> None:
+    def set_unavailable(self, unavailable: bool) -> None:
         """Make discovery unavailable, or available again."""
         ...
 
-    def set_stalled(self, on: bool) -> None:
+    def set_stalled(self, stalled: bool) -> None:
         """Break off responses partway through, or stop doing so."""
 
     async def apply_network(self, network: Network) -> None:
         """Apply a change of the network between zones."""
 
-    async def play_registry_event(self, event: Event, until: WaitUntil) -> None:
-        """Play a trouble of the list service, from now until the end of the event."""
+    async def run_registry_event(self, event: Event, until: WaitUntil) -> None:
+        """Run a trouble of the list service from now until the end of the event."""
 
     async def close(self) -> None: ...
 
@@ -69,26 +69,28 @@
 class SimulatedDiscovery:
     """The simulated registry, whose responses are late or missing as the scenario specifies."""
 
-    def __init__(self, registry: Registry, clock: Clock, judge: Evaluator, address_of: AddressLookup) -> None:
+    def __init__(
+        self, registry: Registry, clock: Clock, evaluator: Evaluator, address_of: AddressLookup
+    ) -> None:
         self._registry = registry
         self._clock = clock
-        self._server = DiscoveryServer(registry, clock, judge, address_of)
+        self._server = DiscoveryServer(registry, clock, evaluator, address_of)
         self._attached_count = 0
 
     async def open(self) -> None: ...
 
-    async def attach(self, station: SupervisedSidecar) -> None:
+    async def attach(self, sidecar: SupervisedSidecar) -> None:
         number, self._attached_count = self._attached_count, self._attached_count + 1
-        station.discovery = await self._server.open_listener(
-            station.post, f"127.8.{number // 200}.{1 + number % 200}"
+        sidecar.discovery = await self._server.open_listener(
+            sidecar.plan, f"127.8.{number // 200}.{1 + number % 200}"
         )
 
-    async def change_address(self, station: SupervisedSidecar) -> None:
-        station.discovery = await self._server.move_listener(station.post)
+    async def change_address(self, sidecar: SupervisedSidecar) -> None:
+        sidecar.discovery = await self._server.move_listener(sidecar.plan)
 
-    def current_list(self, post: SidecarPlan) -> tuple[dict[str, object], EndpointList]:
-        listing = self._registry.full_listing(post.tier)
-        return self._server.list_document(post, listing), listing
+    def current_list(self, sidecar_plan: SidecarPlan) -> tuple[dict[str, object], EndpointList]:
+        listing = self._registry.full_listing(sidecar_plan.tier)
+        return self._server.list_document(sidecar_plan, listing), listing
 
     def on_day_started(self) -> None:
         self._server.answer_due_calls()
@@ -105,18 +107,18 @@
         self._registry.endpoint_stopped(self._clock.now_us(), endpoint, silent)
         self._server.answer_due_calls()
 
-    def set_unavailable(self, down: bool) -> None:
-        self._registry.set_unavailable(self._clock.now_us(), down)
+    def set_unavailable(self, unavailable: bool) -> None:
+        self._registry.set_unavailable(self._clock.now_us(), unavailable)
         self._server.answer_due_calls()
 
-    def set_stalled(self, on: bool) -> None:
-        self._registry.stalling = on
+    def set_stalled(self, stalled: bool) -> None:
+        self._registry.stalling = stalled
 
     async def apply_network(self, network: Network) -> None:
         """Nothing to do: the simulated registry is in no zone, and always reachable."""
 
-    async def play_registry_event(self, event: Event, until: WaitUntil) -> None:
-        """Be down during the event: there are no processes, connections or disk to disturb."""
+    async def run_registry_event(self, event: Event, until: WaitUntil) -> None:
+        """Be unavailable during the event: there are no processes, connections or disk to disturb."""
         self.set_unavailable(True)
         await until(event.until_us)
         self.set_unavailable(False)
--- a/eiderhub/emulator/discovery_server.py
+++ b/eiderhub/emulator/discovery_server.py
@@ -26,38 +26,40 @@
         self,
         registry: Registry,
         clock: Clock,
-        judge: Evaluator,
+        evaluator: Evaluator,
         address_of: Callable[[str, str], str],
     ) -> None:
         self._registry = registry
         self._clock = clock
-        self._judge = judge
+        self._evaluator = evaluator
         self._address_of = address_of
         self._pending_calls: dict[int, tuple[SidecarPlan, Exchange]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self.listeners: dict[str, Listener] = {}
         self._replaced_listeners: list[Listener] = []
 
-    async def open_listener(self, post: SidecarPlan, host: str) -> str:
+    async def open_listener(self, sidecar_plan: SidecarPlan, host: str) -> str:
         """Open a listener for this sidecar and return its address."""
-        listener = Listener(host, lambda exchange: self._handle_call(post, exchange), self._clock.now_us)
+        listener = Listener(
+            host, lambda exchange: self._handle_call(sidecar_plan, exchange), self._clock.now_us
+        )
         await listener.open()
-        self.listeners[post.name] = listener
+        self.listeners[sidecar_plan.name] = listener
         return listener.address
 
-    async def move_listener(self, post: SidecarPlan) -> str:
+    async def move_listener(self, sidecar_plan: SidecarPlan) -> str:
         """Open a new address for a sidecar and return it.
 
         The old address refuses new connections at once; its open connections are reset after
         `OLD_ADDRESS_CLOSE_DELAY_S`.
         """
-        replaced = self.listeners[post.name]
+        replaced = self.listeners[sidecar_plan.name]
         replaced.stop_listening(reset=False)
         self._replaced_listeners.append(replaced)
         self._clock.call_at(
             self._clock.now_us() + int(OLD_ADDRESS_CLOSE_DELAY_S * 1e6), replaced.stop_listening
         )
-        return await self.open_listener(post, replaced.host)
+        return await self.open_listener(sidecar_plan, replaced.host)
 
     def close(self) -> None:
         """Close all listeners and cancel the timer."""
@@ -66,7 +68,7 @@
         for listener in (*self.listeners.values(), *self._replaced_listeners):
             listener.close()
 
-    def list_document(self, post: SidecarPlan, listing: EndpointList) -> dict[str, object]:
+    def list_document(self, sidecar_plan: SidecarPlan, listing: EndpointList) -> dict[str, object]:
         """Convert a list to the JSON document of the discovery protocol."""
         return {
             "generation": listing.generation,
@@ -74,7 +76,7 @@
             "instances": [
                 {
                     "instanceId": entry.id,
-                    "hostPort": self._address_of(entry.id, post.name),
+                    "hostPort": self._address_of(entry.id, sidecar_plan.name),
                     "zone": entry.zone,
                     "machineType": entry.kind,
                     "cell": entry.cell,
@@ -88,7 +90,7 @@
 
     # --- calls ---
 
-    def _handle_call(self, post: SidecarPlan, exchange: Exchange) -> None:
+    def _handle_call(self, sidecar_plan: SidecarPlan, exchange: Exchange) -> None:
         now_us = self._clock.now_us()
         target = urlsplit(exchange.url.decode("latin-1"))
         if target.path != "/discovery/hosts" or exchange.method != b"GET":
@@ -101,15 +103,15 @@
         except ValueError:
             exchange.respond(400)
             return
-        self._judge.list_requested(now_us, post.name)
-        ticket = self._registry.start_call(now_us, post.tier, after_generation, wait_ms * 1000)
-        self._pending_calls[ticket] = (post, exchange)
-        exchange.on_disconnect = lambda _: self._handle_disconnect(ticket)
+        self._evaluator.list_requested(now_us, sidecar_plan.name)
+        call_id = self._registry.start_call(now_us, sidecar_plan.tier, after_generation, wait_ms * 1000)
+        self._pending_calls[call_id] = (sidecar_plan, exchange)
+        exchange.on_disconnect = lambda _: self._handle_disconnect(call_id)
         self.answer_due_calls()
 
-    def _handle_disconnect(self, ticket: int) -> None:
-        self._pending_calls.pop(ticket, None)
-        self._registry.cancel_call(ticket)
+    def _handle_disconnect(self, call_id: int) -> None:
+        self._pending_calls.pop(call_id, None)
+        self._registry.cancel_call(call_id)
 
     def answer_due_calls(self) -> None:
         """Send the answers that are due, and schedule the next check for when the registry has more."""
@@ -119,25 +121,27 @@
             if pending_call is not None:
                 self._send_answer(now_us, *pending_call, answer)
         for known_at_us, entry in self._registry.published:
-            self._judge.entry_published(known_at_us, entry)
+            self._evaluator.entry_published(known_at_us, entry)
         self._registry.published.clear()
         if self._timer is not None:
             self._timer.cancel()
         due_us = self._registry.next_us(now_us)
         self._timer = self._clock.call_at(due_us, self.answer_due_calls) if due_us is not None else None
 
-    def _send_answer(self, now_us: int, post: SidecarPlan, exchange: Exchange, answer: CallResult) -> None:
+    def _send_answer(
+        self, now_us: int, sidecar_plan: SidecarPlan, exchange: Exchange, answer: CallResult
+    ) -> None:
         exchange.on_disconnect = None
         if answer.listing is None:
-            self._judge.list_received(now_us, post.name, None)
+            self._evaluator.list_received(now_us, sidecar_plan.name, None)
             exchange.respond(503)
             return
-        body = msgspec.json.encode(self.list_document(post, answer.listing))
+        body = msgspec.json.encode(self.list_document(sidecar_plan, answer.listing))
         if answer.delivery is Delivery.WHOLE:
-            self._judge.list_received(now_us, post.name, answer.listing)
+            self._evaluator.list_received(now_us, sidecar_plan.name, answer.listing)
             exchange.respond(200, body)
             return
-        self._judge.list_received(now_us, post.name, None)
+        self._evaluator.list_received(now_us, sidecar_plan.name, None)
         response = render_response(200, [], body)
         exchange.write(response[: len(response) - len(body) // 2 - 1])
         if answer.delivery is Delivery.BREAKS_OFF:
--- a/eiderhub/emulator/endpoint_servers.py
+++ b/eiderhub/emulator/endpoint_servers.py
@@ -34,7 +34,7 @@
     """What the emulator knows about a request id, whether its own client or an external one sent it."""
 
     request_class: RequestClassPlan
-    work_us: float  # of the whole errand, from which each tier's work is derived
+    work_us: float  # of the whole client request, from which each tier's work is derived
     tenant: str | None
     idempotency_key: str | None
     deadline_us: int
@@ -86,13 +86,13 @@
 class _Attempt:
     """An attempt that has reached an endpoint."""
 
-    __slots__ = ("cancel_call", "exchange", "post", "request", "request_id")
+    __slots__ = ("cancel_call", "exchange", "request", "request_id", "sidecar_plan")
 
     def __init__(
-        self, exchange: Exchange, post: SidecarPlan, request: RequestInfo, request_id: bytes
+        self, exchange: Exchange, sidecar_plan: SidecarPlan, request: RequestInfo, request_id: bytes
     ) -> None:
         self.exchange = exchange
-        self.post = post
+        self.sidecar_plan = sidecar_plan
         self.request = request
         self.request_id = request_id
         self.cancel_call: Callable[[], None] | None = None  # cancels its call to the next tier
@@ -111,11 +111,11 @@
         self,
         day: Day,
         endpoint: Endpoint,
-        posts: list[SidecarPlan],
+        sidecar_plans: list[SidecarPlan],
         host: str,
         clock: Clock,
         network: Network,
-        judge: Evaluator,
+        evaluator: Evaluator,
         requests: RequestTable,
         dedup_groups: Mapping[tuple[str, str], DedupGroup],
         call_next: CallNextTier,
@@ -127,7 +127,7 @@
         self._day = day
         self._clock = clock
         self._network = network
-        self._judge = judge
+        self._evaluator = evaluator
         self._requests = requests
         self._dedup_groups = dedup_groups
         self._call_next = call_next
@@ -140,46 +140,48 @@
         self._timer_at_us = 0
         self._blackholed = False
         self.listeners = {
-            post.name: Listener(host, self._server_for(post), clock.now_us, self._on_connection)
-            for post in posts
+            sidecar_plan.name: Listener(
+                host, self._server_for(sidecar_plan), clock.now_us, self._on_connection
+            )
+            for sidecar_plan in sidecar_plans
         }
-        self._zones = {post.name: post.zone for post in posts}
+        self._zones = {sidecar_plan.name: sidecar_plan.zone for sidecar_plan in sidecar_plans}
 
     async def open(self) -> None:
         """Start listening for all sidecars."""
         for listener in self.listeners.values():
             await listener.open()
 
-    def _server_for(self, post: SidecarPlan) -> Callable[[Exchange], None]:
-        return lambda exchange: self._on_request(post, exchange)
+    def _server_for(self, sidecar_plan: SidecarPlan) -> Callable[[Exchange], None]:
+        return lambda exchange: self._on_request(sidecar_plan, exchange)
 
     # --- incoming requests ---
 
     def _on_connection(self) -> None:
         self.endpoint.handshake(self._clock.now_us())
 
-    def _on_request(self, post: SidecarPlan, exchange: Exchange) -> None:
+    def _on_request(self, sidecar_plan: SidecarPlan, exchange: Exchange) -> None:
         """Handle a request whose last byte has been read."""
         now_us = self._clock.now_us()
-        if self._blackholed or not self._network.delivers(post.zone, self.plan.zone):
+        if self._blackholed or not self._network.delivers(sidecar_plan.zone, self.plan.zone):
             return  # an unreachable host does not answer
         request_id = exchange.headers.get(b"req-id")
         if request_id is None:
             exchange.respond(404)
             return
-        request = self._requests.find(request_id) or self._adopt(exchange, post)
+        request = self._requests.find(request_id) or self._adopt(exchange, sidecar_plan)
         request_id_text = request_id.decode("latin-1")
-        is_expected = self._judge.attempt_arrived(
-            now_us, exchange.started_us, request_id_text, post.name, self.plan
+        is_expected = self._evaluator.attempt_arrived(
+            now_us, exchange.started_us, request_id_text, sidecar_plan.name, self.plan
         )
         if request is None or not is_expected or not _matches_request(exchange, request):
             exchange.respond(400)
             return
-        self._judge.call_made(post.zone, self.plan.zone)
-        delay_us = self._network.one_way_us(post.zone, self.plan.zone)
+        self._evaluator.call_made(sidecar_plan.zone, self.plan.zone)
+        delay_us = self._network.one_way_us(sidecar_plan.zone, self.plan.zone)
         if exchange.is_first:  # the simulated connection set-up precedes the first request
             delay_us += int(2 * self.plan.handshake_rtts * delay_us)
-        attempt = _Attempt(exchange, post, request, request_id)
+        attempt = _Attempt(exchange, sidecar_plan, request, request_id)
         exchange.on_disconnect = lambda _: self._on_disconnect(None, attempt)
         if delay_us < MIN_DELAY_US:
             self._offer(attempt)
@@ -195,16 +197,18 @@
         request = attempt.request
         call_count = draw_call_count(self._day, self.plan.tier, self._rng)
         own_work_us = draw_endpoint_work_us(self._day, self.plan, request.work_us, self._rng)
-        work = EndpointRequest(
+        endpoint_request = EndpointRequest(
             token,
             own_work_us,
             call_count,
             request.idempotency_key,
             self._dedup_groups.get((self.plan.id, request.request_class.name)),
         )
-        start_known = self._judge.knows_start(attempt.post.name, self.plan.id, self.endpoint.started_us)
+        start_known = self._evaluator.knows_start(
+            attempt.sidecar_plan.name, self.plan.id, self.endpoint.started_us
+        )
         connection_count = sum(len(listener.connections) for listener in self.listeners.values())
-        offer = self.endpoint.offer(now_us, work, start_known, connection_count)
+        offer = self.endpoint.offer(now_us, endpoint_request, start_known, connection_count)
         if offer is Offer.TAKEN:
             self._attempts[token] = attempt
             attempt.exchange.on_disconnect = lambda _: self._on_disconnect(token, attempt)
@@ -219,7 +223,7 @@
     def _on_attempt_finished(self, attempt: _Attempt, never_ran: bool = False) -> None:
         """Report the attempt as ended; a later disconnect of its caller has no effect."""
         attempt.exchange.on_disconnect = None
-        self._judge.attempt_ended(attempt.request_id.decode(), self.plan, never_ran)
+        self._evaluator.attempt_ended(attempt.request_id.decode(), self.plan, never_ran)
 
     def _on_disconnect(self, token: int | None, attempt: _Attempt) -> None:
         """Handle the disconnect of a sidecar, which cancels its attempt."""
@@ -240,7 +244,7 @@
         now_us = self._clock.now_us()
         for output in self.endpoint.advance(now_us):
             if isinstance(output, ColdOverload):
-                self._judge.cold_overload(now_us, self.plan.id, output)
+                self._evaluator.cold_overload(now_us, self.plan.id, output)
                 self.stop_listening()
                 self._on_overload(self.plan)
                 continue
@@ -293,9 +297,9 @@
 
     def _deliver(self, attempt: _Attempt, send_answer: Callable[[], None]) -> None:
         """Send an answer with the network's delay; it is lost if the network is cut."""
-        if self._blackholed or not self._network.delivers(self.plan.zone, attempt.post.zone):
+        if self._blackholed or not self._network.delivers(self.plan.zone, attempt.sidecar_plan.zone):
             return
-        delay_us = self._network.one_way_us(self.plan.zone, attempt.post.zone)
+        delay_us = self._network.one_way_us(self.plan.zone, attempt.sidecar_plan.zone)
         if delay_us < MIN_DELAY_US:
             send_answer()
         else:
--- a/eiderhub/emulator/fault_injection.py
+++ b/eiderhub/emulator/fault_injection.py
@@ -19,7 +19,7 @@
 
 REPLACEMENT_DRAIN_S = 3.0  # time for an endpoint to complete its requests before it is replaced
 RESTART_DELAY_S = 0.5  # between the end of a process and the start of the next one
-MIN_DOWNTIME_S = 1.0  # for endpoints that die
+MIN_DOWNTIME_S = 1.0  # for endpoints that crash
 KILL_RESTART_DELAY_S = 1.0  # until the platform restarts a killed sidecar
 # SIGKILL follows SIGTERM after the longest deadline, limited to MAX_STOP_WAIT_S, plus STOP_MARGIN_S.
 MAX_STOP_WAIT_S = 3.0
@@ -108,14 +108,14 @@
         await asyncio.sleep(max(0, when_us - self._target.clock.now_us()) / 1e6)
 
     async def _spread_evenly(
-        self, event: Event, names: tuple[str, ...], work: Callable[[str], Coroutine[Any, Any, None]]
+        self, event: Event, names: tuple[str, ...], action: Callable[[str], Coroutine[Any, Any, None]]
     ) -> None:
-        """Start the work for each name, spread evenly over the event's duration, and wait for all of it."""
+        """Start the action for each name, spread evenly over the event's duration, and wait for all."""
         step_us = (event.until_us - event.at_us) // max(1, len(names))
         async with asyncio.TaskGroup() as group:
             for i, name in enumerate(names):
                 await self._sleep_until(event.at_us + i * step_us)
-                group.create_task(work(name))
+                group.create_task(action(name))
 
     async def _do_nothing(self, event: Event) -> None: ...
 
@@ -123,28 +123,28 @@
 
     async def _slow_all_endpoints(self, event: Event) -> None:
         for factor, until_us in ((event.size, event.until_us), (1.0, event.until_us)):
-            for machine in self._target.endpoints.values():
-                machine.endpoint.set_slowdown(self._target.clock.now_us(), factor)
-                machine.advance()
+            for endpoint_server in self._target.endpoints.values():
+                endpoint_server.endpoint.set_slowdown(self._target.clock.now_us(), factor)
+                endpoint_server.advance()
             await self._sleep_until(until_us)
 
     async def _hang_endpoints(self, event: Event) -> None:
         for name in event.endpoints:
-            machine = self._target.endpoints[name]
-            machine.endpoint.hang(self._target.clock.now_us(), event.until_us)
-            machine.advance()
+            endpoint_server = self._target.endpoints[name]
+            endpoint_server.endpoint.hang(self._target.clock.now_us(), event.until_us)
+            endpoint_server.advance()
 
     async def _pause_endpoints(self, event: Event) -> None:
         rng = self._target.day.rng(f"pauses at {event.at_us}")
         length_us = int(event.size * 1000)
 
         async def pause_repeatedly(name: str) -> None:
-            machine = self._target.endpoints[name]
+            endpoint_server = self._target.endpoints[name]
             at_us = event.at_us + int(rng.uniform(0, event.every_us))
             while at_us < event.until_us:
                 await self._sleep_until(at_us)
-                machine.endpoint.pause(self._target.clock.now_us(), at_us + length_us)
-                machine.advance()
+                endpoint_server.endpoint.pause(self._target.clock.now_us(), at_us + length_us)
+                endpoint_server.advance()
                 at_us += int(event.every_us * rng.uniform(0.5, 1.5))
 
         await asyncio.gather(*(pause_repeatedly(name) for name in event.endpoints))
@@ -154,8 +154,8 @@
 
     async def _replace_endpoint(self, name: str) -> None:
         target = self._target
-        machine = target.endpoints[name]
-        machine.endpoint.drain(target.clock.now_us())
+        endpoint_server = target.endpoints[name]
+        endpoint_server.endpoint.drain(target.clock.now_us())
         target.discovery.endpoint_draining(name)
         await asyncio.sleep(REPLACEMENT_DRAIN_S)
         self._stop_endpoint(name, silent=False)
@@ -193,10 +193,10 @@
                 await process.exited.wait()
             target.start_sidecar(sidecar)
             await target.wait_until_ready(sidecar)
-        machine = target.endpoints[name]
-        await machine.start()
-        assert machine.endpoint.started_us is not None
-        target.discovery.endpoint_started(name, machine.endpoint.started_us)
+        endpoint_server = target.endpoints[name]
+        await endpoint_server.start()
+        assert endpoint_server.endpoint.started_us is not None
+        target.discovery.endpoint_started(name, endpoint_server.endpoint.started_us)
 
     # --- the network and discovery ---
 
@@ -213,8 +213,8 @@
 
     async def _apply_partitions(self) -> None:
         """Apply the network's current partitions to the connections of endpoints and list service."""
-        for machine in self._target.endpoints.values():
-            await machine.apply_network()
+        for endpoint_server in self._target.endpoints.values():
+            await endpoint_server.apply_network()
         await self._target.discovery.apply_network(self._target.network)
 
     async def _flap_zones(self, event: Event) -> None:
@@ -225,17 +225,19 @@
             at_us += event.every_us
 
     async def _degrade_zones(self, event: Event) -> None:
-        machines = [
-            machine for machine in self._target.endpoints.values() if machine.plan.zone in event.zones
+        endpoint_servers = [
+            endpoint_server
+            for endpoint_server in self._target.endpoints.values()
+            if endpoint_server.plan.zone in event.zones
         ]
         for factor, error_rate, until_us in (
             (event.size, event.part, event.until_us),
             (1.0, 0.0, event.until_us),
         ):
-            for machine in machines:
-                machine.endpoint.set_slowdown(self._target.clock.now_us(), factor)
-                machine.endpoint.set_error_share(error_rate)
-                machine.advance()
+            for endpoint_server in endpoint_servers:
+                endpoint_server.endpoint.set_slowdown(self._target.clock.now_us(), factor)
+                endpoint_server.endpoint.set_error_share(error_rate)
+                endpoint_server.advance()
             await self._sleep_until(until_us)
 
     async def _move_callers(self, event: Event) -> None:
@@ -244,9 +246,9 @@
         self._target.front.redirect(event.zone, None)
 
     async def _take_discovery_down(self, event: Event) -> None:
-        for down in (True, False):
-            self._target.discovery.set_unavailable(down)
-            if down:
+        for unavailable in (True, False):
+            self._target.discovery.set_unavailable(unavailable)
+            if unavailable:
                 await self._sleep_until(event.until_us)
 
     async def _stall_discovery(self, event: Event) -> None:
@@ -255,7 +257,7 @@
         self._target.discovery.set_stalled(False)
 
     async def _fault_list_service(self, event: Event) -> None:
-        await self._target.discovery.play_registry_event(event, self._sleep_until)
+        await self._target.discovery.run_registry_event(event, self._sleep_until)
 
     # --- sidecars ---
 
@@ -289,10 +291,10 @@
             self._target.start_sidecar(name)
 
     async def _reload_sidecars(self, event: Event) -> None:
-        for station in self._target.sidecars.values():
-            await self._target.discovery.change_address(station)
-            station.write_config(self._target.discovery.current_list(station.post)[0], event.at_us)
-            for process in station.processes:
+        for sidecar in self._target.sidecars.values():
+            await self._target.discovery.change_address(sidecar)
+            sidecar.write_config(self._target.discovery.current_list(sidecar.plan)[0], event.at_us)
+            for process in sidecar.processes:
                 process.send_signal(signal.SIGHUP)
 
     async def _upgrade_sidecars(self, event: Event) -> None:
@@ -311,8 +313,8 @@
         await self._spread_evenly(event, event.sidecars, upgrade)
 
     async def _reports_ready(self, name: str, timeout_s: float) -> bool:
-        station = self._target.sidecars[name]
-        host, _, port = station.management.rpartition(":")
+        sidecar = self._target.sidecars[name]
+        host, _, port = sidecar.management.rpartition(":")
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + timeout_s
         while loop.time() < deadline_s:
--- a/eiderhub/emulator/fault_proxy.py
+++ b/eiderhub/emulator/fault_proxy.py
@@ -80,10 +80,11 @@
         self.proxy = proxy
         self.caller_side = _Side(self, reads_upstream=True)
         self.target_side = _Side(self, reads_upstream=False)
+        # by direction; None: end of the stream
         self._held: dict[bool, list[bytes | None]] = {
             True: [],
             False: [],
-        }  # by direction; None: end of the stream
+        }
         self._delayed: dict[bool, deque[tuple[float, bytes | None]]] = {True: deque(), False: deque()}
         self._connect_task: asyncio.Task[None] | None = None
         self.closed = False
@@ -101,8 +102,8 @@
         self._forward(side, data)
 
     def handle_end(self, side: _Side, reset: bool) -> None:
-        other = self.other_side(side)
-        both_lost = side.lost and (other.lost or other.transport is None)
+        peer = self.other_side(side)
+        both_lost = side.lost and (peer.lost or peer.transport is None)
         if both_lost or (reset and not self.proxy.is_held(side.reads_upstream)):
             self.abort()
         else:
--- a/eiderhub/emulator/list_service.py
+++ b/eiderhub/emulator/list_service.py
@@ -142,7 +142,7 @@
         day: Day,
         folder: Path,
         clock: Clock,
-        judge: Evaluator,
+        evaluator: Evaluator,
         address_of: AddressLookup,
         accepts_requests: Callable[[str], bool],
         fail: Callable[[BaseException], None],
@@ -150,7 +150,7 @@
         """`accepts_requests` returns an endpoint's actual state; `fail` ends the run with an error."""
         self._day = day
         self._clock = clock
-        self._judge = judge
+        self._evaluator = evaluator
         self._address_of = address_of
         self._accepts_requests = accepts_requests
         self._fail = fail
@@ -231,8 +231,8 @@
             wait_s=LONG_POLL_S,
         )
 
-    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._handle_task_end)
 
@@ -336,26 +336,31 @@
 
     # --- the sidecars ---
 
-    async def attach(self, station: SupervisedSidecar) -> None:
+    async def attach(self, sidecar: SupervisedSidecar) -> None:
         """Open proxies to the list service for a sidecar, and set its discovery addresses."""
-        post = station.post
+        sidecar_plan = sidecar.plan
         # Followers first, rotated by the sidecar's rank, and the main process last: the first follower
         # stands for the nearest one, from which most sidecars read.
         followers = self._nodes[1:]
-        start = post.rank % len(followers)
+        start = sidecar_plan.rank % len(followers)
         nodes = [*followers[start:], *followers[:start], self._nodes[0]]
-        proxies = [self._add_proxy(node.address, self._traffic_observer(post), post.zone) for node in nodes]
+        proxies = [
+            self._add_proxy(node.address, self._traffic_observer(sidecar_plan), sidecar_plan.zone)
+            for node in nodes
+        ]
         for proxy in proxies:
             await proxy.open()
-        self._sidecar_proxies[post.name] = proxies
+        self._sidecar_proxies[sidecar_plan.name] = proxies
         addresses = [proxy.address for proxy in proxies]
-        station.discovery = str(addresses[0])
-        station.follow = self._follow_settings(post.tier, post.name, addresses, station.folder / "list.json")
+        sidecar.discovery = str(addresses[0])
+        sidecar.follow = self._follow_settings(
+            sidecar_plan.tier, sidecar_plan.name, addresses, sidecar.folder / "list.json"
+        )
 
-    async def change_address(self, station: SupervisedSidecar) -> None:
+    async def change_address(self, sidecar: SupervisedSidecar) -> None:
         """Give a sidecar new discovery addresses, and reset connections to the old ones after a delay."""
-        old_proxies = self._sidecar_proxies[station.post.name]
-        await self.attach(station)
+        old_proxies = self._sidecar_proxies[sidecar.plan.name]
+        await self.attach(sidecar)
 
         async def reset_old_proxies() -> None:
             await asyncio.sleep(OLD_ADDRESS_CLOSE_DELAY_S)
@@ -364,33 +369,33 @@
 
         self._start_task(reset_old_proxies())
 
-    def _traffic_observer(self, post: SidecarPlan) -> Callable[[object, bool, bytes], None]:
+    def _traffic_observer(self, sidecar_plan: SidecarPlan) -> Callable[[object, bool, bytes], None]:
         parsers: dict[object, _AnswerParser] = {}
 
         def observe(connection: object, from_caller: bool, data: bytes) -> None:
             if from_caller:
-                self._judge.list_requested(self._clock.now_us(), post.name)
+                self._evaluator.list_requested(self._clock.now_us(), sidecar_plan.name)
                 return
             if connection not in parsers:
                 if len(parsers) >= 8:  # drops the parsers of connections that have ended
                     parsers.clear()
-                parsers[connection] = _AnswerParser(partial(self._record_answer, post))
+                parsers[connection] = _AnswerParser(partial(self._record_answer, sidecar_plan))
             parsers[connection].feed(data)
 
         return observe
 
-    def _record_answer(self, post: SidecarPlan, response: DiscoveryResponse | None) -> None:
+    def _record_answer(self, sidecar_plan: SidecarPlan, response: DiscoveryResponse | None) -> None:
         now_us = self._clock.now_us()
         if response is None:
-            self._judge.list_received(now_us, post.name, None)
+            self._evaluator.list_received(now_us, sidecar_plan.name, None)
             return
-        entries = [self._world_entry(post.tier, entry) for entry in response.instances]
+        entries = [self._world_entry(sidecar_plan.tier, entry) for entry in response.instances]
         if response.reset:
             listed_ids = {entry.id for entry in entries}
             entries += [
                 world.Entry(plan.id, plan.tier, plan.zone, plan.kind, plan.cell, Readiness.GONE, None)
                 for plan in self._day.endpoint_plans
-                if plan.tier == post.tier and plan.id not in listed_ids
+                if plan.tier == sidecar_plan.tier and plan.id not in listed_ids
             ]
         # Rule 3 concerns endpoints that leave. An entry that is not ready although its endpoint accepts
         # requests is an error of the service, which the client must detect: it is left out.
@@ -399,8 +404,8 @@
             for entry in entries
             if entry.lifecycle is Readiness.READY or not self._accepts_requests(entry.id)
         )
-        self._judge.list_received(
-            now_us, post.name, world.EndpointList(response.generation, False, consistent)
+        self._evaluator.list_received(
+            now_us, sidecar_plan.name, world.EndpointList(response.generation, False, consistent)
         )
 
     def _world_entry(self, tier: int, entry: Entry) -> world.Entry:
@@ -410,24 +415,26 @@
         )
 
     def _record_adoption(self, tier: int, adoption: AdoptionResult) -> None:
-        """Record for the judge that the main process lists these changes from now on."""
+        """Record for the evaluator that the main process lists these changes from now on."""
         now_us = self._clock.now_us()
         for entry in adoption.entries:
             world_entry = self._world_entry(tier, entry)
             if world_entry.lifecycle is Readiness.READY or not self._accepts_requests(world_entry.id):
-                self._judge.entry_published(now_us, world_entry)
+                self._evaluator.entry_published(now_us, world_entry)
 
-    def current_list(self, post: SidecarPlan) -> tuple[dict[str, object], world.EndpointList]:
+    def current_list(self, sidecar_plan: SidecarPlan) -> tuple[dict[str, object], world.EndpointList]:
         """The current list for a sidecar: as a discovery response, and in the form of the world."""
-        adopted_list = self._watches[post.tier].adopted_list
+        adopted_list = self._watches[sidecar_plan.tier].adopted_list
         entries = list(adopted_list.entries.values())
         instances = [
-            msgspec.structs.replace(entry, host_port=self._address_of(entry.instance_id, post.name))
+            msgspec.structs.replace(entry, host_port=self._address_of(entry.instance_id, sidecar_plan.name))
             for entry in entries
         ]
         response = DiscoveryResponse(generation=adopted_list.version, reset=True, instances=instances)
         listing = world.EndpointList(
-            adopted_list.version, True, tuple(self._world_entry(post.tier, entry) for entry in entries)
+            adopted_list.version,
+            True,
+            tuple(self._world_entry(sidecar_plan.tier, entry) for entry in entries),
         )
         return json.loads(msgspec.json.encode(response)), listing
 
@@ -435,7 +442,7 @@
 
     async def _register(self, endpoint: str, started_ms: int) -> None:
         plan = self._plans[endpoint]
-        sidecars = [post.name for post in self._day.sidecar_plans_of(plan.tier)]
+        sidecars = [sidecar_plan.name for sidecar_plan in self._day.sidecar_plans_of(plan.tier)]
         addresses_by_sidecar = {name: self._address_of(endpoint, name) for name in sidecars}
         entry = Entry(
             instance_id=endpoint,
@@ -463,7 +470,7 @@
             await proxy.open()
 
         async def is_alive() -> bool:
-            return True  # the registration of an endpoint that dies is abandoned, see `gone`
+            return True  # the registration of an endpoint that crashes is abandoned, see `endpoint_stopped`
 
         registration = self._registrations[endpoint] = Registration(
             record, [proxy.address], is_alive, logger=self._logger
@@ -494,13 +501,13 @@
 
     # --- faults ---
 
-    def set_unavailable(self, down: bool) -> None:
+    def set_unavailable(self, unavailable: bool) -> None:
         """Refuse or accept the sidecars' connections to the list service."""
-        self._set_modes(self._all_sidecar_proxies(), ProxyMode.RESET if down else ProxyMode.OPEN)
+        self._set_modes(self._all_sidecar_proxies(), ProxyMode.RESET if unavailable else ProxyMode.OPEN)
 
-    def set_stalled(self, on: bool) -> None:
+    def set_stalled(self, stalled: bool) -> None:
         """Truncate the responses to sidecars, or deliver them in full."""
-        self._set_modes(self._all_sidecar_proxies(), ProxyMode.TRUNCATED if on else ProxyMode.OPEN)
+        self._set_modes(self._all_sidecar_proxies(), ProxyMode.TRUNCATED if stalled else ProxyMode.OPEN)
 
     def _all_sidecar_proxies(self) -> list[FaultProxy]:
         return [proxy for proxies in self._sidecar_proxies.values() for proxy in proxies]
@@ -512,7 +519,7 @@
 
         self._start_task(set_modes())
 
-    async def play_registry_event(self, event: Event, until: WaitUntil) -> None:
+    async def run_registry_event(self, event: Event, until: WaitUntil) -> None:
         """Apply a fault of the list service from now until the end of the event."""
         main = self._nodes[0]
         if event.kind is TroubleKind.REGISTRY_PAUSED:
--- a/eiderhub/emulator/management_client.py
+++ b/eiderhub/emulator/management_client.py
@@ -13,7 +13,7 @@
     """Send one command and return the complete reply without its final line break; it starts with OK or ERR.
 
     Raises:
-        Unanswered: with a reason that can be shown to an operator.
+        ManagementCallError: with a reason that can be shown to an operator.
     """
     try:
         async with asyncio.timeout(timeout_s):
--- a/eiderhub/emulator/processes.py
+++ b/eiderhub/emulator/processes.py
@@ -187,7 +187,7 @@
 class SupervisedSidecar:
     """One sidecar's name, addresses and start parameters, which every restart reuses."""
 
-    post: SidecarPlan
+    plan: SidecarPlan
     host: str
     port: int
     reserved_ports: list[socket.socket]  # sockets that reserve the management ports
@@ -218,7 +218,7 @@
         Only the TOML form has keys for these two. The file is replaced atomically.
         """
         document = {
-            "name": self.post.name,
+            "name": self.plan.name,
             "listen": f"{self.host}:{self.port}",
             "discovery": self.discovery,
             "management": self.management,
@@ -248,7 +248,7 @@
         management_socket = self.reserved_ports[self.usage.starts % len(self.reserved_ports)]
         self.management = f"{self.host}:{management_socket.getsockname()[1]}"
         environ = child_environment() | {
-            "GW_NAME": self.post.name,
+            "GW_NAME": self.plan.name,
             "GW_LISTEN": f"{self.host}:{self.port}",
             "GW_DISCOVERY": self.discovery,
             "GW_CONFIG": str(self.config_path),
@@ -258,7 +258,7 @@
         if self.inherited_socket is not None:
             environ["GW_FD"] = str(INHERITED_SOCKET_FD)
         process = Process(
-            self.post.name,
+            self.plan.name,
             self.command,
             environ,
             self.log_path,
--- a/eiderhub/emulator/sidecar_settings.py
+++ b/eiderhub/emulator/sidecar_settings.py
@@ -7,11 +7,11 @@
 from eiderhub.world.day import Day, SidecarPlan
 
 
-def build_sidecar_settings(day: Day, post: SidecarPlan) -> dict[str, Any]:
+def build_sidecar_settings(day: Day, sidecar_plan: SidecarPlan) -> dict[str, Any]:
     """The settings object for one sidecar: times in microseconds, names as in the platform's JSON."""
     scenario = day.scenario
     allowed, rules, goal = scenario.allowed, scenario.rules, scenario.goal
-    kinds = [kind.name for kind in scenario.tier[post.tier].kind]
+    kinds = [kind.name for kind in scenario.tier[sidecar_plan.tier].kind]
     return {
         "Allowed": {
             "ConnIdleUs": int(allowed.idle_s * 1e6),
@@ -28,7 +28,7 @@
             "RetryAfter": allowed.retry_after,
             "SecondCopies": allowed.second_copies,
         },
-        "Balancers": post.sidecars_in_tier,
+        "Balancers": sidecar_plan.sidecars_in_tier,
         "Categories": [
             {
                 "AimUs": request_class.aim_us,
@@ -60,16 +60,16 @@
             "WorstWindow": goal.worst_window,
         },
         "Kinds": kinds,
-        "Layer": post.tier,
+        "Layer": sidecar_plan.tier,
         "Localities": scenario.zones,
-        "MyZone": post.zone,
+        "MyZone": sidecar_plan.zone,
         "ZoneVerdicts": True,
         "OverShareWorth": goal.over_share_worth,
         "Parties": [
             {"Name": tenant.name, "QuotaPerS": tenant.quota_per_s, "Share": tenant.share}
             for tenant in day.tenants
         ],
-        "Rank": post.rank,
+        "Rank": sidecar_plan.rank,
         "Report": {"Fields": [], "How": "none"},
         "Rules": {
             "AnswerSlackUs": int(rules.answer_slack_ms * 1000),
--- a/eiderhub/world/evaluation.py
+++ b/eiderhub/world/evaluation.py
@@ -404,7 +404,7 @@
         request_count = max(1, len(ended))
         unserved = [request for request in ended if not request.served and request.ended_us is not None]
         late_worth = sum(
-            _full_worth(request, 1.0) for request in unserved if _past_aim(request, request.ended_us or 0)
+            _full_worth(request, 1.0) for request in unserved if _is_late(request, request.ended_us or 0)
         )
         deductions = {
             "late": scoring.late_fail * min(1.0, late_worth / total.wanted if total.wanted else 0.0),
@@ -442,7 +442,7 @@
         )
 
 
-def _past_aim(request: ClientRequest, now_us: int) -> bool:
+def _is_late(request: ClientRequest, now_us: int) -> bool:
     return now_us - request.arrival_us > request.request_class.aim_us
 
 
@@ -455,7 +455,7 @@
     if not request.served or request.ended_us is None:
         return 0.0
     worth = _full_worth(request, over_quota_worth)
-    return worth * request.request_class.spec.late_worth if _past_aim(request, request.ended_us) else worth
+    return worth * request.request_class.spec.late_worth if _is_late(request, request.ended_us) else worth
 
 
 def _count_outcomes(requests: Iterable[ClientRequest], over_quota_worth: float) -> OutcomeCounts:
@@ -465,7 +465,7 @@
         row.wanted += _full_worth(request, over_quota_worth)
         row.worth += _gained_worth(request, over_quota_worth)
         if request.served and request.ended_us is not None:
-            if _past_aim(request, request.ended_us):
+            if _is_late(request, request.ended_us):
                 row.late += 1
             else:
                 row.served += 1
--- a/eiderhub/world/front_balancer.py
+++ b/eiderhub/world/front_balancer.py
@@ -35,7 +35,7 @@
         self._rng = rng
         self._redirects: dict[str, str] = {}  # by zone of the clients, the zone whose sidecars they use
         self._statuses = {
-            post.name: _SidecarStatus(post) for post in day.sidecar_plans if post.endpoint_id is None
+            plan.name: _SidecarStatus(plan) for plan in day.sidecar_plans if plan.endpoint_id is None
         }
 
     def record_answer(self, now_us: int, name: str, ready: bool) -> None:
--- a/tests/registry_support.py
+++ b/tests/registry_support.py
@@ -180,10 +180,10 @@
         """A watcher that only serves as a logger."""
         return Watcher(FollowSettings(addresses=["127.0.0.1:1"]))
 
-    def _on_change(self, verdict: AdoptionResult) -> None:
-        if verdict.is_full:
+    def _on_change(self, adoption: AdoptionResult) -> None:
+        if adoption.is_full:
             self.lifecycles.clear()
-        for entry in verdict.entries:
+        for entry in adoption.entries:
             if entry.lifecycle.value == "gone":
                 self.lifecycles.pop(entry.instance_id, None)
             else:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -82,7 +82,7 @@
     async def run_day() -> tuple[Result, Path]:
         deployment = Deployment(draw_day(load_scenario(path), 2, "small"), command, real_registry=real_lists)
         async with deployment:
-            await deployment.play()
+            await deployment.run()
             return deployment.result(), deployment.folder
 
     return asyncio.run(run_day())
@@ -150,7 +150,7 @@
 
 @given(st.lists(st.binary(max_size=5000), max_size=6), st.lists(st.sampled_from(list(ProxyMode)), max_size=4))
 @settings(max_examples=25)
-def test_wire_delivers_data_in_order_and_completely_once_reopened(
+def test_proxy_delivers_data_in_order_and_completely_once_reopened(
     pieces: list[bytes], states: list[ProxyMode]
 ) -> None:
     async def test() -> None:
@@ -163,28 +163,28 @@
         loop = asyncio.get_running_loop()
         server = await loop.create_server(Sink, "127.0.0.1", 0)
         target = Address(*server.sockets[0].getsockname())
-        wire = FaultProxy("127.0.0.1", lambda: target)
-        await wire.open()
-        _, writer = await asyncio.open_connection(*wire.address)
+        proxy = FaultProxy("127.0.0.1", lambda: target)
+        await proxy.open()
+        _, writer = await asyncio.open_connection(*proxy.address)
         broken = False
         sent = b""
         for i, data in enumerate(pieces):
-            how = states[i % len(states)] if states else ProxyMode.OPEN
-            await wire.set_mode(how)
-            if how is ProxyMode.RESET:
+            mode = states[i % len(states)] if states else ProxyMode.OPEN
+            await proxy.set_mode(mode)
+            if mode is ProxyMode.RESET:
                 broken = True
                 break
             writer.write(data)
             sent += data
             await asyncio.sleep(0)
-        await wire.set_mode(ProxyMode.OPEN)
+        await proxy.set_mode(ProxyMode.OPEN)
         if not broken:
             while len(received) < len(sent):
                 await asyncio.sleep(0.001)
         assert sent.startswith(received) and (broken or received == sent)
         writer.close()
         server.close()
-        wire.close()
+        proxy.close()
 
     run(test())
 
@@ -221,12 +221,12 @@
 def test_deployment_without_free_descriptors_leaves_no_folder(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def fail_to_claim(host: str) -> socket.socket:
+    def fail_to_reserve(host: str) -> socket.socket:
         raise OSError(errno.EMFILE, "too many open files")
 
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path / "tmp"))
     (tmp_path / "tmp").mkdir()
-    monkeypatch.setattr("eiderhub.emulator.deployment.reserve_port", fail_to_claim)
+    monkeypatch.setattr("eiderhub.emulator.deployment.reserve_port", fail_to_reserve)
     with pytest.raises(DeploymentError, match="ulimit"):
         run_scenario(write_scenario(tmp_path))
     assert list((tmp_path / "tmp").iterdir()) == []
@@ -326,23 +326,23 @@
         mix = RequestMix((RequestClass("look", Effect.IDEMPOTENT, deadline_ms=5000),))
         due = np.arange(20) / 1000  # all due within 20 ms
         load = LoadRun([(host, int(port))], due, mix, 1)
-        running = asyncio.create_task(load.run())
+        run_task = asyncio.create_task(load.run())
         received = [await fake.next_request() for _ in due]
         started_s = time.monotonic()
         await asyncio.sleep(0.2)  # the target stalls for all of them
         stall_ms = (time.monotonic() - started_s) * 1000
         received[0].reset()
         received[1].reply(503)
-        for each in received[2:]:
-            each.reply()
-        await running
+        for request in received[2:]:
+            request.reply()
+        await run_task
         load.close()
         figures = load.document()
-        ends = load.results["look"].ends
-        assert (ends[End.SERVED], ends[End.REFUSED], ends[End.BROKEN]) == (18, 1, 1)
+        outcomes = load.results["look"].ends
+        assert (outcomes[End.SERVED], outcomes[End.REFUSED], outcomes[End.BROKEN]) == (18, 1, 1)
         assert figures["statuses"] == {"200": 18, "503": 1}
         assert figures["latency_ms"]["p50"] >= 0.99 * stall_ms
-        request_ids = [each.message.headers["req-id"] for each in received]
+        request_ids = [request.message.headers["req-id"] for request in received]
         assert len(set(request_ids)) == len(request_ids)
 
     run(test())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -197,7 +197,7 @@
             version = await main.fetch_version()
             assert main.process is not None
             main.process.send_signal(signal.SIGSTOP)
-            registrations[2].abandon()  # this endpoint dies during the pause
+            registrations[2].abandon()  # this endpoint crashes during the pause
             await asyncio.sleep(4)
             main.process.send_signal(signal.SIGCONT)
 
@@ -486,12 +486,10 @@
         return adopted_list
 
     adopted_list = new_adopted_list()
-    assert adopted_list.consider(
-        US_PER_S, make_list_answer(11, make_entries(5))
-    ).adopted  # half the endpoints: within the limit
-    assert not adopted_list.consider(
-        2 * US_PER_S, make_list_answer(12, make_entries(4))
-    ).adopted  # four of the recent ten: below it
+    # half the endpoints: within the limit
+    assert adopted_list.consider(US_PER_S, make_list_answer(11, make_entries(5))).adopted
+    # four of the recent ten: below it
+    assert not adopted_list.consider(2 * US_PER_S, make_list_answer(12, make_entries(4))).adopted
     assert adopted_list.version == 11 and len(adopted_list.entries) == 5
     assert adopted_list.consider(3 * US_PER_S, make_list_answer(13, make_entries(4), source="two")).adopted
     for rows in ([], make_entries(3)):
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -275,10 +275,11 @@
         )
         retry_at_us = next_try_us(drawn_day, request, now_us, end, retry_after_us)
         if retry_at_us is not None:
+            # both classes of this day may be repeated only after these
             assert end in (
                 End.REFUSED,
                 End.UNREACHABLE,
-            )  # both classes of this day may be repeated only after these
+            )
             assert now_us <= retry_at_us < request.deadline_us and tries <= drawn_day.retries
         assert try_timeout_us(drawn_day, request, now_us) <= request.deadline_us - now_us
 
@@ -390,9 +391,10 @@
     evaluator = Evaluator(drawn_day)
     requests = [
         ClientRequest(0, 0, bind, "acme", "west", 1.0, None, False, ended_us=US_PER_S, end=End.SERVED),
+        # after its target latency
         ClientRequest(
             1, 1 * US_PER_S, bind, "acme", "west", 1.0, None, False, ended_us=4 * US_PER_S, end=End.SERVED
-        ),  # after its target latency
+        ),
         ClientRequest(
             2, 15 * US_PER_S, quote, "globe", "west", 1.0, None, False, ended_us=16 * US_PER_S, end=End.SERVED
         ),
--- a/tests/test_zone_orders.py
+++ b/tests/test_zone_orders.py
@@ -130,12 +130,12 @@
 class SidecarProcess:
     """A real sidecar in zone west that gets its lists from the service through proxies."""
 
-    def __init__(self, fleet: Fleet, name: str, wires: list[FaultProxy]) -> None:
+    def __init__(self, fleet: Fleet, name: str, proxies: list[FaultProxy]) -> None:
         self.folder = fleet.folder / name
         self.folder.mkdir()
         self._reserved_sockets = [reserve_port("127.0.0.1") for _ in range(2)]
         listen, management = (Address(*sock.getsockname()) for sock in self._reserved_sockets)
-        addresses = ", ".join(f'"{wire.address}"' for wire in wires)
+        addresses = ", ".join(f'"{proxy.address}"' for proxy in proxies)
         storage_options = f'keep = "{self.folder}/list.json", wait_s = 1.0'
         registry_line = f"registry = {{ addresses = [{addresses}], {storage_options} }}\n"
         self._config = self.folder / "sidecar.toml"
@@ -208,8 +208,8 @@
                     entry = Entry(instance_id=endpoint.name, host_port=str(address), zone=endpoint.name)
                     await main.put(Record(entry=entry))
                 for name in ("one", "two"):
-                    wires = [await fleet.add_proxy(node) for node in (follower, main)]
-                    sidecars.append(SidecarProcess(fleet, name, wires))
+                    proxies = [await fleet.add_proxy(node) for node in (follower, main)]
+                    sidecars.append(SidecarProcess(fleet, name, proxies))
                     sidecars[-1].start()
                 one, two = sidecars
                 await asyncio.gather(one.wait_until_served_by("west"), two.wait_until_served_by("west"))
@@ -223,14 +223,14 @@
                 assert (status, "did you mean north" in output) == (2, True), output
                 # With the service down and one sidecar restarted, both still apply the order.
                 await main.kill()
-                for wire in fleet.proxies:
-                    await wire.set_mode(ProxyMode.RESET)
+                for proxy in fleet.proxies:
+                    await proxy.set_mode(ProxyMode.RESET)
                 await one.kill()
                 one.start()
                 await asyncio.gather(one.wait_until_served_by("north"), two.wait_until_served_by("north"))
                 await main.start()
-                for wire in fleet.proxies:
-                    await wire.set_mode(ProxyMode.OPEN)
+                for proxy in fleet.proxies:
+                    await proxy.set_mode(ProxyMode.OPEN)
                 stored_order = (await orders_by_zone(main))["west"]
                 assert stored_order is not None and stored_order.share == 0.0
                 status, output = await run_ottercleat("zone", "return", main_address, "west")
@@ -241,8 +241,8 @@
                 assert status == 0, output
                 await asyncio.gather(one.wait_until_served_by("north"), two.wait_until_served_by("north"))
                 await main.kill()
-                for wire in fleet.proxies:
-                    await wire.set_mode(ProxyMode.CUT)
+                for proxy in fleet.proxies:
+                    await proxy.set_mode(ProxyMode.CUT)
                 await asyncio.gather(one.wait_until_served_by("west"), two.wait_until_served_by("west"))
                 await main.start()
 
