--- a/eiderhub/cli/runner.py
+++ b/eiderhub/cli/runner.py
@@ -11,7 +11,7 @@
 import uvloop
 
 from eiderhub.cli.console_output import progress
-from eiderhub.emulator.clients import OutsideClients
+from eiderhub.emulator.clients import ScenarioClients
 from eiderhub.emulator.deployment import Deployment, DeploymentError, Result
 from eiderhub.emulator.processes import cancel_on_signals
 from eiderhub.world.day import Day
@@ -43,7 +43,7 @@
     return shlex.split(command) if command else None
 
 
-def progress_text(clients: OutsideClients) -> str:
+def progress_text(clients: ScenarioClients) -> str:
     return f"{clients.finished_count} ended, {clients.served_count} served, {len(clients.in_flight)} open"
 
 
--- a/eiderhub/emulator/clients.py
+++ b/eiderhub/emulator/clients.py
@@ -1,4 +1,4 @@
-"""Callers of sidecars: outside clients through the front, and endpoints that call the next tier."""
+"""Callers of sidecars: the scenario's clients, through the front, and endpoints that call the next tier."""
 
 from __future__ import annotations
 
@@ -84,8 +84,8 @@
         self._on_finished(end, reply.retry_after_us if reply is not None else 0)
 
 
-class OutsideClients:
-    """The outside clients; each client request is tried, and retried, until it has an outcome."""
+class ScenarioClients:
+    """The scenario's clients; each client request is tried, and retried, until it has an outcome."""
 
     def __init__(
         self,
@@ -113,15 +113,15 @@
         self._evaluator.add_client_request(client_request)
         self._start_try(client_request)
 
-    def _has_idle_connection(self, sidecar: str) -> bool:
-        return bool(self._targets[sidecar].pool.idle)
+    def _has_idle_connection(self, sidecar_name: str) -> bool:
+        return bool(self._targets[sidecar_name].pool.idle)
 
     def _start_try(self, client_request: ClientRequest) -> None:
         now_us = self._clock.now_us()
         client_request.tries += 1
-        sidecar = self._front.choose(now_us, client_request.zone, self._has_idle_connection)
+        sidecar_name = self._front.choose(now_us, client_request.zone, self._has_idle_connection)
         timeout_us = try_timeout_us(self._day, client_request, now_us)
-        if sidecar is None:
+        if sidecar_name is None:
             self._on_try_finished(client_request, End.UNREACHABLE, 0)
             return
         request = RequestInfo(
@@ -135,7 +135,7 @@
             self._clock,
             self._evaluator,
             self._requests,
-            self._targets[sidecar],
+            self._targets[sidecar_name],
             request,
             timeout_us,
             client_request.tries > 1 and self._day.scenario.clients.marks_retry,
--- a/eiderhub/emulator/deployment.py
+++ b/eiderhub/emulator/deployment.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from typing import Any
 
-from eiderhub.emulator.clients import OutsideClients, Target, Try
+from eiderhub.emulator.clients import ScenarioClients, Target, Try
 from eiderhub.emulator.clock import MAX_LATENESS_P99_MS, Clock
 from eiderhub.emulator.discovery import DiscoveryBackend, SimulatedDiscovery
 from eiderhub.emulator.endpoint_servers import EndpointServer, RequestInfo, RequestTable
@@ -257,7 +257,7 @@
             for sidecar_plan in day.sidecar_plans
             if sidecar_plan.endpoint_id is not None
         }
-        self.clients = OutsideClients(
+        self.clients = ScenarioClients(
             day, self.clock, self.evaluator, self.requests, self.front, self.targets
         )
 
@@ -469,7 +469,7 @@
 
     # --- the day ---
 
-    async def run(self, progress: Callable[[float, OutsideClients], None] = lambda *_: None) -> None:
+    async def run(self, progress: Callable[[float, ScenarioClients], None] = lambda *_: None) -> None:
         """Run clients and troubles until the day is over and every request has an outcome.
 
         Raises:
@@ -477,7 +477,7 @@
         """
         await self._run_unless_failed(self._run_day(progress))
 
-    async def _run_day(self, progress: Callable[[float, OutsideClients], None]) -> None:
+    async def _run_day(self, progress: Callable[[float, ScenarioClients], None]) -> None:
         self.clock.start()
         for sidecar in self.sidecars.values():
             sidecar.usage.before_s = self._cpu_s(sidecar)
--- a/eiderhub/emulator/fault_injection.py
+++ b/eiderhub/emulator/fault_injection.py
@@ -179,20 +179,20 @@
         """Stop an endpoint and kill the sidecar that belongs to it."""
         target = self._target
         target.endpoints[name].terminate(silent)
-        sidecar = target.sidecar_of_endpoint(name)
-        if sidecar is not None:
-            target.kill_sidecar(sidecar)
+        sidecar_name = target.sidecar_of_endpoint(name)
+        if sidecar_name is not None:
+            target.kill_sidecar(sidecar_name)
         target.discovery.endpoint_stopped(name, silent)
 
     async def _start_endpoint(self, name: str) -> None:
         """Start a new endpoint process under the same ID, after its sidecar has reported ready."""
         target = self._target
-        sidecar = target.sidecar_of_endpoint(name)
-        if sidecar is not None:
-            for process in list(target.sidecars[sidecar].processes):
+        sidecar_name = target.sidecar_of_endpoint(name)
+        if sidecar_name is not None:
+            for process in list(target.sidecars[sidecar_name].processes):
                 await process.exited.wait()
-            target.start_sidecar(sidecar)
-            await target.wait_until_ready(sidecar)
+            target.start_sidecar(sidecar_name)
+            await target.wait_until_ready(sidecar_name)
         endpoint_server = target.endpoints[name]
         await endpoint_server.start()
         assert endpoint_server.endpoint.started_us is not None
