--- a/tests/features/tier.feature
+++ b/tests/features/tier.feature
@@ -1,50 +1,50 @@
-Feature: A whole tier on loopback
-  The real programs, with stand-ins for the platform's list and the model endpoints.
+Feature: A complete tier on loopback
+  The real programs, with fakes of the platform's discovery list and of the model endpoints.
 
-  Scenario: A tier outlives its primaries
-    Given a tier whose programs were all started together
-    When the operator puts configuration 5 on top of 0
+  Scenario: A tier survives the loss of its primaries
+    Given a tier whose programs are all started at the same time
+    When the operator puts configuration 5 based on 0
     Then every edge becomes ready
-    And a stream comes whole from each edge
-    And a batch job handed in twice is run once
+    And each edge returns a complete stream
+    And a batch job submitted twice is run once
     When the control primary is killed
-    Then the configuration read back is 5
-    And configuration 7 on top of 5 is taken
-    And the same change sent again is acknowledged again
-    And a change on top of 5 is refused
+    Then the active configuration is 5
+    And configuration 7 based on 5 is accepted
+    And the same change is acknowledged again when repeated
+    And a change based on 5 is rejected
     When the storage primary is killed
-    Then the results of the batch job are those read before
+    Then the results of the batch job are unchanged
     And another batch job is run
 
-  Scenario: Everything is killed at once
-    Given a tier whose programs were all started together
-    When the operator puts configuration 5 on top of 0
+  Scenario: All programs are killed and restarted
+    Given a tier whose programs are all started at the same time
+    When the operator puts configuration 5 based on 0
     Then every edge becomes ready
-    And a batch job handed in twice is run once
-    When every program is killed and started again
-    Then the configuration read back is 5
+    And a batch job submitted twice is run once
+    When every program is killed and restarted
+    Then the active configuration is 5
     And every edge becomes ready
-    And the results of the batch job are those read before
+    And the results of the batch job are unchanged
 
-  Scenario: A stream that breaks off goes on inside the same answer
-    Given a tier whose programs were all started together
-    When the operator puts configuration 5 on top of 0
+  Scenario: An interrupted stream is resumed within the same response
+    Given a tier whose programs are all started at the same time
+    When the operator puts configuration 5 based on 0
     Then every edge becomes ready
-    And a stream that its endpoint breaks off in an event comes whole
+    And a stream that its endpoint interrupts within an event is returned complete
 
-  Scenario: A sidecar is stopped while it answers
-    Given a tier whose programs were all started together
-    When the operator puts configuration 5 on top of 0
+  Scenario: A sidecar is terminated during a response
+    Given a tier whose programs are all started at the same time
+    When the operator puts configuration 5 based on 0
     Then every edge becomes ready
-    And a sidecar that is told to stop ends the stream that it carries
+    And a sidecar that receives SIGTERM completes the stream in progress before it exits
 
-  Scenario: A spending cap runs out in the middle of the evening
-    Given a tier whose programs were all started together
-    When the operator puts a configuration in which one tenant has a cap
+  Scenario: A tenant uses up its spending cap while its work is in progress
+    Given a tier whose programs are all started at the same time
+    When the operator puts a configuration that gives one tenant a spending cap
     Then every edge becomes ready
-    And the tenant is served until its cap has run out, and no further
-    And every edge refuses the tenant at once, quick checks and batches alike
-    And another tenant is served at every edge, quick checks and batches alike
-    And what the tenant had under way came back exactly once
-    And the cap holds after the control primary was killed
-    And a raised cap lets the tenant spend again
+    And the tenant is served until its cap is used up, and then rejected
+    And every edge immediately rejects streaming requests and batch jobs of the tenant
+    And every edge serves streaming requests and batch jobs of another tenant
+    And each accepted request and batch item of the tenant is completed exactly once
+    And the cap is still enforced after the control primary was killed
+    And the tenant is served again after its cap is raised
--- a/tests/test_tier.py
+++ b/tests/test_tier.py
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def first_results() -> dict[str, Any]:
-    """Results of the first batch job as first read, for comparison after a failure."""
+    """Results of the first batch job before a failure, for comparison afterwards."""
     return {}
 
 
@@ -39,18 +39,19 @@
     return b"".join(f"id: {n}\ndata: {request_id} {n}\n\n".encode() for n in range(EVENTS_PER_STREAM))
 
 
-def definite_submission(tier: Tier, edge: Program, job: str, items: list[str], prefix: str = "/lots/") -> int:
-    """The first answer to a batch job that is neither 503 nor 504; only the final one is judged.
+def submit_until_final(tier: Tier, edge: Program, job: str, items: list[str], prefix: str = "/lots/") -> int:
+    """Submit a batch job again until the status is neither 503 nor 504, and return this final status.
 
     Guards against a storage primary that gets no processor time for a while: its lease ends, and an edge
-    answers 503 (not taken) or 504 (possibly taken). Either may be handed in again: a job runs once.
+    answers 503 (not accepted) or 504 (possibly accepted). After either, the job may be submitted again: it
+    runs once.
     """
 
-    def definite() -> int | None:
+    def final() -> int | None:
         status = tier.submit(edge, job, items, prefix)
         return None if status in (503, 504) else status
 
-    return int(wait_until(definite, f"a definite answer to job {job}"))
+    return int(wait_until(final, f"a final answer to job {job}"))
 
 
 def wait_for_results(tier: Tier, edge: Program, job: str, count: int) -> dict[str, Any]:
@@ -63,12 +64,12 @@
     return found
 
 
-@given("a tier whose programs were all started together")
+@given("a tier whose programs are all started at the same time")
 def _(tier: Tier) -> None:
     tier.start()
 
 
-@when(parsers.parse("the operator puts configuration {generation:d} on top of {base:d}"))
+@when(parsers.parse("the operator puts configuration {generation:d} based on {base:d}"))
 def _(tier: Tier, generation: int, base: int) -> None:
     assert tier.put_configuration(document(generation), base) == 200
 
@@ -78,7 +79,7 @@
     tier.wait_ready()
 
 
-@then("a stream comes whole from each edge")
+@then("each edge returns a complete stream")
 def _(tier: Tier) -> None:
     for edge in tier.with_role("edge"):
         status, body, headers = tier.send_request(edge, "/live/x", f"r-{edge.name}")
@@ -87,11 +88,11 @@
     assert sum(sum(e.request_counts.values()) for e in tier.endpoints) == 2
 
 
-@then("a batch job handed in twice is run once")
+@then("a batch job submitted twice is run once")
 def _(tier: Tier, first_results: dict[str, Any]) -> None:
     first, second = tier.with_role("edge")
     wait_until(lambda: tier.submit(first, "job1", ITEMS) == 202, "the batch job accepted")
-    assert definite_submission(tier, second, "job1", ITEMS) == 202
+    assert submit_until_final(tier, second, "job1", ITEMS) == 202
     first_results.update(wait_for_results(tier, second, "job1", len(ITEMS)))
     assert first_results["total"] == len(ITEMS)
     texts = {result["id"]: result["text"] for result in first_results["results"]}
@@ -112,36 +113,36 @@
     wait_until(lambda: sum(p.count_logged("leads epoch") for p in others) > before, f"another {role} primary")
 
 
-@when("every program is killed and started again")
+@when("every program is killed and restarted")
 def _(tier: Tier) -> None:
     for program in tier.programs:
         program.stop()
     tier.start()
 
 
-@then(parsers.parse("the configuration read back is {generation:d}"))
+@then(parsers.parse("the active configuration is {generation:d}"))
 def _(tier: Tier, generation: int) -> None:
     assert tier.configuration() == document(generation)
 
 
-@then(parsers.parse("configuration {generation:d} on top of {base:d} is taken"))
+@then(parsers.parse("configuration {generation:d} based on {base:d} is accepted"))
 def _(tier: Tier, generation: int, base: int) -> None:
     assert tier.put_configuration(document(generation, route("more")), base) == 200
     edge = tier.with_role("edge")[0]
     wait_until(lambda: tier.send_request(edge, "/more/x", "r-more")[0] == 200, "the new route is active")
 
 
-@then("the same change sent again is acknowledged again")
+@then("the same change is acknowledged again when repeated")
 def _(tier: Tier) -> None:
     assert tier.put_configuration(document(7, route("more")), 5) == 200
 
 
-@then("a change on top of 5 is refused")
+@then("a change based on 5 is rejected")
 def _(tier: Tier) -> None:
     assert tier.put_configuration(document(8), 5) == 412
 
 
-@then("the results of the batch job are those read before")
+@then("the results of the batch job are unchanged")
 def _(tier: Tier, first_results: dict[str, Any]) -> None:
     for edge in tier.with_role("edge"):
         assert wait_for_results(tier, edge, "job1", len(ITEMS)) == first_results
@@ -154,7 +155,7 @@
     wait_for_results(tier, edge, "job2", 1)
 
 
-@then("a stream that its endpoint breaks off in an event comes whole")
+@then("a stream that its endpoint interrupts within an event is returned complete")
 def _(tier: Tier) -> None:
     tier.break_at_events.append(1)
     status, body, _ = tier.send_request(tier.with_role("edge")[0], "/live/x", "r-cut")
@@ -162,14 +163,14 @@
     assert sum(endpoint.request_counts["r-cut"] for endpoint in tier.endpoints) == 2
 
 
-@then("a sidecar that is told to stop ends the stream that it carries")
+@then("a sidecar that receives SIGTERM completes the stream in progress before it exits")
 def _(tier: Tier) -> None:
     edge = tier.with_role("edge")[0]
     answers: list[tuple[int, bytes, dict[str, str]]] = []
     for endpoint in tier.endpoints:
         endpoint.may_continue.clear()
-    asking = threading.Thread(target=lambda: answers.append(tier.send_request(edge, "/live/x", "r-stop")))
-    asking.start()
+    requesting = threading.Thread(target=lambda: answers.append(tier.send_request(edge, "/live/x", "r-stop")))
+    requesting.start()
     wait_until(
         lambda: any(endpoint.request_counts["r-stop"] for endpoint in tier.endpoints),
         "the stream has reached its endpoint",
@@ -179,7 +180,7 @@
     wait_until(lambda: tier.call(edge, "readiness", "GET", "/readyz")[0] == 503, "the sidecar is draining")
     for endpoint in tier.endpoints:
         endpoint.may_continue.set()
-    asking.join()
+    requesting.join()
     assert [(status, body) for status, body, _ in answers] == [(200, complete_stream("r-stop"))]
     assert edge.process.wait(30.0) == 0
 
@@ -199,24 +200,24 @@
     return document(generation, *routes) | {"tenants": tenants}
 
 
-def definite_answer(
+def send_until_final(
     tier: Tier, edge: Program, path: str, request_id: str, tokens: int
 ) -> tuple[int, bytes, dict[str, str]]:
-    """The first answer to a request that is not a 503 with Retry-After; only the final one is judged.
+    """Send a request again until the answer is not a 503 with Retry-After, and return this final answer.
 
     Guards against a control primary that gets no processor time for a while: an edge whose lease of tokens
-    is used up gets no other within 0.4 s (LEASE_TIMEOUT_S), and refuses. A refused request has not run and
-    may be sent again; that none has run is seen from what the endpoints counted.
+    is used up gets no new lease within 0.4 s (LEASE_TIMEOUT_S), and rejects the request. A rejected request
+    has not run and may be sent again; the endpoints' request counts show that none has run.
     """
 
-    def definite() -> tuple[int, bytes, dict[str, str]] | None:
+    def final() -> tuple[int, bytes, dict[str, str]] | None:
         answer = tier.send_request(edge, path, request_id, tokens=tokens)
         if answer[0] != 503:
             return answer
         time.sleep(float(answer[2]["Retry-After"]))
         return None
 
-    found = wait_until(definite, f"a definite answer to {request_id}")
+    found = wait_until(final, f"a final answer to {request_id}")
     assert isinstance(found, tuple)
     return found
 
@@ -231,18 +232,18 @@
     return {}
 
 
-@when("the operator puts a configuration in which one tenant has a cap")
+@when("the operator puts a configuration that gives one tenant a spending cap")
 def _(tier: Tier) -> None:
     assert tier.put_configuration(capped_configuration(5, CAP_TOKENS), 0) == 200
 
 
-@then("the tenant is served until its cap has run out, and no further")
+@then("the tenant is served until its cap is used up, and then rejected")
 def _(tier: Tier, capped_answers: dict[str, Any]) -> None:
     edges = tier.with_role("edge")
     wait_until(lambda: tier.submit(edges[0], "job1", ITEMS) == 202, "the batch job accepted")
     spent = 20 * len(ITEMS)
     for number in range(2 * CAP_TOKENS // REQUEST_TOKENS):
-        status, body, _ = definite_answer(tier, edges[number % 2], "/live/x", f"r-{number}", REQUEST_TOKENS)
+        status, body, _ = send_until_final(tier, edges[number % 2], "/live/x", f"r-{number}", REQUEST_TOKENS)
         capped_answers[f"r-{number}"] = (status, body)
         if status == 200:
             spent += REQUEST_TOKENS
@@ -254,23 +255,23 @@
     assert capped_answers[f"r-{number}"][0] == 429
 
 
-@then("every edge refuses the tenant at once, quick checks and batches alike")
+@then("every edge immediately rejects streaming requests and batch jobs of the tenant")
 def _(tier: Tier) -> None:
     for edge in tier.with_role("edge"):
         wait_until(partial(is_answered_with, tier, edge, f"late-{edge.name}", 429), "refused")
-        assert definite_submission(tier, edge, f"late-job-{edge.name}", ["late-item"]) == 429
+        assert submit_until_final(tier, edge, f"late-job-{edge.name}", ["late-item"]) == 429
     assert not any(endpoint.request_counts["late-item"] for endpoint in tier.endpoints)
 
 
-@then("another tenant is served at every edge, quick checks and batches alike")
+@then("every edge serves streaming requests and batch jobs of another tenant")
 def _(tier: Tier) -> None:
     for number, edge in enumerate(tier.with_role("edge")):
         assert tier.send_request(edge, "/other-live/x", f"o-{number}", tokens=REQUEST_TOKENS)[0] == 200
-        assert definite_submission(tier, edge, f"other-{number}", [f"o-item-{number}"], "/other-lots/") == 202
+        assert submit_until_final(tier, edge, f"other-{number}", [f"o-item-{number}"], "/other-lots/") == 202
         wait_for_results(tier, edge, f"other-{number}", 1)
 
 
-@then("what the tenant had under way came back exactly once")
+@then("each accepted request and batch item of the tenant is completed exactly once")
 def _(tier: Tier, capped_answers: dict[str, Any]) -> None:
     page = wait_for_results(tier, tier.with_role("edge")[1], "job1", len(ITEMS))
     assert sorted(result["id"] for result in page["results"]) == ITEMS
@@ -282,7 +283,7 @@
         assert (runs[request_id], body) == ((1, complete_stream(request_id)) if status == 200 else (0, b""))
 
 
-@then("the cap holds after the control primary was killed")
+@then("the cap is still enforced after the control primary was killed")
 def _(tier: Tier) -> None:
     leader = tier.primary("control")
     others = [p for p in tier.with_role("control") if p is not leader]
@@ -293,7 +294,7 @@
         assert tier.send_request(edge, "/live/x", f"after-{edge.name}", tokens=1)[0] == 429
 
 
-@then("a raised cap lets the tenant spend again")
+@then("the tenant is served again after its cap is raised")
 def _(tier: Tier) -> None:
     assert tier.put_configuration(capped_configuration(7, 2 * CAP_TOKENS), 5) == 200
     for edge in tier.with_role("edge"):
--- a/tests/test_tier_commands.py
+++ b/tests/test_tier_commands.py
@@ -13,10 +13,10 @@
 from eiderhub.storage.store import LmdbStore
 from tests.tier_support import Tier, document, wait_until
 
-# What control nodes answer while none of them is sure to lead (docs/control-guarantees.md, "answers
-# meanwhile"): a redirect to one that does not lead any more, a refusal, and a change that may be in force.
-# Commands follow one redirect. Each of these answers means: ask again.
-ASK_AGAIN = ("answered 307", "answered 503", "answered 504")
+# Answers of control nodes while none is certain to be the primary (docs/control-guarantees.md, "answers
+# meanwhile"): a redirect to a former primary, a rejection, and a change that may be active.
+# Commands follow one redirect. After each of these answers, the command may be retried.
+RETRYABLE_ANSWERS = ("answered 307", "answered 503", "answered 504")
 
 
 def run_ottercleat(*words: str) -> subprocess.CompletedProcess[str]:
@@ -24,19 +24,19 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
 
-def answer_of_tier(*words: str) -> subprocess.CompletedProcess[str]:
-    """The first definite answer to a command.
+def run_until_final(*words: str) -> subprocess.CompletedProcess[str]:
+    """Run a command again until it gives a final answer, and return this.
 
     Guards against a control primary that gets no processor time for a while: its lease ends, and until
     another leads, commands end with status 1 and print nothing.
     """
 
-    def definite() -> subprocess.CompletedProcess[str] | None:
+    def final() -> subprocess.CompletedProcess[str] | None:
         completed = run_ottercleat(*words)
-        asks_again = completed.returncode == 1 and any(text in completed.stderr for text in ASK_AGAIN)
-        return None if asks_again else completed
+        retryable = completed.returncode == 1 and any(text in completed.stderr for text in RETRYABLE_ANSWERS)
+        return None if retryable else completed
 
-    found = wait_until(definite, f"a definite answer to {words[0]}")
+    found = wait_until(final, f"a final answer to {words[0]}")
     assert isinstance(found, subprocess.CompletedProcess)
     return found
 
@@ -100,21 +100,21 @@
             lambda: run_ottercleat("config-put", address, str(file), "--base", "0").returncode == 0,
             "a primary",
         )
-        assert json.loads(answer_of_tier("config-get", address).stdout) == document(3)
-        repeated = answer_of_tier("config-put", address, str(file), "--base", "0")
+        assert json.loads(run_until_final("config-get", address).stdout) == document(3)
+        repeated = run_until_final("config-put", address, str(file), "--base", "0")
         assert repeated.returncode == 0  # it is already active
         file.write_text(json.dumps(document(4)))
-        assert "412" in answer_of_tier("config-put", address, str(file), "--base", "1").stderr
+        assert "412" in run_until_final("config-put", address, str(file), "--base", "1").stderr
         node = tier.with_role("storage")[0].name
         wait_until(lambda: run_ottercleat("retire", address, node).returncode == 0, "the retirement accepted")
         wait_until(
             lambda: "succeeded" in run_ottercleat("retire", address, node, "--ask").stdout,
             "the retirement done",
         )
-        other = answer_of_tier("retire", address, tier.with_role("storage")[1].name)
+        other = run_until_final("retire", address, tier.with_role("storage")[1].name)
         assert other.returncode == 1
         assert "409" in other.stderr
-        status = answer_of_tier("status", address)
+        status = run_until_final("status", address)
         assert status.returncode == 0
         assert node in status.stdout
     finally:
